--- a/magno/bucket/bucket.go
+++ b/magno/bucket/bucket.go
@@ -14,8 +14,8 @@
 	at    magno.Millis
 }
 
-// Fill sets the level.
-func (b *Bucket) Fill(level float64, now magno.Millis) { b.level, b.at = min(level, b.Burst), now }
+// SetLevel sets the level.
+func (b *Bucket) SetLevel(level float64, now magno.Millis) { b.level, b.at = min(level, b.Burst), now }
 
 // Level is what the bucket holds now.
 func (b *Bucket) Level(now magno.Millis) float64 {
@@ -27,8 +27,8 @@
 	return b.level
 }
 
-// Has tells whether a request of that cost is let through.
-func (b *Bucket) Has(cost float64, now magno.Millis) bool {
+// Allows tells whether a request of that cost is let through.
+func (b *Bucket) Allows(cost float64, now magno.Millis) bool {
 	return b.Level(now) >= min(cost, b.Burst)
 }
 
@@ -38,9 +38,9 @@
 // Give raises it, as far as the bucket holds.
 func (b *Bucket) Give(cost float64) { b.level = min(b.level+cost, b.Burst) }
 
-// When is how long it takes until a request of that cost is let through, if none comes
+// Delay is how long it takes until a request of that cost is let through, if none comes
 // before. It is zero when one is now, and a day where the rate is zero.
-func (b *Bucket) When(cost float64, now magno.Millis) magno.Millis {
+func (b *Bucket) Delay(cost float64, now magno.Millis) magno.Millis {
 	missing := min(cost, b.Burst) - b.Level(now)
 	switch {
 	case missing <= 0:
--- a/magno/bucket/bucket_test.go
+++ b/magno/bucket/bucket_test.go
@@ -10,13 +10,13 @@
 
 func TestLargerThanTheBucketGoesThroughWhenItIsFull(t *testing.T) {
 	b := Bucket{Rate: 100, Burst: 100}
-	b.Fill(100, 0)
-	if !b.Has(250, 0) {
+	b.SetLevel(100, 0)
+	if !b.Allows(250, 0) {
 		t.Fatal("a full bucket holds up a large request for good")
 	}
 	b.Take(250)
-	if b.Has(1, 1000) || b.When(1, 1000) != 511 {
-		t.Errorf("after a debt of 150: %v in it, %d ms to wait", b.Level(1000), b.When(1, 1000))
+	if b.Allows(1, 1000) || b.Delay(1, 1000) != 511 {
+		t.Errorf("after a debt of 150: %v in it, %d ms to wait", b.Level(1000), b.Delay(1, 1000))
 	}
 }
 
@@ -25,7 +25,7 @@
 func TestBoundOfAnySpan(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := Bucket{Rate: 100, Burst: 50}
-		b.Fill(50, 0)
+		b.SetLevel(50, 0)
 		type run struct {
 			at   magno.Millis
 			cost float64
@@ -35,7 +35,7 @@
 		for range rapid.IntRange(1, 60).Draw(t, "requests") {
 			now += magno.Millis(rapid.IntRange(0, 400).Draw(t, "pause"))
 			cost := rapid.Float64Range(1, 120).Draw(t, "cost")
-			if !b.Has(cost, now) {
+			if !b.Allows(cost, now) {
 				continue
 			}
 			b.Take(cost)
--- a/magno/quota/quota.go
+++ b/magno/quota/quota.go
@@ -143,9 +143,9 @@
 	acc.fallback.Rate = limit.Rate / float64(max(known, 1))
 	acc.fallback.Burst = acc.fallback.Rate * fallbackBurst
 	if fresh {
-		acc.fallback.Fill(acc.fallback.Burst, now)
+		acc.fallback.SetLevel(acc.fallback.Burst, now)
 	}
-	if !acc.fallback.Has(cost, now) {
+	if !acc.fallback.Allows(cost, now) {
 		return Refused, fallbackAfter
 	}
 	acc.fallback.Take(cost)
