--- a/drive/limit/limit.go
+++ b/drive/limit/limit.go
@@ -93,7 +93,7 @@
 }
 
 func (i *ideal) take(cost float64, l magno.Limit, now magno.Millis) bool {
-	if most := l.Rate*float64(window)/1000 + l.Burst; i.granted.Now(now)+cost > most {
+	if most := l.Rate*float64(window)/1000 + l.Burst; i.granted.Total(now)+cost > most {
 		return false
 	}
 	i.granted.Add(cost, now)
--- a/magno/allow/allow.go
+++ b/magno/allow/allow.go
@@ -55,8 +55,8 @@
 	w.setup()
 	now := w.Clock.Now()
 	age := min(float64(now-w.Since)/float64(max(w.Span, 1)), 1)
-	limit := Keep * (w.Ratio*w.taken.Now(now) + age*w.Slack/float64(max(processes, 1)))
-	if w.again.Now(now)+1 > limit {
+	limit := Keep * (w.Ratio*w.taken.Total(now) + age*w.Slack/float64(max(processes, 1)))
+	if w.again.Total(now)+1 > limit {
 		return false
 	}
 	w.again.Add(1, now)
--- a/magno/allow/allow_test.go
+++ b/magno/allow/allow_test.go
@@ -99,7 +99,7 @@
 			processes = met
 		}
 		for range 2 { // 200 requests a second
-			w := all[int(taken.Now(now))%entries]
+			w := all[int(taken.Total(now))%entries]
 			w.Taken()
 			taken.Add(1, now)
 			for range 3 {
@@ -108,8 +108,8 @@
 				}
 			}
 		}
-		if most := ratio*taken.Now(now) + slack; again.Now(now) > most {
-			t.Fatalf("%v of %v further sends, %d ms after the start", again.Now(now), most, now-start)
+		if most := ratio*taken.Total(now) + slack; again.Total(now) > most {
+			t.Fatalf("%v of %v further sends, %d ms after the start", again.Total(now), most, now-start)
 		}
 	}
 }
--- a/magno/grant/grant.go
+++ b/magno/grant/grant.go
@@ -146,13 +146,13 @@
 
 // free is what may be granted now.
 func (h *home) free(now magno.Millis) float64 {
-	return min(h.bucket.Level(now), h.most-h.granted.Now(now))
+	return min(h.bucket.Level(now), h.most-h.granted.Total(now))
 }
 
 // has tells whether one request of that cost may be granted, which may be larger than
 // all that there ever is.
 func (h *home) has(cost float64, now magno.Millis) bool {
-	return h.bucket.Allows(cost, now) && h.granted.Now(now)+min(cost, h.most) <= h.most
+	return h.bucket.Allows(cost, now) && h.granted.Total(now)+min(cost, h.most) <= h.most
 }
 
 // grant counts a grant, or with a negative cost what was given back.
@@ -168,7 +168,7 @@
 // later is when a process that is turned away should ask again. Each is told a time of
 // its own, as the tokens come.
 func (h *home) later(need float64, now magno.Millis) magno.Millis {
-	at := now + max(h.bucket.Delay(need, now), h.granted.When(max(h.most-need, 0), now))
+	at := now + max(h.bucket.Delay(need, now), h.granted.Delay(max(h.most-need, 0), now))
 	at = max(at, h.promised)
 	if at-now > mostAfter {
 		return mostAfter
--- a/magno/slide/slide.go
+++ b/magno/slide/slide.go
@@ -39,14 +39,14 @@
 	s.sum += cost
 }
 
-// Now is the sum of the window that ends now, zero at least.
-func (s *Sum) Now(now magno.Millis) float64 {
+// Total is the sum of the window that ends now, zero at least.
+func (s *Sum) Total(now magno.Millis) float64 {
 	s.turn(now)
 	return max(s.sum, 0)
 }
 
-// When is how long it takes until the sum is no more than most, if nothing is added.
-func (s *Sum) When(most float64, now magno.Millis) magno.Millis {
+// Delay is how long it takes until the sum is no more than most, if nothing is added.
+func (s *Sum) Delay(most float64, now magno.Millis) magno.Millis {
 	s.turn(now)
 	left := s.sum
 	for n := magno.Millis(1); n <= slots+1; n++ {
--- a/magno/slide/slide_test.go
+++ b/magno/slide/slide_test.go
@@ -33,11 +33,11 @@
 					most += g.cost
 				}
 			}
-			if got := s.Now(now); got < least || got > most {
+			if got := s.Total(now); got < least || got > most {
 				t.Fatalf("sum %v at %d, want %v to %v", got, now, least, most)
 			}
-			wait := s.When(least/2, now)
-			if after := s.Now(now + wait); after > least/2 {
+			wait := s.Delay(least/2, now)
+			if after := s.Total(now + wait); after > least/2 {
 				t.Fatalf("sum %v after %d ms, want at most %v", after, wait, least/2)
 			}
 			now += wait
@@ -48,7 +48,7 @@
 func TestLongPauseEmptiesTheWindow(t *testing.T) {
 	s := Sum{Window: 8 * magno.Second}
 	s.Add(5, magno.Hour)
-	if got := s.Now(3 * magno.Hour); got != 0 {
+	if got := s.Total(3 * magno.Hour); got != 0 {
 		t.Errorf("%v in it after two hours", got)
 	}
 }
