--- a/drive/limit/fleet.go
+++ b/drive/limit/fleet.go
@@ -55,9 +55,9 @@
 func (f *fleet) ask(i int, customer string, cost float64, decided func(bool)) {
 	q, limit := f.quotas[i], *f.limits[customer]
 	v, _ := q.Take(customer, limit, cost)
-	if v != quota.Waits {
-		decided(v == quota.Runs)
-		if v == quota.Runs && q.Low(customer, limit) {
+	if v != quota.Pending {
+		decided(v == quota.Allowed)
+		if v == quota.Allowed && q.Low(customer, limit) {
 			f.call(i, customer, nil)
 		}
 		return
@@ -69,7 +69,7 @@
 	if f.Clock.Now()/step%50 != 0 {
 		return
 	}
-	for customer := range f.quotas[i].Idle() {
+	for customer := range f.quotas[i].Surplus() {
 		f.call(i, customer, nil)
 	}
 }
@@ -112,9 +112,9 @@
 			if reply == nil {
 				v, _ = q.Fallback(customer, limit, r.cost, f.Entries)
 			} else {
-				v, _ = q.Again(customer, limit, r.cost)
+				v, _ = q.TakeAgain(customer, limit, r.cost)
 			}
-			r.decided(v == quota.Runs)
+			r.decided(v == quota.Allowed)
 		}
 		if len(l.waiting) > 0 {
 			f.call(i, customer, nil)
--- a/entry/lease/lease.go
+++ b/entry/lease/lease.go
@@ -114,7 +114,7 @@
 	defer l.end()
 	for magno.Pause(ctx, giveEvery) {
 		l.mu.Lock()
-		for customer, limit := range l.quota.Idle() {
+		for customer, limit := range l.quota.Surplus() {
 			l.join(customer, limit, 0)
 		}
 		l.mu.Unlock()
@@ -134,11 +134,11 @@
 func (l *Lease) Take(ctx context.Context, c *magno.Customer, cost float64) *magno.Refusal {
 	l.mu.Lock()
 	v, after := l.quota.Take(c.Name, *c.Limit, cost)
-	if v == quota.Runs && l.quota.Low(c.Name, *c.Limit) {
+	if v == quota.Allowed && l.quota.Low(c.Name, *c.Limit) {
 		l.join(c.Name, *c.Limit, 0)
 	}
 	for range mostWaits {
-		if v != quota.Waits {
+		if v != quota.Pending {
 			break
 		}
 		asked := l.join(c.Name, *c.Limit, cost)
@@ -153,14 +153,14 @@
 			_, known := l.Count()
 			v, after = l.quota.Fallback(c.Name, *c.Limit, cost, known)
 		} else {
-			v, after = l.quota.Again(c.Name, *c.Limit, cost)
+			v, after = l.quota.TakeAgain(c.Name, *c.Limit, cost)
 		}
 	}
 	l.mu.Unlock()
 	switch v {
-	case quota.Runs:
+	case quota.Allowed:
 		return nil
-	case quota.Waits:
+	case quota.Pending:
 		after = waitAfter
 	}
 	return magno.Refuse(magno.KindQuota, "%s is over its limit", c.Name).Later(after)
--- a/magno/quota/quota.go
+++ b/magno/quota/quota.go
@@ -43,8 +43,8 @@
 
 // The verdicts.
 const (
-	Runs    Verdict = iota // its tokens are taken
-	Waits                  // the home must be asked for more
+	Allowed Verdict = iota // its tokens are taken
+	Pending                // the home must be asked for more
 	Refused                // the customer is over its limit
 )
 
@@ -79,8 +79,8 @@
 	return acc.take(cost, now)
 }
 
-// Again is Take for a request that waited.
-func (q *Quota) Again(customer string, limit magno.Limit, cost float64) (v Verdict, after magno.Millis) {
+// TakeAgain is Take for a request that waited.
+func (q *Quota) TakeAgain(customer string, limit magno.Limit, cost float64) (v Verdict, after magno.Millis) {
 	return q.account(customer, limit).take(cost, q.Clock.Now())
 }
 
@@ -88,11 +88,11 @@
 	switch {
 	case a.tokens >= cost:
 		a.tokens -= cost
-		return Runs, 0
+		return Allowed, 0
 	case now < a.next:
 		return Refused, max(a.until-now, 1)
 	}
-	return Waits, 0
+	return Pending, 0
 }
 
 // Give returns the cost of a request that has not run.
@@ -135,8 +135,8 @@
 // no home answers. Known is how many processes share the allowance.
 func (q *Quota) Fallback(customer string, limit magno.Limit, cost float64, known int) (v Verdict, after magno.Millis) {
 	acc, now := q.account(customer, limit), q.Clock.Now()
-	if v, _ := acc.take(cost, now); v == Runs {
-		return Runs, 0
+	if v, _ := acc.take(cost, now); v == Allowed {
+		return Allowed, 0
 	}
 	fresh := acc.fallback.Burst == 0
 	acc.fallback.Level(now)
@@ -149,11 +149,11 @@
 		return Refused, fallbackAfter
 	}
 	acc.fallback.Take(cost)
-	return Runs, 0
+	return Allowed, 0
 }
 
-// Idle lists customers with more leased tokens than they are likely to need.
-func (q *Quota) Idle() map[string]magno.Limit {
+// Surplus lists customers with more leased tokens than they are likely to need.
+func (q *Quota) Surplus() map[string]magno.Limit {
 	idle, now := map[string]magno.Limit{}, q.Clock.Now()
 	for name, acc := range q.customers {
 		acc.asked(0, now)
--- a/magno/quota/quota_test.go
+++ b/magno/quota/quota_test.go
@@ -17,7 +17,7 @@
 func TestTokensAtHandNeedNoAnswer(t *testing.T) {
 	q, _ := newQuota()
 	for range 10 { // so much is asked for that some should be at hand
-		if v, _ := q.Take("a", limit, 100); v != Waits {
+		if v, _ := q.Take("a", limit, 100); v != Pending {
 			t.Fatalf("verdict %d with nothing at hand", v)
 		}
 	}
@@ -26,10 +26,10 @@
 		t.Errorf("asks for %v, wants %v", ask.Need, ask.Want)
 	}
 	q.Granted(ask, grant.Reply{Granted: 200}, limit)
-	if v, _ := q.Again("a", limit, 100); v != Runs {
+	if v, _ := q.TakeAgain("a", limit, 100); v != Allowed {
 		t.Errorf("verdict %d after it was granted", v)
 	}
-	if v, _ := q.Take("a", limit, 100); v != Runs {
+	if v, _ := q.Take("a", limit, 100); v != Allowed {
 		t.Errorf("verdict %d with tokens at hand", v)
 	}
 }
@@ -43,7 +43,7 @@
 		t.Errorf("verdict %d, after %d ms", v, after)
 	}
 	clock.Advance(askAgain)
-	if v, _ := q.Take("a", limit, 100); v != Waits {
+	if v, _ := q.Take("a", limit, 100); v != Pending {
 		t.Errorf("verdict %d when the home may be asked again", v)
 	}
 }
@@ -52,15 +52,15 @@
 	q, clock := newQuota()
 	q.Take("a", limit, 100)
 	q.Granted(q.Ask("a", limit, 100, 100), grant.Reply{Granted: 500}, limit)
-	q.Again("a", limit, 100)
-	if len(q.Idle()) != 1 {
+	q.TakeAgain("a", limit, 100)
+	if len(q.Surplus()) != 1 {
 		t.Fatal("400 tokens that nobody needs aren't idle")
 	}
 	clock.Advance(10 * magno.Second)
 	if ask := q.Ask("a", limit, 0, 0); ask.Back < 390 || ask.Need != 0 || ask.Want > 10 {
 		t.Errorf("gives back %v, wants %v", ask.Back, ask.Want)
 	}
-	if len(q.Idle()) != 0 {
+	if len(q.Surplus()) != 0 {
 		t.Error("they are idle still")
 	}
 }
@@ -69,7 +69,7 @@
 	q, _ := newQuota()
 	q.Granted(q.Ask("a", limit, 500, 500), grant.Reply{Granted: 500}, limit)
 	low := magno.Limit{Rate: 100, Burst: 100, Tokens: true}
-	if v, _ := q.Take("a", low, 400); v == Runs {
+	if v, _ := q.Take("a", low, 400); v == Allowed {
 		t.Error("tokens of the old limit are used")
 	}
 }
@@ -80,7 +80,7 @@
 	q, clock := newQuota()
 	var sum float64
 	for range 100 {
-		if v, _ := q.Fallback("a", limit, 50, 30); v == Runs {
+		if v, _ := q.Fallback("a", limit, 50, 30); v == Allowed {
 			sum += 50
 		}
 		clock.Advance(100)
