--- a/drive/sim/request.go
+++ b/drive/sim/request.go
@@ -117,7 +117,7 @@
 		return 0, false
 	}
 	left := r.job.Deadline - r.sim.clock.Now()
-	wait, ok := r.budget.Again(refusal, len(r.avoid)+1, left, 0, r.job.Repeat)
+	wait, ok := r.budget.Allow(refusal, len(r.avoid)+1, left, 0, r.job.Repeat)
 	if ok {
 		r.first, r.tokens = 0, 0
 	}
--- a/entry/send/send.go
+++ b/entry/send/send.go
@@ -106,7 +106,7 @@
 		if n == s.Attempts || name == "" || j.broken || ctx.Err() != nil || !again(out.refusal) {
 			return magno.Result{}, false, out.refusal.Ran(run)
 		}
-		wait, ok := budget.Again(out.refusal, n, left, 0, true)
+		wait, ok := budget.Allow(out.refusal, n, left, 0, true)
 		if !ok || !magno.Pause(ctx, wait) {
 			return magno.Result{}, false, out.refusal.Ran(run)
 		}
--- a/magno/retry/retry.go
+++ b/magno/retry/retry.go
@@ -72,11 +72,11 @@
 	b.tokens = min(b.tokens+b.Ratio, b.Depth)
 }
 
-// Again tells whether an attempt that ended with r may be made again, and
+// Allow tells whether an attempt that ended with r may be made again, and
 // after which wait. Attempt counts those made, from 1; left is the time to
 // the deadline, and need the least that another attempt takes. Repeat is true
 // for idempotent work; other work is tried again only when it was not run.
-func (b *Budget) Again(r *magno.Refusal, attempt int, left, need magno.Millis, repeat bool) (magno.Millis, bool) {
+func (b *Budget) Allow(r *magno.Refusal, attempt int, left, need magno.Millis, repeat bool) (magno.Millis, bool) {
 	if r == nil || !retriable(r, repeat) {
 		return 0, false
 	}
--- a/magno/retry/retry_test.go
+++ b/magno/retry/retry_test.go
@@ -15,7 +15,7 @@
 		if i < 500 {
 			b.Succeeded()
 		}
-		if _, ok := b.Again(magno.Refuse(magno.KindNoUpstream, "down"), 1, magno.Minute, 0, true); ok {
+		if _, ok := b.Allow(magno.Refuse(magno.KindNoUpstream, "down"), 1, magno.Minute, 0, true); ok {
 			retries++
 		}
 	}
@@ -42,7 +42,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			wait, ok := (&Budget{}).Again(tt.r, 1, tt.left, 100, tt.repeat)
+			wait, ok := (&Budget{}).Allow(tt.r, 1, tt.left, 100, tt.repeat)
 			if ok != tt.want || wait > DefaultBase {
 				t.Fatalf("got %v after %d", ok, wait)
 			}
