--- a/entry/relay/relay.go
+++ b/entry/relay/relay.go
@@ -200,7 +200,7 @@
 		return magno.Refuse(magno.KindMalformed, "the request has no id")
 	}
 	j.limit()
-	if j.Behind() == strain.Lost {
+	if j.Behind() == strain.Overloaded {
 		return magno.Refuse(magno.KindBusy, "this instance is far behind").Later(busyAfter)
 	}
 	if j.closed(j.route.Kind) {
@@ -300,7 +300,7 @@
 // closing asks the caller for a new connection while this process stops or has
 // too much to do.
 func (j *job) closing(h http.Header) {
-	if j.Leaving() || j.Behind() != strain.Calm {
+	if j.Leaving() || j.Behind() != strain.Normal {
 		h.Set("Connection", "close")
 	}
 }
--- a/entry/relay/relay_test.go
+++ b/entry/relay/relay_test.go
@@ -315,12 +315,12 @@
 		return true
 	})
 	s := newSite(t, magno.KindOnce, false, u)
-	s.Fall(strain.Lost)
+	s.Fall(strain.Overloaded)
 	res, _, err := s.get(t, http.MethodPost, "1")
 	if err != nil || !promises(res.StatusCode) || res.Header.Get("Retry-After") == "" || !res.Close || u.count() != 0 {
 		t.Errorf("got %v %v after %d sends", res, err, u.count())
 	}
-	s.Fall(strain.Behind)
+	s.Fall(strain.Strained)
 	res, _, err = s.get(t, http.MethodPost, "2")
 	if err != nil || res.StatusCode != 200 || !res.Close {
 		t.Errorf("got %v %v, want an answer and the end of the connection", res, err)
--- a/entry/site/front.go
+++ b/entry/site/front.go
@@ -105,7 +105,7 @@
 func (f *front) ready() bool {
 	snap := f.book.Now()
 	sure := snap.Plan == nil || len(snap.Plan.Customers) == 0 || f.relay.Sure()
-	return !f.relay.Leaving() && f.relay.Behind() == strain.Calm && snap.Plan != nil && len(snap.Replicas) > 0 && sure
+	return !f.relay.Leaving() && f.relay.Behind() == strain.Normal && snap.Plan != nil && len(snap.Replicas) > 0 && sure
 }
 
 // watch tells the relay when the processor falls behind.
@@ -118,10 +118,10 @@
 
 // Run observes the lag of a timer until ctx ends.
 func (w *watch) Run(ctx context.Context) error {
-	var s strain.Strain
+	var s strain.Detector
 	lags := metrics.GetOrCreateHistogram("timer_lag_seconds")
-	for before := w.clock.Now(); magno.Pause(ctx, strain.Every); before = w.clock.Now() {
-		lag := w.clock.Now() - before - strain.Every
+	for before := w.clock.Now(); magno.Pause(ctx, strain.Interval); before = w.clock.Now() {
+		lag := w.clock.Now() - before - strain.Interval
 		lags.Update(float64(lag) / 1000)
 		was, is := w.relay.Behind(), s.Observe(lag, w.clock.Now())
 		if was != is {
--- a/magno/strain/strain.go
+++ b/magno/strain/strain.go
@@ -18,8 +18,8 @@
 import "magnoliastall.example/magno"
 
 const (
-	// Every is how often the timer is looked at.
-	Every = 50 * magno.Millis(1)
+	// Interval is how often the timer is looked at.
+	Interval = 50 * magno.Millis(1)
 	// gain weighs a new lag in the average; the last ten count.
 	gain = 0.1
 	// high is the average lag from which on an instance is strained: an event of
@@ -40,13 +40,13 @@
 
 // The levels.
 const (
-	Calm   Level = iota
-	Behind       // it should get no new connections
-	Lost         // it should refuse what comes
+	Normal     Level = iota
+	Strained         // it should get no new connections
+	Overloaded       // it should refuse what comes
 )
 
-// Strain is one instance's. One goroutine uses it.
-type Strain struct {
+// Detector is one instance's. One goroutine uses it.
+type Detector struct {
 	lag   float64
 	level Level
 	// calm is since when the lag has been low, zero while it isn't.
@@ -55,22 +55,22 @@
 
 // Observe takes the lag of the timer at now and tells how far behind the
 // instance is.
-func (s *Strain) Observe(lag, now magno.Millis) Level {
+func (s *Detector) Observe(lag, now magno.Millis) Level {
 	s.lag += gain * (float64(max(lag, 0)) - s.lag)
 	switch {
 	case s.lag > far:
-		s.level, s.calm = Lost, 0
+		s.level, s.calm = Overloaded, 0
 	case s.lag > high:
-		s.level, s.calm = max(s.level, Behind), 0
+		s.level, s.calm = max(s.level, Strained), 0
 	case s.lag > low:
-		s.level, s.calm = min(s.level, Behind), 0
+		s.level, s.calm = min(s.level, Strained), 0
 	case s.calm == 0:
 		s.calm = now
 	case now-s.calm >= rest:
-		s.level = Calm
+		s.level = Normal
 	}
 	return s.level
 }
 
 // Lag is the average in milliseconds.
-func (s *Strain) Lag() float64 { return s.lag }
+func (s *Detector) Lag() float64 { return s.lag }
--- a/magno/strain/strain_test.go
+++ b/magno/strain/strain_test.go
@@ -7,11 +7,11 @@
 )
 
 // play observes lags, one each Every, and returns how many found it strained.
-func play(s *Strain, now *magno.Millis, lag magno.Millis, n int) int {
+func play(s *Detector, now *magno.Millis, lag magno.Millis, n int) int {
 	strained := 0
 	for range n {
-		*now += Every
-		if s.Observe(lag, *now) != Calm {
+		*now += Interval
+		if s.Observe(lag, *now) != Normal {
 			strained++
 		}
 	}
@@ -21,7 +21,7 @@
 // A burst comes to a small machine, whose processor falls behind. It stops
 // asking for more within a second, and is back when the work is done.
 func TestStrainedWhileBehind(t *testing.T) {
-	var s Strain
+	var s Detector
 	now := magno.Hour
 	if n := play(&s, &now, 3, 100); n != 0 {
 		t.Fatalf("strained in %d of 100 calm looks", n)
@@ -30,14 +30,14 @@
 		t.Errorf("strained in %d of 20 looks while far behind", n)
 	}
 	play(&s, &now, 2, 100)
-	if s.Observe(2, now) != Calm {
+	if s.Observe(2, now) != Normal {
 		t.Error("still strained five seconds after the work was done")
 	}
 }
 
 // One pause, of the collector or of the machine, is no strain.
 func TestOnePauseIsNoStrain(t *testing.T) {
-	var s Strain
+	var s Detector
 	now := magno.Hour
 	play(&s, &now, 3, 50)
 	if n := play(&s, &now, 300, 1) + play(&s, &now, 3, 20); n != 0 {
@@ -48,7 +48,7 @@
 // The lag lies between the marks. The answer stays what it was, instead of
 // changing with each look.
 func TestNoFlappingBetweenTheMarks(t *testing.T) {
-	var s Strain
+	var s Detector
 	now := magno.Hour
 	play(&s, &now, 200, 20)
 	if n := play(&s, &now, 25, 100); n != 100 {
@@ -59,17 +59,17 @@
 // The work is far more than the processor can do. What comes is refused at once
 // until the instance has caught up to where it only asks for no more.
 func TestFarBehindRefuses(t *testing.T) {
-	var s Strain
+	var s Detector
 	now := magno.Hour
 	play(&s, &now, 400, 20)
-	if got := s.Observe(400, now); got != Lost {
+	if got := s.Observe(400, now); got != Overloaded {
 		t.Fatalf("level %d while far behind", got)
 	}
 	for range 40 {
-		now += Every
+		now += Interval
 		s.Observe(20, now)
 	}
-	if got := s.Observe(20, now); got != Behind {
+	if got := s.Observe(20, now); got != Strained {
 		t.Errorf("level %d when nearly caught up", got)
 	}
 }
