--- a/magno/sched/loads.go
+++ b/magno/sched/loads.go
@@ -34,7 +34,7 @@
 	if s.slots.Free() <= 0 {
 		s.room = ref
 		s.slots.Evict(victim)
-		s.queue.Sleep(victim)
+		s.queue.MarkUnready(victim)
 		return append(orders, magno.Order{Kind: magno.OrderUnload, Ref: victim})
 	}
 	if s.queue.Queued(s.room) > 0 && s.slots.Usable(s.room, now) {
@@ -48,11 +48,11 @@
 }
 
 // worst returns the adapter whose wait for a load does most harm.
-func (s *Sched) worst(now magno.Millis) (share.Want, bool) {
+func (s *Sched) worst(now magno.Millis) (share.PendingLoad, bool) {
 	if s.slots.InFlight() > 0 || s.queue.Unready() == 0 || s.Limits.Slots <= 0 {
-		return share.Want{}, false
+		return share.PendingLoad{}, false
 	}
-	return s.queue.Worst(now, func(ref magno.Ref) bool { return s.slots.Usable(ref, now) })
+	return s.queue.MostHarmful(now, func(ref magno.Ref) bool { return s.slots.Usable(ref, now) })
 }
 
 // victim returns what to evict for a wait that does harm. An adapter that
@@ -64,7 +64,7 @@
 		harm = math.Inf(1)
 	}
 	reload := reloads * float64(s.Limits.Load)
-	loss := func(held magno.Ref) float64 { return s.queue.Growth(held) * reload }
+	loss := func(held magno.Ref) float64 { return s.queue.HarmRate(held) * reload }
 	return s.slots.Victim(now, harm, loss)
 }
 
@@ -75,7 +75,7 @@
 		return
 	}
 	s.slots.Drain(victim)
-	s.queue.Sleep(victim)
+	s.queue.MarkUnready(victim)
 }
 
 // undrain takes jobs of a draining adapter again: nothing waits any more.
@@ -84,7 +84,7 @@
 		return
 	}
 	if back, ok := s.slots.Undrain(); ok {
-		s.queue.Wake(back)
+		s.queue.MarkReady(back)
 	}
 }
 
@@ -112,7 +112,7 @@
 		return
 	}
 	if s.slots.Loaded(ref, ok, now) {
-		s.queue.Wake(ref)
+		s.queue.MarkReady(ref)
 	}
 }
 
--- a/magno/sched/next.go
+++ b/magno/sched/next.go
@@ -37,7 +37,7 @@
 			s.gate.LoadLate()
 		}
 		r := magno.Refuse(magno.KindDeadline, "it can't end before its deadline any more").
-			Later(s.gate.Wait(s.queue.Ready(), 0, it.Run))
+			Later(s.gate.Wait(s.queue.ReadyRun(), 0, it.Run))
 		orders = append(orders, magno.Order{Kind: magno.OrderRefuse, Job: it.Job, Ref: it.Job.Ref, Refusal: r})
 	}
 	return orders
@@ -51,7 +51,7 @@
 			s.former.Empty(s.reading)
 			return orders
 		}
-		if it.Alone && len(s.runs) > 0 {
+		if it.Exclusive && len(s.runs) > 0 {
 			return orders // what runs comes to its end first
 		}
 		if !s.former.Starts(now, &it.Job, s.queue.ReadyJobs()) {
@@ -64,7 +64,7 @@
 		if it.Long {
 			s.long++
 		}
-		if it.Alone {
+		if it.Exclusive {
 			s.alone = it.Job.ID
 		}
 		orders = append(orders, magno.Order{Kind: magno.OrderStart, Job: it.Job, Ref: it.Job.Ref})
--- a/magno/sched/report.go
+++ b/magno/sched/report.go
@@ -22,7 +22,7 @@
 	clear(s.runs)
 	s.long, s.reading, s.alone, s.turn = 0, 0, "", 0
 	for ref := range s.slots.Holds() {
-		s.queue.Sleep(ref)
+		s.queue.MarkUnready(ref)
 	}
 	s.slots.Reset()
 	s.room = magno.Ref{}
@@ -37,7 +37,7 @@
 		work += max(r.job.Prompt+r.job.Output-r.made, 0)
 	}
 	b := magno.Backlog{
-		Wait:   s.gate.Wait(s.queue.Ready(), s.former.Free(len(s.runs)), magno.Millis(s.mean)),
+		Wait:   s.gate.Wait(s.queue.ReadyRun(), s.former.Free(len(s.runs)), magno.Millis(s.mean)),
 		Queued: s.queue.Len(), Running: len(s.runs), Work: work,
 		Pinned: s.slots.Pinned(), Held: s.slots.Held(),
 		Customer: s.queue.Customers(), Waits: s.waits(),
@@ -53,7 +53,7 @@
 // waits estimates for each customer with queued jobs when one more would start.
 func (s *Sched) waits() map[string]magno.Millis {
 	run := magno.Millis(s.mean)
-	ahead := s.queue.Fair()
+	ahead := s.queue.AheadByCustomer()
 	for name, work := range ahead {
 		ahead[name] = s.gate.Wait(work, s.former.Free(len(s.runs)), run)
 	}
--- a/magno/sched/sched.go
+++ b/magno/sched/sched.go
@@ -161,7 +161,7 @@
 	if r := s.gate.Offer(now, &job, s.view(&job, run, now)); r != nil {
 		return r
 	}
-	it := &share.Item{Job: job, Run: run, Patience: s.gate.Patience(now, &job), Long: s.isLong(run), Alone: s.Suspects.Alone(job.Print)}
+	it := &share.Item{Job: job, Run: run, Patience: s.gate.Patience(now, &job), Long: s.isLong(run), Exclusive: s.Suspects.Alone(job.Print)}
 	s.queue.Add(it, s.slots.Ready(job.Ref), job.Deadline-run)
 	return nil
 }
@@ -177,7 +177,7 @@
 	return admit.View{
 		Wanted: wanted,
 		Queued: s.queue.Len(), Free: s.former.Free(len(s.runs)),
-		Held: s.former.Patience(job), Ahead: ahead.Run, Over: ahead.Over, Load: s.loadWait(job.Ref, patience, now), Patience: patience,
+		Held: s.former.Patience(job), Ahead: ahead.Run, Over: ahead.OverShare, Load: s.loadWait(job.Ref, patience, now), Patience: patience,
 	}
 }
 
@@ -193,7 +193,7 @@
 	if w, ok := s.worst(now); ok {
 		level = max(level, w.Harm/float64(w.Jobs)) // waits are that long by now
 	}
-	wait, before := s.queue.Until(level, ref, patience, now)
+	wait, before := s.queue.TimeToHarm(level, ref, patience, now)
 	return s.gate.LoadWait(wait, before) + s.slots.Retry(ref, now)
 }
 
--- a/magno/sched/tuner.go
+++ b/magno/sched/tuner.go
@@ -37,7 +37,7 @@
 	known := s.slots.Holds()
 	for ref, pinned := range known {
 		if !pinned && !slices.Contains(held, ref) && s.slots.Lose(ref) {
-			s.queue.Sleep(ref)
+			s.queue.MarkUnready(ref)
 		}
 	}
 	for _, ref := range held {
@@ -46,7 +46,7 @@
 		}
 		s.slots.Begin(ref)
 		if s.slots.Loaded(ref, true, now) {
-			s.queue.Wake(ref)
+			s.queue.MarkReady(ref)
 		}
 	}
 }
--- a/magno/share/heap.go
+++ b/magno/share/heap.go
@@ -1,24 +1,24 @@
 package share
 
-// The heaps that an item can stand in.
+// The kinds of heap that hold queued items.
 const (
-	heapReady = iota // by key, one for each customer and class
-	heapLimit        // by the latest point at which a start still makes sense
-	heaps
+	heapReady  = iota // ordered by key; one per customer and length class
+	heapExpiry        // ordered by latestStart; one per queue
+	heapCount
 )
 
-// heap is a binary heap of items that know their place in it, so that a
-// cancelled job leaves at once and its memory isn't held until its turn.
+// heap is a binary heap whose items store their index in it, so that a cancelled
+// job is removed at once and does not use memory until it reaches the top.
 type heap struct {
-	which int
+	kind  int
 	items []*Item
 }
 
 func (h *heap) less(i, j int) bool {
 	a, b := h.items[i], h.items[j]
-	if h.which == heapLimit {
-		if a.limit != b.limit {
-			return a.limit < b.limit
+	if h.kind == heapExpiry {
+		if a.latestStart != b.latestStart {
+			return a.latestStart < b.latestStart
 		}
 		return a.seq < b.seq
 	}
@@ -30,7 +30,7 @@
 
 func (h *heap) swap(i, j int) {
 	h.items[i], h.items[j] = h.items[j], h.items[i]
-	h.items[i].at[h.which], h.items[j].at[h.which] = i, j
+	h.items[i].heapIndex[h.kind], h.items[j].heapIndex[h.kind] = i, j
 }
 
 func (h *heap) up(i int) {
@@ -62,13 +62,13 @@
 }
 
 func (h *heap) push(it *Item) {
-	it.at[h.which] = len(h.items)
+	it.heapIndex[h.kind] = len(h.items)
 	h.items = append(h.items, it)
 	h.up(len(h.items) - 1)
 }
 
 func (h *heap) remove(it *Item) {
-	i, last := it.at[h.which], len(h.items)-1
+	i, last := it.heapIndex[h.kind], len(h.items)-1
 	h.swap(i, last)
 	h.items[last] = nil
 	h.items = h.items[:last]
--- a/magno/share/queue.go
+++ b/magno/share/queue.go
@@ -1,17 +1,18 @@
-// Package share queues jobs and tells which is next: customers share the
-// engine by weight, callers share their customer's part equally, and urgency
-// orders work inside a customer.
+// Package share is a weighted fair queue. Customers share the engine by weight,
+// callers share their customer's part equally, and urgency orders jobs within a
+// customer.
 //
 // Load pattern: one customer or caller sends many times its share while the
-// others go on as before, and long jobs come among short ones. Without it the
-// queue is one line: whoever sends most gets most, and an advisor question
-// waits behind every timetable draft that came before it.
+// others send as before, and long jobs arrive among short ones. With a FIFO
+// queue, whoever sends most would be served most, and a short advisor question
+// would wait behind every long timetable draft that arrived earlier.
 //
-// It is start-time fair queueing (Goyal, Vin and Cheng, 1996) in tokens, on
-// two levels. A job's tag is the later of its customer's virtual time and its
-// caller's last finish; urgency moves the tag back by a bounded number of
-// tokens, so a job of low urgency is overtaken only by that much work and
-// nothing starves. Each level lets a part run ahead by one job at most.
+// The algorithm is start-time fair queueing (Goyal, Vin and Cheng, 1996) on two
+// levels, with cost in tokens. A job's start tag is the later of its customer's
+// virtual time and its caller's last finish tag. Urgency lowers the key
+// that orders jobs by a bounded number of tokens, so a less urgent job is
+// overtaken by at most that much work and none starves. On each level, no
+// customer or caller gets ahead of its share by more than one job.
 package share
 
 import (
@@ -21,37 +22,37 @@
 // Urgencies is the number of values of Job.Urgency.
 const Urgencies = 10
 
-// DefaultBoost is how many tokens of its customer's work one step of urgency
-// overtakes: about two answers of the workloads in docs/LOAD.md, so that the
-// most urgent pass some twenty queued answers.
+// DefaultBoost is the number of queued tokens of its customer that a job overtakes
+// for each step of urgency. It equals about two answers of the workloads in
+// docs/LOAD.md, so the most urgent job passes about twenty queued answers.
 const DefaultBoost = 400
 
-// sweepAt is how many idle customers or callers are kept before those whose
-// memory no longer matters are dropped.
-const sweepAt = 256
+// sweepThreshold is the number of customers or callers at which idle ones whose
+// state no longer affects the order are removed.
+const sweepThreshold = 256
 
 // Item is a queued job.
 type Item struct {
 	Job magno.Job
-	// Run is the time for which the job is expected to hold a batch place.
+	// Run is the expected time for which the job occupies a batch place.
 	Run magno.Millis
-	// Patience is how long the job is meant to wait for its adapter at most;
-	// waits are compared as parts of it.
+	// Patience is the longest time that the job should wait for its adapter. Waits
+	// are compared as fractions of it.
 	Patience magno.Millis
-	// Long is true when the job is long against its neighbours.
+	// Long is true when the job's run is long compared with other jobs'.
 	Long bool
-	// Alone is true when nothing else may run beside the job.
-	Alone bool
-
-	seq    uint64
-	key    float64
-	tag    float64
-	limit  magno.Millis
-	at     [heaps]int
-	spot   int
-	group  *group
-	biz    *customer
-	caller *caller
+	// Exclusive is true when no other job may run at the same time.
+	Exclusive bool
+
+	seq         uint64
+	key         float64
+	startTag    float64
+	latestStart magno.Millis
+	heapIndex   [heapCount]int
+	groupIndex  int
+	group       *group
+	customer    *customer
+	caller      *caller
 }
 
 // group holds the queued jobs of one adapter version.
@@ -59,70 +60,75 @@
 	seq   uint64
 	ready bool
 	items []*Item
-	// base is the first arrival. Sums of products with times since the epoch
-	// would lose milliseconds to rounding.
-	base magno.Millis
-	// weight sums the items' harm weights, since the weights times arrival
-	// after base, so that the harm of all waits is had without a walk.
-	weight float64
-	since  float64
+	// baseTime is the arrival of the first item. Arrivals are summed relative to it,
+	// because products with times since the epoch would lose milliseconds to
+	// rounding.
+	baseTime magno.Millis
+	// harmRate is the sum of the items' harm rates, and harmOffset the sum of each
+	// rate times the item's arrival after baseTime. With them harmAt needs no
+	// iteration over the items.
+	harmRate   float64
+	harmOffset float64
 }
 
 type caller struct {
-	// finish is the tag at which the caller's next job starts.
-	finish float64
-	queued int
-	run    magno.Millis
+	// finishTag is the virtual time at which the caller's last job ends; its next
+	// job starts there at the earliest.
+	finishTag float64
+	queued    int
+	readyRun  magno.Millis
 }
 
 type customer struct {
 	name string
-	// virtual is the service received over the weight.
-	virtual float64
-	// clock is the virtual time among the callers.
-	clock   float64
-	ready   [2]heap
-	callers map[string]*caller
-	busy    int // callers with queued jobs
-	queued  int
-	tokens  int
-	run     [Urgencies]magno.Millis
-	total   magno.Millis
-	// recent is the place time that its jobs took, older ones count less.
-	recent float64
+	// virtualTime is the service received divided by the weight.
+	virtualTime float64
+	// callerTime is the virtual time of the level below, among the callers.
+	callerTime     float64
+	ready          [2]heap
+	callers        map[string]*caller
+	waitingCallers int // number of callers with queued jobs
+	queued         int
+	tokens         int
+	readyRun       [Urgencies]magno.Millis
+	readyTotal     magno.Millis
+	// recentRun is the place time of its started jobs, with older ones weighted
+	// less.
+	recentRun float64
 }
 
 // Queue holds queued jobs. Its exported fields are set before use.
 type Queue struct {
-	// Weights maps a customer to its share; a missing one counts as 1.
+	// Weights maps customers to their weights; the default weight is 1.
 	Weights map[string]float64
-	// Boost is how many tokens one step of urgency overtakes.
+	// Boost is the number of tokens that a job overtakes per step of urgency.
 	Boost float64
 
-	seq       uint64
-	virtual   float64
-	items     map[string]*Item
-	limits    heap
-	groups    map[magno.Ref]*group
-	customers map[string]*customer
+	seq         uint64
+	virtualTime float64
+	items       map[string]*Item
+	expiry      heap
+	groups      map[magno.Ref]*group
+	customers   map[string]*customer
 	// active lists customers with queued jobs in order of activation.
 	active []*customer
-	// ready is the place time of jobs whose adapter is loaded, readyJobs
+	// readyRun is the total place time of jobs whose adapter is loaded, readyJobs
 	// their number.
-	ready     magno.Millis
+	readyRun  magno.Millis
 	readyJobs int
-	// gain weighs the next start in the customers' recent place time.
-	gain float64
+	// startWeight is the weight of the last recorded start in the customers'
+	// recentRun.
+	startWeight float64
 
 	count  int
 	tokens int
-	// unready counts groups whose adapter isn't loaded.
+	// unready is the number of groups whose adapter is not loaded.
 	unready int
 }
 
 // New returns an empty queue.
 func New(weights map[string]float64, boost float64) *Queue {
-	return &Queue{Weights: weights, Boost: boost, limits: heap{which: heapLimit},
+	return &Queue{Weights: weights, Boost: boost, expiry: heap{kind: heapExpiry},
 		items: map[string]*Item{}, groups: map[magno.Ref]*group{}, customers: map[string]*customer{}}
 }
 
@@ -133,201 +139,202 @@
 	return 1
 }
 
-func cost(job *magno.Job) float64 { return float64(max(job.Prompt+job.Output, 1)) }
+func tokenCost(job *magno.Job) float64 { return float64(max(job.Prompt+job.Output, 1)) }
 
-func class(it *Item) int {
+func lengthClass(it *Item) int {
 	if it.Long {
 		return 1
 	}
 	return 0
 }
 
-// Add queues an item; ready says whether its adapter is loaded, limit until
-// when a start makes sense.
-func (q *Queue) Add(it *Item, ready bool, limit magno.Millis) {
+// Add queues an item. Ready tells whether its adapter is loaded; the item expires
+// after latestStart.
+func (q *Queue) Add(it *Item, ready bool, latestStart magno.Millis) {
 	q.seq++
-	it.seq, it.limit = q.seq, limit
-	b := q.customer(it.Job.Customer)
-	c := b.caller(it.Job.Caller)
-	it.biz, it.caller = b, c
-	it.tag = max(b.clock, c.finish)
-	c.finish = it.tag + cost(&it.Job)
-	it.key = it.tag - q.Boost*float64(urgency(&it.Job))
-	if b.queued == 0 {
-		b.virtual = max(b.virtual, q.virtual)
-		q.active = append(q.active, b)
+	it.seq, it.latestStart = q.seq, latestStart
+	cust := q.customer(it.Job.Customer)
+	c := cust.caller(it.Job.Caller)
+	it.customer, it.caller = cust, c
+	it.startTag = max(cust.callerTime, c.finishTag)
+	c.finishTag = it.startTag + tokenCost(&it.Job)
+	it.key = it.startTag - q.Boost*float64(urgency(&it.Job))
+	if cust.queued == 0 {
+		cust.virtualTime = max(cust.virtualTime, q.virtualTime)
+		q.active = append(q.active, cust)
 	}
 	if c.queued == 0 {
-		b.busy++
+		cust.waitingCallers++
 	}
-	b.count(it, 1)
+	cust.countQueued(it, 1)
 	q.count++
 	q.tokens += it.Job.Prompt + it.Job.Output
 	q.items[it.Job.ID] = it
-	q.limits.push(it)
-	q.join(it, ready)
+	q.expiry.push(it)
+	q.addToGroup(it, ready)
 }
 
 func urgency(job *magno.Job) int { return min(max(job.Urgency, 0), Urgencies-1) }
 
-func (b *customer) count(it *Item, sign int) {
-	b.queued += sign
-	b.tokens += sign * (it.Job.Prompt + it.Job.Output)
+func (cust *customer) countQueued(it *Item, sign int) {
+	cust.queued += sign
+	cust.tokens += sign * (it.Job.Prompt + it.Job.Output)
 	it.caller.queued += sign
 }
 
-// wait counts the place time of a job whose adapter is loaded; others take no
-// place before theirs is.
-func (b *customer) wait(it *Item, sign magno.Millis) {
+// countReady adds or, with sign -1, subtracts the place time of a job whose adapter
+// is loaded. Jobs whose adapter is not loaded cannot take a place yet.
+func (cust *customer) countReady(it *Item, sign magno.Millis) {
 	run := sign * it.Run
-	b.run[urgency(&it.Job)] += run
-	b.total += run
-	it.caller.run += run
+	cust.readyRun[urgency(&it.Job)] += run
+	cust.readyTotal += run
+	it.caller.readyRun += run
 }
 
 func (q *Queue) customer(name string) *customer {
-	if b := q.customers[name]; b != nil {
-		return b
+	if cust := q.customers[name]; cust != nil {
+		return cust
 	}
-	if len(q.customers) >= sweepAt {
-		for n, b := range q.customers {
-			if b.queued == 0 && b.virtual <= q.virtual {
+	if len(q.customers) >= sweepThreshold {
+		for n, cust := range q.customers {
+			if cust.queued == 0 && cust.virtualTime <= q.virtualTime {
 				delete(q.customers, n)
 			}
 		}
 	}
-	b := &customer{name: name, callers: map[string]*caller{}}
-	b.ready[0].which, b.ready[1].which = heapReady, heapReady
-	q.customers[name] = b
-	return b
+	cust := &customer{name: name, callers: map[string]*caller{}}
+	cust.ready[0].kind, cust.ready[1].kind = heapReady, heapReady
+	q.customers[name] = cust
+	return cust
 }
 
-// caller returns the state of one caller; those that are idle and not ahead of
-// the virtual time are as good as new and are dropped now and then.
-func (b *customer) caller(name string) *caller {
-	if c := b.callers[name]; c != nil {
+// caller returns the state of a caller. Idle callers whose finish tag is not ahead
+// of the virtual time have no state worth keeping and are removed now and then.
+func (cust *customer) caller(name string) *caller {
+	if c := cust.callers[name]; c != nil {
 		return c
 	}
-	if len(b.callers) >= sweepAt+2*b.busy {
-		for n, c := range b.callers {
-			if c.queued == 0 && c.finish <= b.clock {
-				delete(b.callers, n)
+	if len(cust.callers) >= sweepThreshold+2*cust.waitingCallers {
+		for n, c := range cust.callers {
+			if c.queued == 0 && c.finishTag <= cust.callerTime {
+				delete(cust.callers, n)
 			}
 		}
 	}
 	c := &caller{}
-	b.callers[name] = c
+	cust.callers[name] = c
 	return c
 }
 
-// Take removes and returns the job that is next among those whose adapter is
-// loaded, and charges it to its customer. Long jobs are passed over unless
-// long is true. It returns nil when there is none.
+// Take removes and returns the next job whose adapter is loaded, and charges it to
+// its customer. Long jobs are skipped unless long is true. It returns nil when
+// there is no such job.
 func (q *Queue) Take(long bool) *Item {
 	it := q.Peek(long)
 	if it == nil {
 		return nil
 	}
-	b := it.biz
-	q.virtual = max(q.virtual, b.virtual)
-	b.clock = max(b.clock, it.tag)
-	b.virtual += cost(&it.Job) / q.weight(b.name)
-	q.started(b, it.Run)
+	cust := it.customer
+	q.virtualTime = max(q.virtualTime, cust.virtualTime)
+	cust.callerTime = max(cust.callerTime, it.startTag)
+	cust.virtualTime += tokenCost(&it.Job) / q.weight(cust.name)
+	q.recordStart(cust, it.Run)
 	q.Remove(it.Job.ID)
 	return it
 }
 
-// Peek returns what Take would.
+// Peek returns the job that Take would return, and leaves it queued.
 func (q *Queue) Peek(long bool) *Item {
 	var best *Item
-	for _, b := range q.active {
-		it := b.top(long)
-		if it != nil && (best == nil || b.virtual < best.biz.virtual) {
+	for _, cust := range q.active {
+		it := cust.top(long)
+		if it != nil && (best == nil || cust.virtualTime < best.customer.virtualTime) {
 			best = it
 		}
 	}
 	return best
 }
 
-func (b *customer) top(long bool) *Item {
-	short := b.ready[0].top()
+func (cust *customer) top(long bool) *Item {
+	short := cust.ready[0].top()
 	if !long {
 		return short
 	}
-	other := b.ready[1].top()
+	other := cust.ready[1].top()
 	if short == nil || (other != nil && other.key < short.key) {
 		return other
 	}
 	return short
 }
 
-// Settle corrects a customer's account by the tokens that a job took more, or
-// with a negative n less, than was charged.
+// Settle corrects a customer's charge by n, the tokens that a job used beyond what
+// Take charged; n is negative when it used fewer.
 func (q *Queue) Settle(name string, n int) {
-	if b := q.customers[name]; b != nil {
-		b.virtual += float64(n) / q.weight(name)
+	if cust := q.customers[name]; cust != nil {
+		cust.virtualTime += float64(n) / q.weight(name)
 	}
 }
 
-// Remove takes a queued job out; nil means that it isn't queued.
+// Remove removes and returns a queued job, or nil if it is not queued.
 func (q *Queue) Remove(id string) *Item {
 	it := q.items[id]
 	if it == nil {
 		return nil
 	}
 	delete(q.items, id)
-	q.limits.remove(it)
-	q.leave(it)
-	b := it.biz
-	b.count(it, -1)
+	q.expiry.remove(it)
+	q.removeFromGroup(it)
+	cust := it.customer
+	cust.countQueued(it, -1)
 	q.count--
 	q.tokens -= it.Job.Prompt + it.Job.Output
 	if it.caller.queued == 0 {
-		b.busy--
+		cust.waitingCallers--
 	}
-	if b.queued == 0 {
-		q.deactivate(b)
+	if cust.queued == 0 {
+		q.deactivate(cust)
 	}
 	return it
 }
 
-func (q *Queue) deactivate(b *customer) {
+func (q *Queue) deactivate(cust *customer) {
 	for i, a := range q.active {
-		if a == b {
+		if a == cust {
 			q.active = append(q.active[:i], q.active[i+1:]...)
 			return
 		}
 	}
 }
 
-// Expired returns a job whose limit has passed, still queued, or nil.
+// Expired returns a queued job whose latest start has passed, or nil. The job stays
+// queued.
 func (q *Queue) Expired(now magno.Millis) *Item {
-	if it := q.limits.top(); it != nil && it.limit < now {
+	if it := q.expiry.top(); it != nil && it.latestStart < now {
 		return it
 	}
 	return nil
 }
 
-// Len is the number of queued jobs, Tokens their tokens.
+// Len returns the number of queued jobs.
 func (q *Queue) Len() int { return q.count }
 
-// Tokens is the number of queued tokens.
+// Tokens returns the number of queued tokens, prompts and expected output.
 func (q *Queue) Tokens() int { return q.tokens }
 
-// Ready is the place time of queued jobs whose adapter is loaded.
-func (q *Queue) Ready() magno.Millis { return q.ready }
+// ReadyRun returns the total place time of queued jobs whose adapter is loaded.
+func (q *Queue) ReadyRun() magno.Millis { return q.readyRun }
 
-// ReadyJobs counts them.
+// ReadyJobs returns the number of queued jobs whose adapter is loaded.
 func (q *Queue) ReadyJobs() int { return q.readyJobs }
 
-// Customers maps each customer to its queued tokens.
+// Customers maps each customer with queued jobs to its queued tokens.
 func (q *Queue) Customers() map[string]int {
 	tokens := make(map[string]int, len(q.active))
-	for _, b := range q.active {
-		tokens[b.name] = b.tokens
+	for _, cust := range q.active {
+		tokens[cust.name] = cust.tokens
 	}
 	return tokens
 }
 
-// Has tells whether the job is queued.
+// Has reports whether the job is queued.
 func (q *Queue) Has(id string) bool { return q.items[id] != nil }
--- a/magno/share/share_test.go
+++ b/magno/share/share_test.go
@@ -14,7 +14,7 @@
 		Caller: caller, Urgency: urgency, Output: tokens}}
 }
 
-// fill queues n jobs of one caller.
+// fill queues n jobs of one caller, all with a loaded adapter.
 func fill(q *Queue, customer, caller string, urgency, n, tokens int) {
 	for i := range n {
 		id := fmt.Sprintf("%s/%s/%d/%d", customer, caller, urgency, i)
@@ -22,9 +22,9 @@
 	}
 }
 
-// Two customers always have work queued, of whatever sizes. If one got more
-// than its weight by more than a job, the other's callers would wait for
-// nothing of their own.
+// Two customers always have jobs of random sizes queued. The service that each
+// received, divided by its weight, must not differ by more than one job of each;
+// otherwise one customer's callers would wait for the other's work.
 func TestSharesFollowWeights(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		weights := map[string]float64{"a": rapid.Float64Range(0.5, 5).Draw(t, "wa"), "b": 1}
@@ -49,14 +49,14 @@
 			add(name)
 			bound := largest/weights["a"] + largest/weights["b"]
 			if d := got["a"] - got["b"]; d > bound || d < -bound {
-				t.Fatalf("services by weight %v differ by more than %v", got, bound)
+				t.Fatalf("service divided by weight %v differs by more than %v", got, bound)
 			}
 		}
 	})
 }
 
-// One caller sends ten times what the other does. The other's job waits for
-// one of the first's at most, not for all ten.
+// One caller has a long backlog of jobs. A job of another caller of the same
+// customer must start after at most two of them, not after the whole backlog.
 func TestHotCallerWaitsForItself(t *testing.T) {
 	q := New(nil, DefaultBoost)
 	fill(q, "a", "hot", 5, 100, 100)
@@ -69,13 +69,13 @@
 			return
 		}
 		if i == 2 {
-			t.Fatal("the calm caller's job is behind the hot one's")
+			t.Fatal("the second caller's job did not start within three jobs")
 		}
 	}
 }
 
-// Urgent work goes on coming for as long as anybody looks. A job of the least
-// urgency must still get its turn, after a bounded amount of it.
+// Urgent jobs keep arriving. A job of the lowest urgency must still start, after a
+// bounded number of them.
 func TestUrgencyStarvesNobody(t *testing.T) {
 	q := New(nil, DefaultBoost)
 	q.Add(item("low", "a", "x", 0, 100), true, 1<<40)
@@ -84,16 +84,17 @@
 		q.Add(item(fmt.Sprint(i), "a", "y", 9, 100), true, 1<<40)
 		if q.Take(true).Job.ID == "low" {
 			if i < bound/2 {
-				t.Fatalf("urgency passed only %d jobs", i)
+				t.Fatalf("only %d urgent jobs started before the least urgent one", i)
 			}
 			return
 		}
 	}
-	t.Fatalf("not served after %d urgent jobs", bound+2)
+	t.Fatalf("not started after %d urgent jobs", bound+2)
 }
 
-// Any order of arrivals, loads, evictions, cancels and starts. A count that
-// drifts would make every later refusal and reported wait wrong.
+// Arrivals, loads, evictions, cancellations and starts happen in any order, and the
+// queue's counts must match a plain map of the jobs. A count that drifts would
+// make every later refusal and reported wait wrong.
 func TestCountsFollowAPlainList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := New(nil, DefaultBoost)
@@ -115,7 +116,7 @@
 			"remove": func(t *rapid.T) {
 				id := fmt.Sprint(rapid.IntRange(1, n+1).Draw(t, "id"))
 				if (q.Remove(id) != nil) != (jobs[id] != nil) {
-					t.Fatalf("remove of %s", id)
+					t.Fatalf("Remove(%s) disagrees with the reference map", id)
 				}
 				delete(jobs, id)
 			},
@@ -123,11 +124,11 @@
 				long := rapid.Bool().Draw(t, "long")
 				it := q.Take(long)
 				if it != nil && (!loaded[it.Job.Ref] || (it.Long && !long) || jobs[it.Job.ID] != it) {
-					t.Fatalf("took %+v", it)
+					t.Fatalf("Take returned %+v, which must not start", it)
 				}
 				for _, other := range jobs {
 					if it == nil && loaded[other.Job.Ref] && (long || !other.Long) {
-						t.Fatalf("took nothing beside %+v", other)
+						t.Fatalf("Take returned nothing although %+v is ready", other)
 					}
 				}
 				if it != nil {
@@ -138,9 +139,9 @@
 				ref := rapid.SampledFrom(refs[1:]).Draw(t, "ref")
 				loaded[ref] = !loaded[ref]
 				if loaded[ref] {
-					q.Wake(ref)
+					q.MarkReady(ref)
 				} else {
-					q.Sleep(ref)
+					q.MarkUnready(ref)
 				}
 			},
 			"": func(t *rapid.T) { compare(t, q, jobs, loaded) },
@@ -159,12 +160,12 @@
 			unready[it.Job.Ref] = true
 		}
 	}
-	if q.Len() != len(jobs) || q.Tokens() != tokens || q.Ready() != ready || q.Unready() != len(unready) {
-		t.Fatalf("counts %d %d %d %d, want %d %d %d %d", q.Len(), q.Tokens(), q.Ready(), q.Unready(),
+	if q.Len() != len(jobs) || q.Tokens() != tokens || q.ReadyRun() != ready || q.Unready() != len(unready) {
+		t.Fatalf("Len, Tokens, ReadyRun and Unready are %d %d %d %d, want %d %d %d %d", q.Len(), q.Tokens(), q.ReadyRun(), q.Unready(),
 			len(jobs), tokens, ready, len(unready))
 	}
-	_, found := q.Worst(1000, func(magno.Ref) bool { return true })
+	_, found := q.MostHarmful(1000, func(magno.Ref) bool { return true })
 	if found != (len(unready) > 0) {
-		t.Fatalf("worst wait %v, %d adapters wait", found, len(unready))
+		t.Fatalf("MostHarmful found a pending load: %v; %d adapters are not loaded", found, len(unready))
 	}
 }
