--- a/magno/batch/batch_test.go
+++ b/magno/batch/batch_test.go
@@ -6,8 +6,8 @@
 	"magnoliastall.example/magno"
 )
 
-// Work comes one by one to an idle engine. A profile that prefers full batches
-// waits for company, but not for long; one that doesn't starts at once.
+// Jobs arrive one by one at an idle engine. A profile with a low Stall waits for a
+// fuller batch, for a limited time; one with a Stall of 1 starts at once.
 func TestStarts(t *testing.T) {
 	tests := []struct {
 		name   string
@@ -24,36 +24,36 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			f := &Former{Batch: 8, Fill: 1, Hold: 1000, Long: DefaultLong}
+			f := &Batcher{Batch: 8, Fill: 1, Hold: 1000, LongShare: DefaultLongShare}
 			job := &magno.Job{Stall: tt.stall, Arrived: 5000, Deadline: 65000}
-			if got := f.Starts(5000+tt.waited, job, tt.ready); got != tt.want {
+			if got := f.ShouldStart(5000+tt.waited, job, tt.ready); got != tt.want {
 				t.Fatalf("got %v", got)
 			}
 		})
 	}
 }
 
-// A batch has begun. Jobs join it until the engine has no prompt left.
+// While a batch runs, jobs join it until the engine has no prompt left to read.
 func TestJoinsUntilPromptsEnd(t *testing.T) {
-	f := &Former{Batch: 8, Fill: 1, Hold: 1000, Long: DefaultLong}
+	f := &Batcher{Batch: 8, Fill: 1, Hold: 1000, LongShare: DefaultLongShare}
 	job := &magno.Job{Arrived: 5000, Deadline: 65000}
-	f.Starts(5000, job, 8)
-	f.Empty(1)
-	if !f.Starts(5000, job, 1) {
-		t.Fatal("held back while a prompt is read")
+	f.ShouldStart(5000, job, 8)
+	f.NoneReady(1)
+	if !f.ShouldStart(5000, job, 1) {
+		t.Fatal("job is held back while the engine reads a prompt")
 	}
-	f.Empty(0)
-	if f.Starts(5000, job, 1) {
-		t.Fatal("joined an engine that runs out")
+	f.NoneReady(0)
+	if f.ShouldStart(5000, job, 1) {
+		t.Fatal("job joined although no prompt is being read")
 	}
 }
 
 func TestTakesLong(t *testing.T) {
-	f := &Former{Batch: 8, Long: 0.75}
-	if !f.TakesLong(5) || f.TakesLong(6) {
-		t.Fatal("long jobs may hold 6 of 8 places")
+	f := &Batcher{Batch: 8, LongShare: 0.75}
+	if !f.AdmitsLong(5) || f.AdmitsLong(6) {
+		t.Fatal("long jobs may not occupy exactly 6 of 8 places")
 	}
-	if one := (&Former{Batch: 1, Long: 0.75}); !one.TakesLong(0) {
-		t.Fatal("an engine of one place runs no long job")
+	if one := (&Batcher{Batch: 1, LongShare: 0.75}); !one.AdmitsLong(0) {
+		t.Fatal("an engine with one place admits no long job")
 	}
 }
--- a/magno/sched/bench_test.go
+++ b/magno/sched/bench_test.go
@@ -7,32 +7,32 @@
 	"magnoliastall.example/magno"
 )
 
-// BenchmarkDecide measures the life of one job: Offer, Next and Done, on an
-// upstream that has seen requests for that many adapters. In the case "full"
-// three jobs of four come too many and the queue stands at its bound.
+// BenchmarkDecide measures Offer, Next and Done for one job, on an upstream that has
+// had requests for the given number of adapters. In the cases with full=true, four
+// jobs are offered for each that ends, and the queue stays at its bound.
 func BenchmarkDecide(b *testing.B) {
 	for _, tt := range []struct{ adapters, every int }{{3000, 1}, {130000, 1}, {3000, 4}, {130000, 4}} {
 		name := fmt.Sprintf("adapters=%d/full=%v", tt.adapters, tt.every > 1)
 		b.Run(name, func(b *testing.B) {
-			d := newDesk(tt.adapters)
-			d.every = tt.every
+			d := newBenchDriver(tt.adapters)
+			d.offersPerDone = tt.every
 			for range 5000 {
-				d.job()
+				d.cycle()
 			}
 			b.ReportAllocs()
 			b.ResetTimer()
 			for range b.N {
-				d.job()
+				d.cycle()
 			}
 			b.ReportMetric(float64(d.s.queue.Len()), "queued")
 		})
 	}
 }
 
-// BenchmarkCold measures offers that are each for another adapter while no
-// load ends: the most adapters that can be waited for are.
+// BenchmarkCold measures offers that each need another adapter while no load ends,
+// so that as many loads are pending as admission allows.
 func BenchmarkCold(b *testing.B) {
-	d := newDesk(130000)
+	d := newBenchDriver(130000)
 	offer := func() {
 		d.n++
 		d.clock.Advance(1)
@@ -52,12 +52,12 @@
 	b.ReportMetric(float64(d.s.queue.Unready()), "wanted")
 }
 
-// BenchmarkBacklog measures the report that rides on each answer.
+// BenchmarkBacklog measures the report that is sent with each answer.
 func BenchmarkBacklog(b *testing.B) {
-	d := newDesk(3000)
-	d.every = 1
+	d := newBenchDriver(3000)
+	d.offersPerDone = 1
 	for range 5000 {
-		d.job()
+		d.cycle()
 	}
 	b.ReportAllocs()
 	for b.Loop() {
@@ -65,21 +65,21 @@
 	}
 }
 
-// desk sends jobs to a scheduler and ends them in order.
-type desk struct {
+// benchDriver offers jobs to a scheduler and ends the started ones in order.
+type benchDriver struct {
 	clock   *magno.Clock
 	s       *Sched
 	refs    []magno.Ref
 	ids     []string
 	running []string
 	n       int
-	// every is how many jobs are offered for each that ends.
-	every int
+	// offersPerDone is the number of jobs offered for each one that ends.
+	offersPerDone int
 }
 
-func newDesk(adapters int) *desk {
+func newBenchDriver(adapters int) *benchDriver {
 	clock := magno.NewClock(1_000_000)
-	d := &desk{clock: clock, s: &Sched{Clock: clock,
+	d := &benchDriver{clock: clock, s: &Sched{Clock: clock,
 		Limits: magno.Limits{Slots: 8, Batch: 16, Tokens: 64, Step: 10, Load: 300}}}
 	d.refs = make([]magno.Ref, adapters)
 	for i := range d.refs {
@@ -92,9 +92,9 @@
 	return d
 }
 
-// job offers one job, half of them for eight adapters and half for any, and
-// carries out what the scheduler wants.
-func (d *desk) job() {
+// cycle offers one job and carries out the scheduler's orders. Half of the jobs use
+// one of eight adapters, the other half any adapter.
+func (d *benchDriver) cycle() {
 	d.n++
 	d.clock.Advance(1)
 	ref := d.refs[d.n%8]
@@ -114,7 +114,7 @@
 			d.s.Unloaded(o.Ref)
 		}
 	}
-	if d.n%d.every == 0 && len(d.running) > 8 {
+	if d.n%d.offersPerDone == 0 && len(d.running) > 8 {
 		d.s.Done(d.running[0], true)
 		d.running = d.running[1:]
 	}
--- a/magno/sched/help_test.go
+++ b/magno/sched/help_test.go
@@ -12,8 +12,8 @@
 	return slices.Sorted(maps.Keys(m))
 }
 
-// TestMain fixes the seed, so that every run gives the same verdict; other
-// seeds are tried with -rapid.seed and -rapid.checks.
+// TestMain fixes the seed so that every run gives the same result. Use -rapid.seed
+// and -rapid.checks to try other seeds.
 func TestMain(m *testing.M) {
 	_ = flag.Set("rapid.seed", "1")
 	_ = flag.Set("rapid.nofailfile", "true")
--- a/magno/sched/load_test.go
+++ b/magno/sched/load_test.go
@@ -11,30 +11,30 @@
 
 const (
 	testStep = 10 * magno.Millis(1)
-	// capacity is how many jobs of a second each the test engine ends in a
-	// second.
+	// capacity is the number of jobs per second, of one second each, that the test
+	// engine can complete.
 	capacity = 8
 )
 
-// engine is one upstream under a scheduler: places that make a token a step,
-// and loads that take their time. It keeps what each caller received.
+// engine simulates one upstream under a scheduler. Each running job generates one
+// token per step, and a load takes 300 ms. It records the results by caller.
 type engine struct {
-	clock   *magno.Clock
-	s       *Sched
-	rand    *rand.Rand
-	factor  int
-	running []*testRun
-	load    magno.Ref
-	loadEnd magno.Millis
-	loads   map[magno.Ref]int
-	n       int
-	// took holds the times of answers within their deadline by caller, late
-	// counts admitted jobs that missed it, refused those never admitted.
-	took    map[string][]magno.Millis
-	offered map[string]int
-	late    int
-	lateOf  map[string]int
-	refused map[magno.Kind]int
+	clock      *magno.Clock
+	s          *Sched
+	rand       *rand.Rand
+	stepFactor int
+	running    []*testRun
+	load       magno.Ref
+	loadEnd    magno.Millis
+	loads      map[magno.Ref]int
+	n          int
+	// latencies holds the latencies of answers within their deadline by caller, late
+	// counts admitted jobs that missed it, and refused those that were not admitted.
+	latencies    map[string][]magno.Millis
+	offered      map[string]int
+	late         int
+	lateByCaller map[string]int
+	refused      map[magno.Kind]int
 }
 
 type testRun struct {
@@ -44,14 +44,14 @@
 
 func newEngine(slots int) *engine {
 	clock := magno.NewClock(1_000_000)
-	return &engine{clock: clock, rand: rand.New(rand.NewPCG(1, 1)), factor: 1,
+	return &engine{clock: clock, rand: rand.New(rand.NewPCG(1, 1)), stepFactor: 1,
 		s: &Sched{Clock: clock, Limits: magno.Limits{
 			Slots: slots, Batch: capacity, Tokens: 64, Step: testStep, Load: 300}},
-		loads: map[magno.Ref]int{}, took: map[string][]magno.Millis{},
-		offered: map[string]int{}, lateOf: map[string]int{}, refused: map[magno.Kind]int{}}
+		loads: map[magno.Ref]int{}, latencies: map[string][]magno.Millis{},
+		offered: map[string]int{}, lateByCaller: map[string]int{}, refused: map[magno.Kind]int{}}
 }
 
-// job is a second of work of one caller.
+// job returns a job of one caller that runs for a second.
 func job(caller string, adapter int) magno.Job {
 	return magno.Job{Customer: "b", Caller: caller, Output: 99, Stall: 0.5,
 		Ref: magno.Ref{Adapter: fmt.Sprintf("ad%d", adapter), Version: "1"}}
@@ -68,17 +68,17 @@
 	}
 }
 
-// play runs for that long; arrive is called before each step.
-func (e *engine) play(length magno.Millis, arrive func()) {
+// simulate runs the engine for length and calls arrive before each step.
+func (e *engine) simulate(length magno.Millis, arrive func()) {
 	for end := e.clock.Now() + length; e.clock.Now() < end; {
 		arrive()
-		e.carryOut()
-		e.clock.Advance(testStep * magno.Millis(e.factor))
+		e.applyOrders()
+		e.clock.Advance(testStep * magno.Millis(e.stepFactor))
 		e.step()
 	}
 }
 
-func (e *engine) carryOut() {
+func (e *engine) applyOrders() {
 	for _, o := range e.s.Next() {
 		switch o.Kind {
 		case magno.OrderStart:
@@ -90,7 +90,7 @@
 			e.s.Unloaded(o.Ref)
 		case magno.OrderRefuse:
 			e.late++
-			e.lateOf[o.Job.Caller]++
+			e.lateByCaller[o.Job.Caller]++
 		}
 	}
 }
@@ -103,7 +103,7 @@
 	}
 	e.running = slices.DeleteFunc(e.running, func(r *testRun) bool {
 		r.left--
-		if r.left < r.job.Output { // the first step read the prompt
+		if r.left < r.job.Output { // the first step reads the prompt
 			e.s.Tokens(r.job.ID, 1)
 		}
 		if r.left > 0 {
@@ -112,28 +112,29 @@
 		e.s.Done(r.job.ID, true)
 		if now > r.job.Deadline {
 			e.late++
-			e.lateOf[r.job.Caller]++
+			e.lateByCaller[r.job.Caller]++
 		} else {
-			e.took[r.job.Caller] = append(e.took[r.job.Caller], now-r.job.Arrived)
+			e.latencies[r.job.Caller] = append(e.latencies[r.job.Caller], now-r.job.Arrived)
 		}
 		return true
 	})
 }
 
-// poisson calls arrive at rate a second on the average.
+// poisson returns a function, to be called before each step, that calls arrive at
+// random, rate times per second on average.
 func (e *engine) poisson(rate float64, arrive func()) func() {
 	return func() {
 		for range 3 {
-			if e.rand.Float64() < rate/3*float64(testStep)*float64(e.factor)/1000 {
+			if e.rand.Float64() < rate/3*float64(testStep)*float64(e.stepFactor)/1000 {
 				arrive()
 			}
 		}
 	}
 }
 
-func (e *engine) good() int {
+func (e *engine) inTime() int {
 	n := 0
-	for _, took := range e.took {
+	for _, took := range e.latencies {
 		n += len(took)
 	}
 	return n
@@ -144,49 +145,51 @@
 	return took[len(took)*95/100]
 }
 
-// Three times as much work comes as the engine can do, for five minutes.
-// Callers must be told at once, and those who were not must get their answers
-// in time, as many as when just enough work comes.
+// Jobs arrive at three times the engine's capacity for five minutes. The excess must
+// be refused on arrival: nearly as many jobs must end in time as at capacity, and
+// at most one in a hundred admitted jobs may be late.
 func TestOverload(t *testing.T) {
 	run := func(rate float64) *engine {
 		e := newEngine(8)
-		e.play(5*magno.Minute, e.poisson(rate, func() {
+		e.simulate(5*magno.Minute, e.poisson(rate, func() {
 			e.offer(job(fmt.Sprint(e.rand.IntN(20)), e.rand.IntN(6)), 10*magno.Second)
 		}))
 		return e
 	}
 	full, over := run(capacity), run(3*capacity)
-	if over.good()*100 < full.good()*95 {
-		t.Errorf("%d answers in time under overload, %d at capacity", over.good(), full.good())
+	if over.inTime()*100 < full.inTime()*95 {
+		t.Errorf("%d answers in time at three times the capacity, %d at capacity", over.inTime(), full.inTime())
 	}
-	if admitted := over.good() + over.late; over.late*100 > admitted {
-		t.Errorf("%d of %d admitted were late", over.late, admitted)
+	if admitted := over.inTime() + over.late; over.late*100 > admitted {
+		t.Errorf("%d of %d admitted jobs were late", over.late, admitted)
 	}
 }
 
-// A burst of three times the rate comes for five seconds of each minute. Only
-// what can't be done in time may be refused, and nobody may be late.
+// For five seconds of each minute jobs arrive at twice the engine's capacity, and
+// otherwise below it. All can end in time, so none may be refused and at most one in
+// a hundred may be late.
 func TestBurst(t *testing.T) {
 	e := newEngine(8)
 	offer := func() { e.offer(job(fmt.Sprint(e.rand.IntN(20)), e.rand.IntN(6)), 20*magno.Second) }
 	for range 5 {
-		e.play(5*magno.Second, e.poisson(2*capacity, offer))
-		e.play(55*magno.Second, e.poisson(0.6*capacity, offer))
+		e.simulate(5*magno.Second, e.poisson(2*capacity, offer))
+		e.simulate(55*magno.Second, e.poisson(0.6*capacity, offer))
 	}
-	if e.late*100 > e.good() || len(e.refused) > 0 {
-		t.Errorf("%d in time, %d late, refused %v", e.good(), e.late, e.refused)
+	if e.late*100 > e.inTime() || len(e.refused) > 0 {
+		t.Errorf("%d in time, %d late, refused %v", e.inTime(), e.late, e.refused)
 	}
 }
 
-// One caller begins to send ten times its share. The others must hardly
-// notice, and refusals must say whose fault it is.
+// One caller sends ten times as much as each of the others. The others' answers and
+// latencies must hardly change, and the hot caller must get refusals of the kind
+// for callers over their share.
 func TestHotCaller(t *testing.T) {
 	run := func(hot float64) (e *engine, others []magno.Millis, offered int) {
 		e = newEngine(8)
-		calm := e.poisson(0.7*capacity, func() { e.offer(job(fmt.Sprint(e.rand.IntN(10)), e.rand.IntN(6)), 10*magno.Second) })
-		heat := e.poisson(hot, func() { e.offer(job("hot", e.rand.IntN(6)), 10*magno.Second) })
-		e.play(5*magno.Minute, func() { calm(); heat() })
-		for caller, took := range e.took {
+		normal := e.poisson(0.7*capacity, func() { e.offer(job(fmt.Sprint(e.rand.IntN(10)), e.rand.IntN(6)), 10*magno.Second) })
+		excess := e.poisson(hot, func() { e.offer(job("hot", e.rand.IntN(6)), 10*magno.Second) })
+		e.simulate(5*magno.Minute, func() { normal(); excess() })
+		for caller, took := range e.latencies {
 			if caller != "hot" {
 				others = append(others, took...)
 				offered += e.offered[caller]
@@ -197,19 +200,19 @@
 	_, before, _ := run(0)
 	e, after, offered := run(0.7 * capacity)
 	if len(after)*100 < offered*97 {
-		t.Errorf("the others got %d answers to %d requests", len(after), offered)
+		t.Errorf("the other callers got %d answers to %d requests", len(after), offered)
 	}
-	if e.refused[magno.KindShare] == 0 || len(e.took["hot"]) == 0 {
-		t.Errorf("hot caller: %d answers, refused %v", len(e.took["hot"]), e.refused)
+	if e.refused[magno.KindShare] == 0 || len(e.latencies["hot"]) == 0 {
+		t.Errorf("hot caller: %d answers, refused %v", len(e.latencies["hot"]), e.refused)
 	}
 	if a, b := p95(after), p95(before); a > b+magno.Second {
-		t.Errorf("p95 of the others went from %d to %d ms", b, a)
+		t.Errorf("p95 latency of the other callers went from %d to %d ms", b, a)
 	}
 }
 
-// Timetable drafts of twenty times the length come among advisor questions
-// and would fill the batch. Questions must not wait for a draft to end, and
-// drafts must be served as well.
+// Jobs of twenty times the usual length arrive among short ones and could occupy the
+// whole batch. Short jobs must not wait for a long one to end, and long jobs must
+// still be served.
 func TestLongAmongShort(t *testing.T) {
 	e := newEngine(8)
 	short := e.poisson(2, func() { e.offer(job("short", e.rand.IntN(4)), 10*magno.Second) })
@@ -218,67 +221,68 @@
 		j.Output *= 20
 		e.offer(j, 3*magno.Minute)
 	})
-	e.play(10*magno.Minute, func() { short(); long() })
-	if got := p95(e.took["short"]); got > 4*magno.Second {
-		t.Errorf("p95 of short jobs is %d ms, a long one runs 20000", got)
+	e.simulate(10*magno.Minute, func() { short(); long() })
+	if got := p95(e.latencies["short"]); got > 4*magno.Second {
+		t.Errorf("p95 latency of short jobs is %d ms; a long job runs for 20000 ms", got)
 	}
-	if len(e.took["long"]) < 100 {
-		t.Errorf("%d long jobs served, refused %v, late %d", len(e.took["long"]), e.refused, e.late)
+	if len(e.latencies["long"]) < 100 {
+		t.Errorf("%d long jobs served, refused %v, late %d", len(e.latencies["long"]), e.refused, e.late)
 	}
 }
 
-// A step begins to take four times as long, and the engine doesn't say so.
-// Admission must learn it from the runs, or all admitted jobs would be late.
+// Steps become four times as long, and the limits that the engine reports do not
+// change. Admission must adapt to the observed run times; otherwise all admitted
+// jobs would be late.
 func TestSlowEngine(t *testing.T) {
 	e := newEngine(8)
 	offer := func() { e.offer(job(fmt.Sprint(e.rand.IntN(20)), e.rand.IntN(6)), 20*magno.Second) }
-	e.play(magno.Minute, e.poisson(0.8*capacity, offer))
-	e.factor = 4
-	e.play(30*magno.Second, e.poisson(0.8*capacity, offer))
-	good, late := e.good(), e.late
-	e.play(5*magno.Minute, e.poisson(0.8*capacity, offer))
-	good, late = e.good()-good, e.late-late
+	e.simulate(magno.Minute, e.poisson(0.8*capacity, offer))
+	e.stepFactor = 4
+	e.simulate(30*magno.Second, e.poisson(0.8*capacity, offer))
+	good, late := e.inTime(), e.late
+	e.simulate(5*magno.Minute, e.poisson(0.8*capacity, offer))
+	good, late = e.inTime()-good, e.late-late
 	if late*20 > good || good < 300 {
-		t.Errorf("once it is slow: %d in time, %d late, refused %v", good, late, e.refused)
+		t.Errorf("with slow steps: %d in time, %d late, refused %v", good, late, e.refused)
 	}
 }
 
-// As many adapters as there are slots have twice as many jobs as the engine
-// can do, and now and then a job for another adapter comes. Most of these must
-// be served and the rest refused at once, or a popular customer would shut out
-// all others.
+// Two adapters, as many as there are slots, have jobs at twice the engine's capacity,
+// and now and then a job arrives for a third adapter. Most of the latter must be
+// served and the rest refused on arrival; otherwise the adapters in demand would
+// keep all others out.
 func TestColdAdapterAmongHotOnes(t *testing.T) {
 	e := newEngine(2)
 	hot := e.poisson(2*capacity, func() { e.offer(job(fmt.Sprint(e.rand.IntN(9)), e.rand.IntN(2)), 10*magno.Second) })
-	e.play(20*magno.Second, hot)
+	e.simulate(20*magno.Second, hot)
 	for range 10 {
 		e.offer(job("cold", 7), 30*magno.Second)
-		e.play(30*magno.Second, hot)
+		e.simulate(30*magno.Second, hot)
 	}
-	if got := len(e.took["cold"]); got < 6 {
-		t.Errorf("%d of 10 jobs of the cold adapter were served in time, refused %v", got, e.refused)
+	if got := len(e.latencies["cold"]); got < 6 {
+		t.Errorf("%d of 10 jobs of the third adapter ended in time, refused %v", got, e.refused)
 	}
-	if n := e.lateOf["cold"]; n > 0 {
-		t.Errorf("%d jobs of the cold adapter were late", n)
+	if n := e.lateByCaller["cold"]; n > 0 {
+		t.Errorf("%d jobs of the third adapter were late", n)
 	}
 }
 
-// An adapter that was cold becomes the hottest. It may be thrown out again
-// while its demand is still under that of the others, for some seconds; then it
-// must stay, and its jobs must not wait for more than a load and a place.
+// An adapter without earlier demand becomes the one with the most. It may be evicted
+// during the first seconds, while its recorded demand is below the others'. After
+// that it must stay loaded, and its jobs must wait at most for a load and a place.
 func TestHotKey(t *testing.T) {
 	e := newEngine(4)
 	tail := e.poisson(0.4*capacity, func() { e.offer(job("tail", e.rand.IntN(12)), 20*magno.Second) })
-	e.play(magno.Minute, tail)
+	e.simulate(magno.Minute, tail)
 	key := e.poisson(0.4*capacity, func() { e.offer(job("key", 99), 20*magno.Second) })
 	hot := magno.Ref{Adapter: "ad99", Version: "1"}
-	e.play(15*magno.Second, func() { tail(); key() })
+	e.simulate(15*magno.Second, func() { tail(); key() })
 	before := e.loads[hot]
-	e.play(2*magno.Minute, func() { tail(); key() })
+	e.simulate(2*magno.Minute, func() { tail(); key() })
 	if n := e.loads[hot]; n != before || n > 4 {
-		t.Errorf("the hot key was loaded %d times, %d of them early on", n, before)
+		t.Errorf("the hot adapter was loaded %d times, %d of them in the first 15 s", n, before)
 	}
-	if got := p95(e.took["key"]); got > 3*magno.Second {
-		t.Errorf("p95 of the hot key's jobs is %d ms", got)
+	if got := p95(e.latencies["key"]); got > 3*magno.Second {
+		t.Errorf("p95 latency of the hot adapter's jobs is %d ms", got)
 	}
 }
--- a/magno/sched/loads.go
+++ b/magno/sched/loads.go
@@ -7,15 +7,15 @@
 	"magnoliastall.example/magno/share"
 )
 
-// reloads is what an eviction costs jobs that are queued for the adapter, in
-// loads: their own, and the wait for a turn.
-const reloads = 4
+// evictionLoads is the delay that an eviction causes to jobs queued for the evicted
+// adapter, in load times: the adapter's next load and the wait for a turn.
+const evictionLoads = 4
 
-// loads orders the load whose wait does most harm, or the eviction that makes
-// room for it. One load or eviction is in flight at a time: a second would
-// share the weight store's speed with the first and delay it.
-func (s *Sched) loads(orders []magno.Order, now magno.Millis) []magno.Order {
-	want, ok := s.worst(now)
+// orderLoad orders the pending load with the most harm, or the eviction that makes
+// room for it. Only one load or eviction is in progress at a time: a second load
+// would share the weight store's bandwidth with the first and delay it.
+func (s *Sched) orderLoad(orders []magno.Order, now magno.Millis) []magno.Order {
+	want, ok := s.mostHarmful(now)
 	if !ok {
 		s.undrain()
 		return orders
@@ -28,57 +28,59 @@
 		}
 		return orders
 	}
-	if s.Turns && now >= s.turn {
+	if s.Turns && now >= s.turnUntil {
 		return orders
 	}
 	if s.slots.Free() <= 0 {
-		s.room = ref
+		s.reservedFor = ref
 		s.slots.Evict(victim)
 		s.queue.MarkUnready(victim)
 		return append(orders, magno.Order{Kind: magno.OrderUnload, Ref: victim})
 	}
-	if s.queue.Queued(s.room) > 0 && s.slots.Usable(s.room, now) {
-		ref = s.room
+	if s.queue.Queued(s.reservedFor) > 0 && s.slots.Usable(s.reservedFor, now) {
+		ref = s.reservedFor
 	}
-	s.turn, s.room = 0, magno.Ref{}
+	s.turnUntil, s.reservedFor = 0, magno.Ref{}
 	s.slots.Begin(ref)
-	s.loadSince = now
+	s.loadStarted = now
 	s.gate.Begun(now, harm)
 	return append(orders, magno.Order{Kind: magno.OrderLoad, Ref: ref})
 }
 
-// worst returns the adapter whose wait for a load does most harm.
-func (s *Sched) worst(now magno.Millis) (share.PendingLoad, bool) {
+// mostHarmful returns the pending load with the most harm. It returns none while a
+// load or eviction is in progress.
+func (s *Sched) mostHarmful(now magno.Millis) (share.PendingLoad, bool) {
 	if s.slots.InFlight() > 0 || s.queue.Unready() == 0 || s.Limits.Slots <= 0 {
 		return share.PendingLoad{}, false
 	}
 	return s.queue.MostHarmful(now, func(ref magno.Ref) bool { return s.slots.Usable(ref, now) })
 }
 
-// victim returns what to evict for a wait that does harm. An adapter that
-// queued jobs wait for has to go only where that does less harm to them, or
-// once the wait has gone on for long. Without the latter, steady demand for as
-// many adapters as there are slots would keep every other one out for ever.
+// victim returns the adapter to evict for a pending load with the given harm. An
+// adapter with queued jobs is evicted only if that causes them less harm, or once
+// harm has reached the starvation threshold. Without the threshold, steady demand
+// for as many adapters as there are slots would keep all others out forever.
 func (s *Sched) victim(now magno.Millis, harm float64) (ref magno.Ref, free, found bool) {
-	if harm >= s.Tuning.Starve {
+	if harm >= s.Tuning.StarvationHarm {
 		harm = math.Inf(1)
 	}
-	reload := reloads * float64(s.Limits.Load)
+	reload := evictionLoads * float64(s.Limits.Load)
 	loss := func(held magno.Ref) float64 { return s.queue.HarmRate(held) * reload }
 	return s.slots.Victim(now, harm, loss)
 }
 
-// drain stops new jobs of an adapter in use once another one's jobs have
-// waited for long.
+// drain stops starting jobs of an adapter in use once the harm of another adapter's
+// pending load has reached the starvation threshold.
 func (s *Sched) drain(victim magno.Ref, harm float64) {
-	if harm < s.Tuning.Starve || s.slots.Draining() {
+	if harm < s.Tuning.StarvationHarm || s.slots.Draining() {
 		return
 	}
 	s.slots.Drain(victim)
 	s.queue.MarkUnready(victim)
 }
 
-// undrain takes jobs of a draining adapter again: nothing waits any more.
+// undrain lets jobs of the draining adapter start again when no other adapter's
+// jobs wait.
 func (s *Sched) undrain() {
 	if s.slots.InFlight() > 0 || s.queue.Unready() > 1 {
 		return
@@ -88,23 +90,23 @@
 	}
 }
 
-// Want tells the adapter whose wait for a load does most harm now, and the
-// harm; ok is false when no load is wanted or none could be begun. A turn that
-// can't be used would block the weight store for others until it expires.
+// Want returns the adapter whose pending load has the most harm now, and that harm.
+// ok is false when no load is wanted or none could begin: a turn that cannot be
+// used would block the weight store for others until it expires.
 func (s *Sched) Want() (ref magno.Ref, harm float64, ok bool) {
 	s.setup()
 	now := s.Clock.Now()
-	w, ok := s.worst(now)
+	w, ok := s.mostHarmful(now)
 	if ok && s.slots.Free() <= 0 {
 		_, ok, _ = s.victim(now, w.Harm)
 	}
 	return w.Ref, w.Harm, ok
 }
 
-// Turn allows one load to be ordered until then.
-func (s *Sched) Turn(until magno.Millis) { s.turn = until }
+// Turn allows one load to be ordered before until.
+func (s *Sched) Turn(until magno.Millis) { s.turnUntil = until }
 
-// Loaded ends an ordered load; ok is false when it failed.
+// Loaded reports the end of an ordered load; ok is false if it failed.
 func (s *Sched) Loaded(ref magno.Ref, ok bool) {
 	s.setup()
 	now := s.Clock.Now()
@@ -116,7 +118,7 @@
 	}
 }
 
-// Unloaded ends an ordered eviction.
+// Unloaded reports the end of an ordered eviction.
 func (s *Sched) Unloaded(ref magno.Ref) {
 	s.setup()
 	s.slots.Unloaded(ref)
--- a/magno/sched/machine_test.go
+++ b/magno/sched/machine_test.go
@@ -9,38 +9,38 @@
 	"magnoliastall.example/magno"
 )
 
-// machine drives a scheduler with any order of events and holds a simple
-// account of what the upstream has and does.
+// machine drives a scheduler with events in any order and keeps a simple model of the
+// upstream's state to compare with.
 type machine struct {
 	clock *magno.Clock
 	s     *Sched
-	// slots maps what the upstream holds to whether it is loaded by now.
+	// slots holds the adapters that occupy a slot; the value is true for loaded ones.
 	slots     map[magno.Ref]bool
 	loading   []magno.Ref
 	unloading []magno.Ref
 	queued    map[string]magno.Job
 	running   map[string]magno.Job
 	ended     map[string]string
-	// crashed holds the prints that ran at a restart, alone the jobs that
-	// were offered with one of them.
-	crashed map[uint64]bool
-	alone   map[string]bool
-	n       int
+	// crashed holds the fingerprints of jobs that ran at a restart, exclusive the IDs
+	// of jobs that were offered with one of them.
+	crashed   map[uint64]bool
+	exclusive map[string]bool
+	lastID    int
 }
 
 func newMachine(turns bool) *machine {
 	m := &machine{clock: magno.NewClock(1_000_000), slots: map[magno.Ref]bool{},
 		queued: map[string]magno.Job{}, running: map[string]magno.Job{}, ended: map[string]string{},
-		crashed: map[uint64]bool{}, alone: map[string]bool{}}
+		crashed: map[uint64]bool{}, exclusive: map[string]bool{}}
 	m.s = &Sched{Clock: m.clock, Turns: turns, Weights: map[string]float64{"a": 3},
 		Limits: magno.Limits{Slots: 2, Batch: 3, Tokens: 64, Step: 10, Load: 200}}
 	return m
 }
 
 func (m *machine) offer(t *rapid.T) {
-	m.n++
+	m.lastID++
 	job := magno.Job{
-		ID:       fmt.Sprintf("j%d", m.n),
+		ID:       fmt.Sprintf("j%d", m.lastID),
 		Customer: rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "customer"),
 		Caller:   rapid.SampledFrom([]string{"x", "y"}).Draw(t, "caller"),
 		Urgency:  rapid.IntRange(0, 9).Draw(t, "urgency"),
@@ -56,28 +56,28 @@
 		job.Ref = magno.Ref{Adapter: fmt.Sprintf("ad%d", n), Version: version}
 	}
 	if r := m.s.Offer(job); r != nil {
-		m.refused(t, job, r)
+		m.checkRefusal(t, job, r)
 		return
 	}
 	m.queued[job.ID] = job
-	m.alone[job.ID] = m.crashed[job.Print]
+	m.exclusive[job.ID] = m.crashed[job.Print]
 }
 
-func (m *machine) refused(t *rapid.T, job magno.Job, r *magno.Refusal) {
+func (m *machine) checkRefusal(t *rapid.T, job magno.Job, r *magno.Refusal) {
 	if r.Run != magno.RunNo {
-		t.Fatalf("%s refused with run %q", job.ID, r.Run)
+		t.Fatalf("%s was refused with run %q, want that it did not run", job.ID, r.Run)
 	}
 	if r.Kind.Answer().Again != (r.After > 0) {
-		t.Fatalf("%s refused as %s, come back after %d", job.ID, r.Kind, r.After)
+		t.Fatalf("%s was refused as %s with a retry after %d ms", job.ID, r.Kind, r.After)
 	}
-	m.end(t, job.ID, "refused")
+	m.recordEnd(t, job.ID, "refused")
 }
 
-func (m *machine) end(t *rapid.T, id, how string) {
+func (m *machine) recordEnd(t *rapid.T, id, state string) {
 	if was := m.ended[id]; was != "" {
-		t.Fatalf("%s %s after it was %s", id, how, was)
+		t.Fatalf("%s was %s after it was %s", id, state, was)
 	}
-	m.ended[id] = how
+	m.ended[id] = state
 }
 
 func (m *machine) next(t *rapid.T) {
@@ -87,25 +87,25 @@
 			m.start(t, o)
 		case magno.OrderRefuse:
 			if _, ok := m.queued[o.Job.ID]; !ok {
-				t.Fatalf("refused %s, which isn't queued", o.Job.ID)
+				t.Fatalf("order to refuse %s, which is not queued", o.Job.ID)
 			}
 			delete(m.queued, o.Job.ID)
-			m.refused(t, o.Job, o.Refusal)
+			m.checkRefusal(t, o.Job, o.Refusal)
 		case magno.OrderLoad:
 			if _, ok := m.slots[o.Ref]; ok || o.Ref == (magno.Ref{}) {
-				t.Fatalf("load of %v, which is held", o.Ref)
+				t.Fatalf("load of %v, which occupies a slot", o.Ref)
 			}
 			if len(m.loading)+len(m.unloading) > 0 {
-				t.Fatalf("load of %v beside %v and %v", o.Ref, m.loading, m.unloading)
+				t.Fatalf("load of %v while %v load and %v unload", o.Ref, m.loading, m.unloading)
 			}
 			m.slots[o.Ref] = false
 			m.loading = append(m.loading, o.Ref)
-			if len(m.slots) > m.s.Limits.Slots { // it may shrink, but nothing is added then
-				t.Fatalf("%d adapters for %d slots", len(m.slots), m.s.Limits.Slots)
+			if len(m.slots) > m.s.Limits.Slots { // Slots may have been lowered, but then nothing may be loaded
+				t.Fatalf("%d adapters in %d slots", len(m.slots), m.s.Limits.Slots)
 			}
 		case magno.OrderUnload:
-			if !m.slots[o.Ref] || m.pins(o.Ref) > 0 {
-				t.Fatalf("eviction of %v: loaded %v, %d jobs use it", o.Ref, m.slots[o.Ref], m.pins(o.Ref))
+			if !m.slots[o.Ref] || m.pinCount(o.Ref) > 0 {
+				t.Fatalf("eviction of %v (loaded: %v, running jobs: %d)", o.Ref, m.slots[o.Ref], m.pinCount(o.Ref))
 			}
 			m.slots[o.Ref] = false
 			m.unloading = append(m.unloading, o.Ref)
@@ -113,7 +113,7 @@
 	}
 }
 
-func (m *machine) pins(ref magno.Ref) int {
+func (m *machine) pinCount(ref magno.Ref) int {
 	n := 0
 	for _, job := range m.running {
 		if job.Ref == ref {
@@ -126,20 +126,20 @@
 func (m *machine) start(t *rapid.T, o magno.Order) {
 	job, ok := m.queued[o.Job.ID]
 	if !ok || job != o.Job {
-		t.Fatalf("started %v, queued %v", o.Job, job)
+		t.Fatalf("start of %v, queued is %v", o.Job, job)
 	}
 	if job.Ref != (magno.Ref{}) && !m.slots[job.Ref] {
-		t.Fatalf("%s started without %v", job.ID, job.Ref)
+		t.Fatalf("%s started while %v was not loaded", job.ID, job.Ref)
 	}
 	for id := range m.running {
-		if m.alone[id] || m.alone[job.ID] {
-			t.Fatalf("%s started beside %s; one is a suspect", job.ID, id)
+		if m.exclusive[id] || m.exclusive[job.ID] {
+			t.Fatalf("%s started while %s was running; one of them is a suspect", job.ID, id)
 		}
 	}
 	delete(m.queued, job.ID)
 	m.running[job.ID] = job
 	if len(m.running) > m.s.Limits.Batch {
-		t.Fatalf("%d jobs run in a batch of %d", len(m.running), m.s.Limits.Batch)
+		t.Fatalf("%d jobs run with a batch size of %d", len(m.running), m.s.Limits.Batch)
 	}
 }
 
@@ -155,7 +155,7 @@
 		delete(m.crashed, m.running[id].Print)
 	}
 	delete(m.running, id)
-	m.end(t, id, "started")
+	m.recordEnd(t, id, "started")
 }
 
 func (m *machine) cancel(t *rapid.T) {
@@ -172,11 +172,11 @@
 	id := pick(t, all)
 	_, queued := m.queued[id]
 	if got := m.s.Cancel(id); got != queued {
-		t.Fatalf("cancel of %s: %v, queued %v", id, got, queued)
+		t.Fatalf("Cancel(%s) returned %v, queued is %v", id, got, queued)
 	}
 	if queued {
 		delete(m.queued, id)
-		m.end(t, id, "cancelled")
+		m.recordEnd(t, id, "cancelled")
 	}
 }
 
@@ -184,7 +184,7 @@
 	return rapid.SampledFrom(sortedKeys(jobs)).Draw(t, "id")
 }
 
-func (m *machine) transferEnds(t *rapid.T) {
+func (m *machine) finishTransfers(t *rapid.T) {
 	if len(m.loading) > 0 {
 		ref := m.loading[0]
 		m.loading = m.loading[1:]
@@ -206,16 +206,16 @@
 func (m *machine) reset(t *rapid.T) {
 	ids := m.s.Reset()
 	if len(ids) != len(m.running) {
-		t.Fatalf("reset returned %v, %d ran", ids, len(m.running))
+		t.Fatalf("Reset returned %v, %d jobs were running", ids, len(m.running))
 	}
 	for _, id := range ids {
 		if _, ok := m.running[id]; !ok {
-			t.Fatalf("reset returned %s, which didn't run", id)
+			t.Fatalf("Reset returned %s, which was not running", id)
 		}
 		if print := m.running[id].Print; print != 0 {
 			m.crashed[print] = true
 		}
-		m.end(t, id, "gone")
+		m.recordEnd(t, id, "gone")
 	}
 	clear(m.running)
 	clear(m.slots)
@@ -225,25 +225,25 @@
 func (m *machine) check(t *rapid.T) {
 	b := m.s.Backlog()
 	if b.Queued != len(m.queued) || b.Running != len(m.running) || b.Wait < 0 || b.Work < 0 {
-		t.Fatalf("backlog %+v, queued %d, running %d", b, len(m.queued), len(m.running))
+		t.Fatalf("backlog is %+v with %d jobs queued and %d running", b, len(m.queued), len(m.running))
 	}
 	pinned := 0
 	for ref, pin := range m.s.Holds() {
-		if !m.slots[ref] || pin != (m.pins(ref) > 0) {
-			t.Fatalf("holds %v pinned %v; loaded %v, %d jobs use it", ref, pin, m.slots[ref], m.pins(ref))
+		if !m.slots[ref] || pin != (m.pinCount(ref) > 0) {
+			t.Fatalf("Holds has %v with pinned %v (loaded: %v, running jobs: %d)", ref, pin, m.slots[ref], m.pinCount(ref))
 		}
 		if pin {
 			pinned++
 		}
 	}
 	if b.Pinned != pinned {
-		t.Fatalf("%d pinned, reported %d", pinned, b.Pinned)
+		t.Fatalf("%d adapters are pinned, the backlog reports %d", pinned, b.Pinned)
 	}
 }
 
-// Jobs, loads, evictions, cancels and restarts of the upstream come in any
-// order. If a pin were lost, an answer would be made without its adapter; if a
-// job ended twice or never, its caller would get two answers or wait for ever.
+// Jobs, loads, evictions, cancellations and restarts of the upstream happen in any
+// order. If a pin were lost, an answer would be generated without its adapter. If a
+// job ended twice or never, its caller would get two answers or wait forever.
 func TestAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newMachine(rapid.Bool().Draw(t, "turns"))
@@ -255,7 +255,7 @@
 			"next2":  m.next,
 			"done":   m.done,
 			"cancel": m.cancel,
-			"ends":   m.transferEnds,
+			"ends":   m.finishTransfers,
 			"turn":   func(*rapid.T) { m.s.Turn(m.clock.Now() + 500) },
 			"time":   func(t *rapid.T) { m.clock.Advance(magno.Millis(rapid.IntRange(1, 700).Draw(t, "ms"))) },
 			"limits": func(t *rapid.T) {
@@ -270,12 +270,12 @@
 			},
 			"": m.check,
 		})
-		m.settle(t)
+		m.drainAll(t)
 	})
 }
 
-// settle lets everything end; no job may be left.
-func (m *machine) settle(t *rapid.T) {
+// drainAll ends all jobs and loads, and fails if a job stays queued.
+func (m *machine) drainAll(t *rapid.T) {
 	for range 800 {
 		m.s.Turn(m.clock.Now() + 500)
 		m.next(t)
@@ -283,13 +283,13 @@
 			m.s.Done(id, true)
 			delete(m.crashed, m.running[id].Print)
 			delete(m.running, id)
-			m.end(t, id, "started")
+			m.recordEnd(t, id, "started")
 		}
-		m.transferEnds(t)
+		m.finishTransfers(t)
 		m.clock.Advance(100)
 		if len(m.queued) == 0 {
 			return
 		}
 	}
-	t.Fatalf("%d jobs are still queued", len(m.queued))
+	t.Fatalf("%d jobs are still queued at the end", len(m.queued))
 }
--- a/magno/sched/next.go
+++ b/magno/sched/next.go
@@ -7,28 +7,28 @@
 )
 
 const (
-	// longFactor is how many times the geometric mean of runs a long job
-	// takes. Answers of one kind spread by a factor of two or three around
-	// their median, drafts are at seven times and more.
+	// longFactor is the multiple of the geometric mean run time above which a job
+	// is long. Answers of one kind vary by a factor of two or three around their
+	// median; timetable drafts take at least seven times as long.
 	longFactor = 4
-	// defaultStarve is Tuning.Starve's default.
-	defaultStarve = 0.4
+	// defaultStarvationHarm is the default of Tuning.StarvationHarm.
+	defaultStarvationHarm = 0.4
 )
 
-// Next returns what is to be done now. Each order is returned once. It also
-// has to be called while nothing happens, about each 20 ms with jobs queued,
-// for deadlines pass and failed loads are tried again.
+// Next returns the orders to carry out now, each of them once. While jobs are
+// queued it must be called about every 20 ms even if nothing happens, because
+// deadlines pass and failed loads are due for a retry.
 func (s *Sched) Next() []magno.Order {
 	s.setup()
 	now := s.Clock.Now()
-	orders := s.expire(nil, now)
-	orders = s.starts(orders, now)
-	return s.loads(orders, now)
+	orders := s.refuseExpired(nil, now)
+	orders = s.startJobs(orders, now)
+	return s.orderLoad(orders, now)
 }
 
-// expire refuses queued jobs that can't end in time any more: a place given
-// to one is lost for a job that can.
-func (s *Sched) expire(orders []magno.Order, now magno.Millis) []magno.Order {
+// refuseExpired refuses queued jobs that can no longer end before their deadline, so
+// that they take no place from jobs that can.
+func (s *Sched) refuseExpired(orders []magno.Order, now magno.Millis) []magno.Order {
 	for it := s.queue.Expired(now); it != nil; it = s.queue.Expired(now) {
 		s.queue.Remove(it.Job.ID)
 		if s.slots.Ready(it.Job.Ref) {
@@ -43,43 +43,45 @@
 	return orders
 }
 
-func (s *Sched) starts(orders []magno.Order, now magno.Millis) []magno.Order {
-	for s.alone == "" && s.former.Free(len(s.runs)) > 0 {
-		takesLong := s.former.TakesLong(s.long)
+// startJobs starts queued jobs while there are free places and the batch is open.
+func (s *Sched) startJobs(orders []magno.Order, now magno.Millis) []magno.Order {
+	for s.exclusive == "" && s.batcher.FreePlaces(len(s.runs)) > 0 {
+		takesLong := s.batcher.AdmitsLong(s.longRunning)
 		it := s.queue.Peek(takesLong)
 		if it == nil {
-			s.former.Empty(s.reading)
+			s.batcher.NoneReady(s.prefilling)
 			return orders
 		}
 		if it.Exclusive && len(s.runs) > 0 {
-			return orders // what runs comes to its end first
+			return orders // starts once all running jobs have ended
 		}
-		if !s.former.Starts(now, &it.Job, s.queue.ReadyJobs()) {
+		if !s.batcher.ShouldStart(now, &it.Job, s.queue.ReadyJobs()) {
 			return orders
 		}
 		s.queue.Take(takesLong)
 		s.slots.Pin(it.Job.Ref, now, it.Run)
 		s.runs[it.Job.ID] = &run{job: it.Job, started: now, long: it.Long}
-		s.reading++
+		s.prefilling++
 		if it.Long {
-			s.long++
+			s.longRunning++
 		}
 		if it.Exclusive {
-			s.alone = it.Job.ID
+			s.exclusive = it.Job.ID
 		}
 		orders = append(orders, magno.Order{Kind: magno.OrderStart, Job: it.Job, Ref: it.Job.Ref})
 	}
 	return orders
 }
 
-// isLong compares a run with those of the jobs offered before.
+// isLong reports whether a run is long compared with those of earlier offers, and
+// adds it to the averages.
 func (s *Sched) isLong(expected magno.Millis) bool {
 	x := float64(max(expected, 1))
-	if s.mean == 0 {
-		s.mean, s.logMean = x, math.Log(x)
+	if s.meanRun == 0 {
+		s.meanRun, s.meanLogRun = x, math.Log(x)
 	}
-	long := x > longFactor*math.Exp(s.logMean)
-	s.mean += meanGain * (x - s.mean)
-	s.logMean += meanGain * (math.Log(x) - s.logMean)
+	long := x > longFactor*math.Exp(s.meanLogRun)
+	s.meanRun += meanGain * (x - s.meanRun)
+	s.meanLogRun += meanGain * (math.Log(x) - s.meanLogRun)
 	return long
 }
--- a/magno/sched/report.go
+++ b/magno/sched/report.go
@@ -6,9 +6,9 @@
 	"magnoliastall.example/magno"
 )
 
-// Reset tells that the upstream restarted empty. Jobs that ran are gone; their
-// IDs are returned in order, and the caller decides what becomes of them. What
-// ran is suspected of the crash.
+// Reset records that the upstream restarted empty. It returns the sorted IDs of the
+// jobs that were running and are lost; the caller decides what to do with them.
+// They become suspects for the crash.
 func (s *Sched) Reset() []string {
 	s.setup()
 	ids := make([]string, 0, len(s.runs))
@@ -20,47 +20,48 @@
 	sort.Strings(ids)
 	s.Suspects.Crashed(prints)
 	clear(s.runs)
-	s.long, s.reading, s.alone, s.turn = 0, 0, "", 0
+	s.longRunning, s.prefilling, s.exclusive, s.turnUntil = 0, 0, "", 0
 	for ref := range s.slots.Holds() {
 		s.queue.MarkUnready(ref)
 	}
 	s.slots.Reset()
-	s.room = magno.Ref{}
+	s.reservedFor = magno.Ref{}
 	return ids
 }
 
-// Backlog describes the present state.
+// Backlog reports the current load.
 func (s *Sched) Backlog() magno.Backlog {
 	s.setup()
 	work := s.queue.Tokens()
 	for _, r := range s.runs {
-		work += max(r.job.Prompt+r.job.Output-r.made, 0)
+		work += max(r.job.Prompt+r.job.Output-r.generated, 0)
 	}
 	b := magno.Backlog{
-		Wait:   s.gate.Wait(s.queue.ReadyRun(), s.former.Free(len(s.runs)), magno.Millis(s.mean)),
+		Wait:   s.gate.Wait(s.queue.ReadyRun(), s.batcher.FreePlaces(len(s.runs)), magno.Millis(s.meanRun)),
 		Queued: s.queue.Len(), Running: len(s.runs), Work: work,
 		Pinned: s.slots.Pinned(), Held: s.slots.Held(),
-		Customer: s.queue.Customers(), Waits: s.waits(),
+		Customer: s.queue.Customers(), Waits: s.waitsByCustomer(),
 	}
 	if s.Limits.Slots > 0 {
 		b.Loads = s.queue.Unready()
-		b.LoadWait = s.loadWait(magno.Ref{Adapter: "?"}, magno.Millis(s.patience), s.Clock.Now()) + s.Limits.Load
+		b.LoadWait = s.loadWait(magno.Ref{Adapter: "?"}, magno.Millis(s.meanPatience), s.Clock.Now()) + s.Limits.Load
 		b.Warm = s.slots.Warm()
 	}
 	return b
 }
 
-// waits estimates for each customer with queued jobs when one more would start.
-func (s *Sched) waits() map[string]magno.Millis {
-	run := magno.Millis(s.mean)
+// waitsByCustomer estimates, for each customer with queued jobs, how long one more of
+// its jobs would wait for a place.
+func (s *Sched) waitsByCustomer() map[string]magno.Millis {
+	run := magno.Millis(s.meanRun)
 	ahead := s.queue.AheadByCustomer()
 	for name, work := range ahead {
-		ahead[name] = s.gate.Wait(work, s.former.Free(len(s.runs)), run)
+		ahead[name] = s.gate.Wait(work, s.batcher.FreePlaces(len(s.runs)), run)
 	}
 	return ahead
 }
 
-// Holds lists the adapters in slots and whether each is pinned.
+// Holds returns the loaded adapters and whether each is pinned.
 func (s *Sched) Holds() map[magno.Ref]bool {
 	s.setup()
 	return s.slots.Holds()
--- a/magno/sched/share_test.go
+++ b/magno/sched/share_test.go
@@ -7,17 +7,18 @@
 	"magnoliastall.example/magno"
 )
 
-// One customer, of weight 3, gives its jobs 15 seconds, another, of weight 1,
-// gives them a minute and sends twice what the engine can do. If the longer
-// deadlines bought a larger part of the queue, the first would be refused
-// beside an engine that works for the second; if the second were admitted by
-// what is queued at the moment, work of the first that comes meanwhile would
-// make it late. Each must get nine tenths of its max-min part of what the
-// engine can do, and at most one in a hundred of the admitted may be late.
-func TestDeadlinesBuyNoShare(t *testing.T) {
+// One customer, of weight 3, has deadlines of 15 seconds. Another, of weight 1, has
+// deadlines of a minute and sends twice the engine's capacity. If longer deadlines
+// gave a larger share of the queue, the first would be refused while the engine
+// works for the second. If the second were admitted only by what is queued on
+// arrival, later jobs of the first would make it late. Each must get nine tenths of
+// its max-min fair share of the capacity, and at most one in a hundred admitted jobs
+// may be late.
+func TestLongDeadlinesGainNoShare(t *testing.T) {
 	tests := []struct {
 		name string
-		// rate is what the first sends, fair its max-min part of capacity.
+		// rate is the first customer's load and fair its max-min fair share, both as
+		// fractions of the capacity.
 		rate, fair float64
 	}{
 		{"under its share", 0.5, 0.5},
@@ -38,22 +39,22 @@
 			}
 			quick := e.poisson(tt.rate*capacity, offer("quick", 15*magno.Second))
 			patient := e.poisson(2*capacity, offer("patient", magno.Minute))
-			e.play(seconds*magno.Second, func() { quick(); patient() })
+			e.simulate(seconds*magno.Second, func() { quick(); patient() })
 			part := func(customer string) float64 {
 				n := 0
 				for i := range callers {
-					n += len(e.took[fmt.Sprint(customer, i)])
+					n += len(e.latencies[fmt.Sprint(customer, i)])
 				}
 				return float64(n) / capacity / seconds
 			}
 			if got := part("quick"); got < 0.9*tt.fair {
-				t.Errorf("the first gets %.3f of the engine, its part is %.2f", got, tt.fair)
+				t.Errorf("the first customer gets %.3f of the capacity, its fair share is %.2f", got, tt.fair)
 			}
 			if got := part("patient"); got < 0.9*(1-tt.fair) {
-				t.Errorf("the second gets %.3f of the engine, its part is %.2f", got, 1-tt.fair)
+				t.Errorf("the second customer gets %.3f of the capacity, its fair share is %.2f", got, 1-tt.fair)
 			}
-			if e.late*100 > e.good() {
-				t.Errorf("%d in time, %d late", e.good(), e.late)
+			if e.late*100 > e.inTime() {
+				t.Errorf("%d jobs in time, %d late", e.inTime(), e.late)
 			}
 		})
 	}
--- a/magno/sched/tuner.go
+++ b/magno/sched/tuner.go
@@ -9,28 +9,29 @@
 
 var _ magno.Tuner = (*Sched)(nil)
 
-// SetClock sets the clock before the first job.
+// SetClock sets the clock. It must be called before the first job.
 func (s *Sched) SetClock(clock *magno.Clock) { s.Clock = clock }
 
-// SetLimits takes what the upstream states of itself.
+// SetLimits replaces the limits that the upstream reports.
 func (s *Sched) SetLimits(limits magno.Limits) {
 	s.setup()
 	limits.Batch = max(limits.Batch, 1)
 	s.Limits, s.gate.Limits = limits, limits
-	s.former.Batch, s.former.Hold = limits.Batch, s.hold()
+	s.batcher.Batch, s.batcher.Hold = limits.Batch, s.batchHold()
 	s.slots.Size = limits.Slots
 }
 
-// SetTurns tells whether loads wait for turns of the pool's keeper.
+// SetTurns sets whether a load needs a turn, granted by the pool's keeper.
 func (s *Sched) SetTurns(on bool) { s.Turns = on }
 
-// SetSuspects shares the memory of crash suspects, before the first job.
+// SetSuspects sets the shared set of crash suspects. It must be called before the
+// first job.
 func (s *Sched) SetSuspects(suspects *crash.Suspects) { s.Suspects = suspects }
 
-// Adopt takes over what the upstream holds. A new agent beside an engine that
-// kept running would otherwise believe its slots empty, and each of its loads
-// would be refused for want of one; an adapter that has gone would be started
-// on for ever, and each start refused.
+// Adopt sets the slots to the adapters that the upstream actually holds. After a
+// restart of the agent alone, its slots would otherwise look empty and the engine
+// would refuse every load for lack of a free one. Jobs of an adapter that is no
+// longer loaded would be started again and again, and refused each time.
 func (s *Sched) Adopt(held []magno.Ref) {
 	s.setup()
 	now := s.Clock.Now()
