--- a/magno/bucket/bucket.go
+++ b/magno/bucket/bucket.go
@@ -1,45 +1,47 @@
-// Package bucket bounds a rate: what comes within it is let through, also in bursts.
+// Package bucket limits rates with token buckets.
 package bucket
 
 import "magnoliastall.example/magno"
 
-// Bucket is a token bucket whose level may fall below zero: a request that is larger
-// than the bucket is let through when it is full, and what follows waits for longer.
-// The zero value is empty. One goroutine uses it.
+// Bucket is a token bucket whose level may become negative: a request larger than the
+// burst passes when the bucket is full, and later requests wait for longer. The zero
+// value is empty. It is not safe for concurrent use.
 type Bucket struct {
-	// Rate is what flows in a second, Burst the most that it holds.
+	// Rate is the number of tokens added per second, Burst the capacity.
 	Rate, Burst float64
 
-	level float64
-	at    magno.Millis
+	level   float64
+	updated magno.Millis
 }
 
-// SetLevel sets the level.
-func (b *Bucket) SetLevel(level float64, now magno.Millis) { b.level, b.at = min(level, b.Burst), now }
+// SetLevel sets the level, to Burst at most.
+func (b *Bucket) SetLevel(level float64, now magno.Millis) {
+	b.level, b.updated = min(level, b.Burst), now
+}
 
-// Level is what the bucket holds now.
+// Level adds the tokens due since the last call and returns the level.
 func (b *Bucket) Level(now magno.Millis) float64 {
-	if now > b.at {
-		b.level += b.Rate * float64(now-b.at) / float64(magno.Second)
-		b.at = now
+	if now > b.updated {
+		b.level += b.Rate * float64(now-b.updated) / float64(magno.Second)
+		b.updated = now
 	}
 	b.level = min(b.level, b.Burst)
 	return b.level
 }
 
-// Allows tells whether a request of that cost is let through.
+// Allows reports whether a request of the given cost may pass now. It takes no tokens.
 func (b *Bucket) Allows(cost float64, now magno.Millis) bool {
 	return b.Level(now) >= min(cost, b.Burst)
 }
 
-// Take lowers the level.
+// Take removes cost tokens, even if the level becomes negative.
 func (b *Bucket) Take(cost float64) { b.level -= cost }
 
-// Give raises it, as far as the bucket holds.
+// Give adds cost tokens, up to the capacity.
 func (b *Bucket) Give(cost float64) { b.level = min(b.level+cost, b.Burst) }
 
-// Delay is how long it takes until a request of that cost is let through, if none comes
-// before. It is zero when one is now, and a day where the rate is zero.
+// Delay returns the time until a request of the given cost may pass, if no other takes
+// tokens before. It is zero if the request may pass now, and a day if Rate is zero.
 func (b *Bucket) Delay(cost float64, now magno.Millis) magno.Millis {
 	missing := min(cost, b.Burst) - b.Level(now)
 	switch {
--- a/magno/bucket/bucket_test.go
+++ b/magno/bucket/bucket_test.go
@@ -12,16 +12,16 @@
 	b := Bucket{Rate: 100, Burst: 100}
 	b.SetLevel(100, 0)
 	if !b.Allows(250, 0) {
-		t.Fatal("a full bucket holds up a large request for good")
+		t.Fatal("a full bucket refuses a request larger than the burst")
 	}
 	b.Take(250)
 	if b.Allows(1, 1000) || b.Delay(1, 1000) != 511 {
-		t.Errorf("after a debt of 150: %v in it, %d ms to wait", b.Level(1000), b.Delay(1, 1000))
+		t.Errorf("one second after level -150: level %v, delay %d ms", b.Level(1000), b.Delay(1, 1000))
 	}
 }
 
-// Whatever comes, what goes through in any span is within rate, burst and the last
-// request.
+// For any sequence of requests, the cost that passes in any time span must not exceed
+// the rate times the span, plus the burst and the largest request.
 func TestBoundOfAnySpan(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := Bucket{Rate: 100, Burst: 50}
@@ -44,8 +44,8 @@
 			for i := len(runs) - 1; i >= 0; i-- {
 				sum += runs[i].cost
 				span := float64(now-runs[i].at) / 1000
-				if most := 100*span + 50 + 120; sum > most+1e-6 {
-					t.Fatalf("%v within %v s, most is %v", sum, span, most)
+				if bound := 100*span + 50 + 120; sum > bound+1e-6 {
+					t.Fatalf("requests of cost %v passed within %v s, want at most %v", sum, span, bound)
 				}
 			}
 		}
