--- a/magno/slide/slide.go
+++ b/magno/slide/slide.go
@@ -1,62 +1,63 @@
-// Package slide sums up what was counted within a sliding window.
+// Package slide sums values over a sliding time window.
 package slide
 
 import "magnoliastall.example/magno"
 
-// slots divide a window; what was counted leaves it a slot at a time, never too early.
+// slots is the number of time slots in a window. Values leave the window one slot at a
+// time, up to a slot late but never early.
 const slots = 64
 
-// Sum is what was counted within Window. One goroutine uses it.
+// Sum is the sum of the values added within Window. It is not safe for concurrent use.
 type Sum struct {
-	// Window is over zero and isn't changed after the first use.
+	// Window must be positive and must not change after the first use.
 	Window magno.Millis
 
 	counted [slots + 1]float64
-	// at is the slot in use, as a number since the epoch.
-	at  magno.Millis
-	sum float64
+	// current is the number of the current slot, counted from the epoch.
+	current magno.Millis
+	sum     float64
 }
 
-func (s *Sum) length() magno.Millis { return max(s.Window/slots, 1) }
+func (s *Sum) slotLength() magno.Millis { return max(s.Window/slots, 1) }
 
-// turn drops the slots that left the window.
-func (s *Sum) turn(now magno.Millis) {
-	at := now / s.length()
-	for n := 0; s.at < at && n <= slots; n++ {
-		s.at++
-		s.sum -= s.counted[s.at%(slots+1)]
-		s.counted[s.at%(slots+1)] = 0
+// advance removes the slots that have left the window.
+func (s *Sum) advance(now magno.Millis) {
+	slot := now / s.slotLength()
+	for n := 0; s.current < slot && n <= slots; n++ {
+		s.current++
+		s.sum -= s.counted[s.current%(slots+1)]
+		s.counted[s.current%(slots+1)] = 0
 	}
-	if s.at < at {
-		s.at, s.sum = at, 0
+	if s.current < slot {
+		s.current, s.sum = slot, 0
 	}
 }
 
-// Add counts something, or with a negative value takes back what was counted.
+// Add adds cost to the sum; a negative cost takes back what was added before.
 func (s *Sum) Add(cost float64, now magno.Millis) {
-	s.turn(now)
-	s.counted[s.at%(slots+1)] += cost
+	s.advance(now)
+	s.counted[s.current%(slots+1)] += cost
 	s.sum += cost
 }
 
-// Total is the sum of the window that ends now, zero at least.
+// Total returns the sum over the window that ends now, at least zero.
 func (s *Sum) Total(now magno.Millis) float64 {
-	s.turn(now)
+	s.advance(now)
 	return max(s.sum, 0)
 }
 
-// Delay is how long it takes until the sum is no more than most, if nothing is added.
-func (s *Sum) Delay(most float64, now magno.Millis) magno.Millis {
-	s.turn(now)
-	left := s.sum
+// Delay returns the time until the sum is at most limit, if nothing is added.
+func (s *Sum) Delay(limit float64, now magno.Millis) magno.Millis {
+	s.advance(now)
+	remaining := s.sum
 	for n := magno.Millis(1); n <= slots+1; n++ {
-		if left <= most {
+		if remaining <= limit {
 			if n == 1 {
 				return 0
 			}
-			return (s.at+n-1)*s.length() - now
+			return (s.current+n-1)*s.slotLength() - now
 		}
-		left -= s.counted[(s.at+n)%(slots+1)]
+		remaining -= s.counted[(s.current+n)%(slots+1)]
 	}
-	return (s.at+slots+1)*s.length() - now
+	return (s.current+slots+1)*s.slotLength() - now
 }
--- a/magno/slide/slide_test.go
+++ b/magno/slide/slide_test.go
@@ -8,8 +8,8 @@
 	"magnoliastall.example/magno"
 )
 
-// The sum is never less than what was added within the window, nor more than what was
-// within a slot beyond.
+// The sum must be at least what was added within the window, and at most what was
+// added within the window and one more slot.
 func TestSumOfTheWindow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := Sum{Window: 8 * magno.Second}
@@ -34,11 +34,11 @@
 				}
 			}
 			if got := s.Total(now); got < least || got > most {
-				t.Fatalf("sum %v at %d, want %v to %v", got, now, least, most)
+				t.Fatalf("sum is %v at %d, want %v to %v", got, now, least, most)
 			}
 			wait := s.Delay(least/2, now)
 			if after := s.Total(now + wait); after > least/2 {
-				t.Fatalf("sum %v after %d ms, want at most %v", after, wait, least/2)
+				t.Fatalf("sum is %v after the delay of %d ms, want at most %v", after, wait, least/2)
 			}
 			now += wait
 		}
@@ -49,6 +49,6 @@
 	s := Sum{Window: 8 * magno.Second}
 	s.Add(5, magno.Hour)
 	if got := s.Total(3 * magno.Hour); got != 0 {
-		t.Errorf("%v in it after two hours", got)
+		t.Errorf("sum is %v after two hours without additions", got)
 	}
 }
