--- a/magno/quota/quota.go
+++ b/magno/quota/quota.go
@@ -1,13 +1,15 @@
 // Package quota decides, in one process, which requests are within their customer's
-// allowance, and what to ask the customer's home for.
+// allowance, and how many tokens to lease from the customer's home, the process that
+// counts the allowance for all.
 //
-//	Take --enough leased tokens--> runs
+//	Take --enough leased tokens--> allowed
 //	  |
-//	  '--too few--> Ask --> home --> Granted --> Again: runs, or refused
+//	  '--too few--> Ask --> home --> Granted --> TakeAgain: allowed or refused
 //
-// Load pattern: hundreds of requests a second of a few large customers, which must not
-// wait for a home's answer, beside small ones that send a request now and then; and a
-// customer that sends many times its allowance, whose refusals must cost next to nothing.
+// Load pattern: a few large customers with hundreds of requests per second, which must
+// not wait for a home's answer; many small ones with occasional requests; and customers
+// that send many times their allowance, whose requests must be refused at almost no
+// cost.
 package quota
 
 import (
@@ -19,120 +21,128 @@
 )
 
 const (
-	// ahead is how long the leased tokens should last at the recent demand.
-	ahead = magno.Second
-	// leastAhead is how many requests' tokens are worth leasing ahead. Fewer would leave
-	// a fraction of a request in each of many processes, which nobody can use.
-	leastAhead = 3
-	// costGain weighs a new request in their mean cost.
+	// leaseAhead is the time for which the leased tokens should last at the recent
+	// demand.
+	leaseAhead = magno.Second
+	// minRequestsAhead is the least number of requests whose tokens are leased ahead.
+	// With fewer, many processes would each hold a fraction of a request's tokens, which
+	// none of them can use.
+	minRequestsAhead = 3
+	// costGain is the smoothing factor of the mean cost of requests.
 	costGain = 0.1
-	// gainSpan is the time over which demand is averaged.
-	gainSpan = 2 * magno.Second
-	// askAgain is how long after a home had none it isn't asked again. Callers are told
-	// when there will be some, which may be much later.
-	askAgain = 300 * magno.Millis(1)
-	// fallbackBurst is how many seconds' part of the allowance is there at once while no
-	// home answers. All processes may be alone at the same time.
-	fallbackBurst = 0.5
-	// fallbackAfter is when a caller should come back that is refused meanwhile.
-	fallbackAfter = 500 * magno.Millis(1)
+	// demandWindow is the time constant of the average demand.
+	demandWindow = 2 * magno.Second
+	// askInterval is the longest time for which a home is not asked again after it had
+	// too few tokens. Callers are told when the home expects more, which may be much
+	// later.
+	askInterval = 300 * magno.Millis(1)
+	// fallbackBurstSeconds is the burst of the fallback bucket, in seconds of its rate.
+	// It is short because all processes may lose their homes at the same time.
+	fallbackBurstSeconds = 0.5
+	// fallbackRetryAfter is the time after which a caller that is refused by the fallback
+	// should try again.
+	fallbackRetryAfter = 500 * magno.Millis(1)
 )
 
-// Verdict is what becomes of a request.
+// Verdict is the decision on a request.
 type Verdict int
 
-// The verdicts.
+// Decisions on a request.
 const (
-	Allowed Verdict = iota // its tokens are taken
-	Pending                // the home must be asked for more
-	Refused                // the customer is over its limit
+	Allowed Verdict = iota // its tokens were taken
+	Pending                // the home must be asked for more tokens
+	Refused                // its customer is over the limit
 )
 
-// Quota is one process's. One goroutine uses it; Clock is set before.
+// Quota holds the leased tokens of one process. It is not safe for concurrent use.
+// Clock is set before use.
 type Quota struct {
 	Clock *magno.Clock
 
 	customers map[string]*account
 }
 
-// account is one customer's in this process.
+// account is the state of one customer.
 type account struct {
 	limit magno.Limit
-	// tokens are leased and not used yet.
-	tokens float64
-	// demand is tokens asked for a second, at the time of at.
-	demand float64
-	at     magno.Millis
-	// cost is the mean of a request's.
-	cost float64
-	// until is when the home will have more, as it said, next when it may be asked.
-	until, next magno.Millis
-	// fallback limits what runs while no home answers.
+	// leased is the number of leased tokens that are not used yet.
+	leased float64
+	// demandRate is the average demand in tokens per second, as of demandAt.
+	demandRate float64
+	demandAt   magno.Millis
+	// meanCost is the mean cost of a request in tokens.
+	meanCost float64
+	// refillAt is when the home expects to have more tokens, nextAsk when it may be asked
+	// again.
+	refillAt, nextAsk magno.Millis
+	// fallback limits requests while no home answers.
 	fallback bucket.Bucket
 }
 
-// Take takes a request's cost from the leased tokens. After a refusal, after is when to
-// come back.
+// Take takes a request's cost from the leased tokens. If the request is refused, it
+// should be sent again in after.
 func (q *Quota) Take(customer string, limit magno.Limit, cost float64) (v Verdict, after magno.Millis) {
 	acc, now := q.account(customer, limit), q.Clock.Now()
-	acc.asked(cost, now)
+	acc.recordDemand(cost, now)
 	return acc.take(cost, now)
 }
 
-// TakeAgain is Take for a request that waited.
+// TakeAgain is Take for a request that has waited for the home's answer. It does not
+// count in the demand again.
 func (q *Quota) TakeAgain(customer string, limit magno.Limit, cost float64) (v Verdict, after magno.Millis) {
 	return q.account(customer, limit).take(cost, q.Clock.Now())
 }
 
 func (a *account) take(cost float64, now magno.Millis) (Verdict, magno.Millis) {
 	switch {
-	case a.tokens >= cost:
-		a.tokens -= cost
+	case a.leased >= cost:
+		a.leased -= cost
 		return Allowed, 0
-	case now < a.next:
-		return Refused, max(a.until-now, 1)
+	case now < a.nextAsk:
+		return Refused, max(a.refillAt-now, 1)
 	}
 	return Pending, 0
 }
 
-// Give returns the cost of a request that has not run.
+// Give returns the cost of a request that did not run.
 func (q *Quota) Give(customer string, limit magno.Limit, cost float64) {
-	q.account(customer, limit).tokens += cost
+	q.account(customer, limit).leased += cost
 }
 
-// Low tells whether tokens should be asked for though no request waits.
+// Low reports whether more tokens should be leased although no request waits for them.
 func (q *Quota) Low(customer string, limit magno.Limit) bool {
 	acc, now := q.account(customer, limit), q.Clock.Now()
-	acc.asked(0, now)
-	return acc.tokens < acc.reserve()/2 && now >= acc.next
+	acc.recordDemand(0, now)
+	return acc.leased < acc.reserve()/2 && now >= acc.nextAsk
 }
 
-// Ask is what to ask the home for: need is the cost of all waiting requests, least that
-// of the smallest. Surplus tokens leave the account and go back with it.
+// Ask returns the call to make to the home, where need is the total cost of the waiting
+// requests and least that of the smallest. Surplus tokens are removed from the account
+// and returned to the home with the call.
 func (q *Quota) Ask(customer string, limit magno.Limit, need, least float64) grant.Ask {
 	acc := q.account(customer, limit)
-	acc.asked(0, q.Clock.Now())
-	a := grant.Ask{Customer: customer, Need: max(need-acc.tokens, 0), Least: max(least-acc.tokens, 0)}
-	a.Want = max(need+acc.reserve()-acc.tokens, a.Need)
-	if extra := acc.tokens - need - 2*acc.reserve(); extra > 0 {
-		acc.tokens -= extra
+	acc.recordDemand(0, q.Clock.Now())
+	a := grant.Ask{Customer: customer, Need: max(need-acc.leased, 0), Least: max(least-acc.leased, 0)}
+	a.Want = max(need+acc.reserve()-acc.leased, a.Need)
+	if extra := acc.leased - need - 2*acc.reserve(); extra > 0 {
+		acc.leased -= extra
 		a.Back = extra
 	}
 	return a
 }
 
-// Granted takes the home's answer.
+// Granted records the home's reply to a.
 func (q *Quota) Granted(a grant.Ask, r grant.Reply, limit magno.Limit) {
 	acc := q.account(a.Customer, limit)
-	acc.tokens += r.Granted
+	acc.leased += r.Granted
 	if r.After > 0 {
-		acc.until = q.Clock.Now() + r.After
-		acc.next = min(acc.until, q.Clock.Now()+askAgain)
+		acc.refillAt = q.Clock.Now() + r.After
+		acc.nextAsk = min(acc.refillAt, q.Clock.Now()+askInterval)
 	}
 }
 
-// Fallback takes a request's cost from this process's own part of the allowance while
-// no home answers. Known is how many processes share the allowance.
+// Fallback takes a request's cost from this process's own share of the allowance while
+// no home answers. Known is the number of processes that share the allowance.
 func (q *Quota) Fallback(customer string, limit magno.Limit, cost float64, known int) (v Verdict, after magno.Millis) {
 	acc, now := q.account(customer, limit), q.Clock.Now()
 	if v, _ := acc.take(cost, now); v == Allowed {
@@ -141,67 +151,70 @@
 	fresh := acc.fallback.Burst == 0
 	acc.fallback.Level(now)
 	acc.fallback.Rate = limit.Rate / float64(max(known, 1))
-	acc.fallback.Burst = acc.fallback.Rate * fallbackBurst
+	acc.fallback.Burst = acc.fallback.Rate * fallbackBurstSeconds
 	if fresh {
 		acc.fallback.SetLevel(acc.fallback.Burst, now)
 	}
 	if !acc.fallback.Allows(cost, now) {
-		return Refused, fallbackAfter
+		return Refused, fallbackRetryAfter
 	}
 	acc.fallback.Take(cost)
 	return Allowed, 0
 }
 
-// Surplus lists customers with more leased tokens than they are likely to need.
+// Surplus returns the limits of the customers that have more leased tokens than they
+// are likely to need.
 func (q *Quota) Surplus() map[string]magno.Limit {
-	idle, now := map[string]magno.Limit{}, q.Clock.Now()
+	surplus, now := map[string]magno.Limit{}, q.Clock.Now()
 	for name, acc := range q.customers {
-		acc.asked(0, now)
-		if acc.tokens > 2*acc.reserve()+1 {
-			idle[name] = acc.limit
+		acc.recordDemand(0, now)
+		if acc.leased > 2*acc.reserve()+1 {
+			surplus[name] = acc.limit
 		}
 	}
-	return idle
+	return surplus
 }
 
-// account returns a customer's account, brought up to its limit.
+// account returns a customer's account. If the limit has changed, it updates the account
+// and, if the rate was lowered, reduces the leased tokens in proportion.
 func (q *Quota) account(customer string, limit magno.Limit) *account {
 	acc := q.customers[customer]
 	if acc == nil {
 		if q.customers == nil {
 			q.customers = map[string]*account{}
 		}
-		acc = &account{limit: limit, at: q.Clock.Now()}
+		acc = &account{limit: limit, demandAt: q.Clock.Now()}
 		q.customers[customer] = acc
 	}
 	if acc.limit != limit {
 		if limit.Rate < acc.limit.Rate {
-			acc.tokens *= limit.Rate / acc.limit.Rate
+			acc.leased *= limit.Rate / acc.limit.Rate
 		}
-		acc.limit, acc.until, acc.next = limit, 0, 0
+		acc.limit, acc.refillAt, acc.nextAsk = limit, 0, 0
 	}
 	return acc
 }
 
-// asked counts a request in the demand.
-func (a *account) asked(cost float64, now magno.Millis) {
-	if now > a.at {
-		a.demand *= math.Exp(-float64(now-a.at) / float64(gainSpan))
-		a.at = now
+// recordDemand decays the average demand and adds a request of the given cost, zero for
+// none.
+func (a *account) recordDemand(cost float64, now magno.Millis) {
+	if now > a.demandAt {
+		a.demandRate *= math.Exp(-float64(now-a.demandAt) / float64(demandWindow))
+		a.demandAt = now
 	}
 	switch {
-	case a.cost == 0:
-		a.cost = cost
+	case a.meanCost == 0:
+		a.meanCost = cost
 	case cost > 0:
-		a.cost += costGain * (cost - a.cost)
+		a.meanCost += costGain * (cost - a.meanCost)
 	}
-	a.demand += cost * float64(magno.Second) / float64(gainSpan)
+	a.demandRate += cost * float64(magno.Second) / float64(demandWindow)
 }
 
-// reserve is how many tokens should be leased ahead.
+// reserve returns the number of tokens that should be leased ahead.
 func (a *account) reserve() float64 {
-	tokens := a.demand * float64(ahead) / float64(magno.Second)
-	if tokens < leastAhead*a.cost {
+	tokens := a.demandRate * float64(leaseAhead) / float64(magno.Second)
+	if tokens < minRequestsAhead*a.meanCost {
 		return 0
 	}
 	return tokens
--- a/magno/quota/quota_test.go
+++ b/magno/quota/quota_test.go
@@ -14,35 +14,35 @@
 	return &Quota{Clock: clock}, clock
 }
 
-func TestTokensAtHandNeedNoAnswer(t *testing.T) {
+func TestLeasedTokensNeedNoCall(t *testing.T) {
 	q, _ := newQuota()
-	for range 10 { // so much is asked for that some should be at hand
+	for range 10 { // enough demand to lease tokens ahead
 		if v, _ := q.Take("a", limit, 100); v != Pending {
-			t.Fatalf("verdict %d with nothing at hand", v)
+			t.Fatalf("verdict %d without leased tokens", v)
 		}
 	}
 	ask := q.Ask("a", limit, 100, 100)
 	if ask.Need != 100 || ask.Want <= 100 {
-		t.Errorf("asks for %v, wants %v", ask.Need, ask.Want)
+		t.Errorf("call needs %v and wants %v tokens", ask.Need, ask.Want)
 	}
 	q.Granted(ask, grant.Reply{Granted: 200}, limit)
 	if v, _ := q.TakeAgain("a", limit, 100); v != Allowed {
-		t.Errorf("verdict %d after it was granted", v)
+		t.Errorf("verdict %d after tokens were granted", v)
 	}
 	if v, _ := q.Take("a", limit, 100); v != Allowed {
-		t.Errorf("verdict %d with tokens at hand", v)
+		t.Errorf("verdict %d with leased tokens", v)
 	}
 }
 
-// Guards against a call for each request of a customer that is far over its limit, and
-// against refusing for long what may soon be allowed.
+// A customer far over its limit must not cause a call for each request, and the home must
+// be asked again soon, since tokens may be available before the time that it stated.
 func TestOverTheLimitIsRefusedWithoutAnAnswer(t *testing.T) {
 	q, clock := newQuota()
 	q.Granted(q.Ask("a", limit, 100, 100), grant.Reply{After: 4000}, limit)
 	if v, after := q.Take("a", limit, 100); v != Refused || after != 4000 {
-		t.Errorf("verdict %d, after %d ms", v, after)
+		t.Errorf("verdict %d, retry after %d ms", v, after)
 	}
-	clock.Advance(askAgain)
+	clock.Advance(askInterval)
 	if v, _ := q.Take("a", limit, 100); v != Pending {
 		t.Errorf("verdict %d when the home may be asked again", v)
 	}
@@ -54,28 +54,28 @@
 	q.Granted(q.Ask("a", limit, 100, 100), grant.Reply{Granted: 500}, limit)
 	q.TakeAgain("a", limit, 100)
 	if len(q.Surplus()) != 1 {
-		t.Fatal("400 tokens that nobody needs aren't idle")
+		t.Fatal("400 unneeded tokens are no surplus")
 	}
 	clock.Advance(10 * magno.Second)
 	if ask := q.Ask("a", limit, 0, 0); ask.Back < 390 || ask.Need != 0 || ask.Want > 10 {
-		t.Errorf("gives back %v, wants %v", ask.Back, ask.Want)
+		t.Errorf("call returns %v and wants %v tokens", ask.Back, ask.Want)
 	}
 	if len(q.Surplus()) != 0 {
-		t.Error("they are idle still")
+		t.Error("the customer still has a surplus")
 	}
 }
 
-func TestLoweredLimitTakesWhatIsAtHand(t *testing.T) {
+func TestLoweredLimitScalesLeasedTokens(t *testing.T) {
 	q, _ := newQuota()
 	q.Granted(q.Ask("a", limit, 500, 500), grant.Reply{Granted: 500}, limit)
 	low := magno.Limit{Rate: 100, Burst: 100, Tokens: true}
 	if v, _ := q.Take("a", low, 400); v == Allowed {
-		t.Error("tokens of the old limit are used")
+		t.Error("a request was allowed by tokens leased under the old limit")
 	}
 }
 
-// Guards against a customer that is refused altogether while its home is lost, and
-// against thirty processes that each use all of its allowance.
+// While a customer's home is lost, its requests must not all be refused, and thirty
+// processes must not each use its whole allowance.
 func TestFallbackUsesItsPart(t *testing.T) {
 	q, clock := newQuota()
 	var sum float64
@@ -86,6 +86,6 @@
 		clock.Advance(100)
 	}
 	if part := limit.Rate / 30 * 10; sum < part || sum > 2*part+50 {
-		t.Errorf("%v used in 10 s, a part is %v", sum, part)
+		t.Errorf("%v tokens used in 10 s, the process's share is %v", sum, part)
 	}
 }
