--- a/magno/retry/retry.go
+++ b/magno/retry/retry.go
@@ -1,14 +1,15 @@
-// Package retry decides whether and when a failed attempt is made again.
+// Package retry decides whether and when a failed attempt is retried.
 //
-// Load pattern: an upstream, or a data centre, fails or refuses for a while.
-// Without a budget every request then comes three times; the extra load keeps
-// what is left of the pool from recovering, long after the first cause went.
+// Load pattern: an upstream or a data centre fails or refuses requests for a while.
+// Without a budget, every request would then be attempted three times, and the
+// additional load would keep the rest of the pool from recovering long after the
+// original fault has gone.
 //
-// Retries may be at most a share of the successes, from a bucket: with Ratio
-// at 0.1 a pool that fails altogether sees a tenth more attempts, not three
-// times as many. The bucket's depth lets single failures be retried at once
-// in a quiet pool. Waits double and are drawn from the whole span ("full
-// jitter"), so that what failed together doesn't come back together.
+// A token bucket limits retries to a fraction of the successes: with a Ratio of 0.1,
+// a pool that fails completely gets a tenth more attempts, not three times as many.
+// The depth of the bucket allows immediate retries of single failures in a pool with
+// little traffic. Waits use exponential backoff with full jitter, so that requests
+// that failed together are not retried together.
 package retry
 
 import (
@@ -18,26 +19,27 @@
 	"magnoliastall.example/magno"
 )
 
-// Defaults.
+// Defaults of the fields of Budget.
 const (
 	DefaultRatio = 0.1
 	DefaultDepth = 10.0
-	// DefaultBase is the span of the first wait; it doubles each time.
+	// DefaultBase is the upper bound of the first wait. It doubles with each attempt.
 	DefaultBase = 20 * magno.Millis(1)
-	// DefaultCap is the longest span.
+	// DefaultCap is the largest upper bound of a wait.
 	DefaultCap = 2 * magno.Second
 )
 
-// Budget is one pool's. It is safe for concurrent use; its exported fields are
-// set before use, and zero values mean the defaults.
+// Budget is the retry budget of one pool. It is safe for concurrent use. Its exported
+// fields are set before use; zero values mean the defaults.
 type Budget struct {
-	// Ratio is how many retries a success pays for.
+	// Ratio is the number of retries that each success adds to the budget.
 	Ratio float64
-	// Depth is the most retries that are saved up.
+	// Depth is the capacity of the bucket in retries. A new budget is full.
 	Depth float64
-	Base  magno.Millis
-	Cap   magno.Millis
-	Seed  uint64
+	// Base and Cap bound the first and the longest wait.
+	Base magno.Millis
+	Cap  magno.Millis
+	Seed uint64
 
 	mu     sync.Mutex
 	rand   *rand.Rand
@@ -64,7 +66,7 @@
 	b.tokens = b.Depth
 }
 
-// Succeeded takes a success.
+// Succeeded records a successful attempt.
 func (b *Budget) Succeeded() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -72,12 +74,13 @@
 	b.tokens = min(b.tokens+b.Ratio, b.Depth)
 }
 
-// Allow tells whether an attempt that ended with r may be made again, and
-// after which wait. Attempt counts those made, from 1; left is the time to
-// the deadline, and need the least that another attempt takes. Repeat is true
-// for idempotent work; other work is tried again only when it was not run.
+// Allow reports whether an attempt that ended with r may be retried, and after which
+// wait. It takes the retry from the budget. Attempt is the number of attempts made so
+// far, left is the time to the deadline, and need the least time that another attempt
+// takes. Repeat is true for idempotent work; other work is retried only if it did not
+// run.
 func (b *Budget) Allow(r *magno.Refusal, attempt int, left, need magno.Millis, repeat bool) (magno.Millis, bool) {
-	if r == nil || !retriable(r, repeat) {
+	if r == nil || !retryable(r, repeat) {
 		return 0, false
 	}
 	b.mu.Lock()
@@ -92,7 +95,8 @@
 	return wait, true
 }
 
-func retriable(r *magno.Refusal, repeat bool) bool {
+// retryable reports whether the kind of refusal permits a retry at all.
+func retryable(r *magno.Refusal, repeat bool) bool {
 	switch r.Kind {
 	case magno.KindSuspect, magno.KindPast, magno.KindDeadline, magno.KindCancelled:
 		return false
--- a/magno/retry/retry_test.go
+++ b/magno/retry/retry_test.go
@@ -6,8 +6,8 @@
 	"magnoliastall.example/magno"
 )
 
-// The whole pool fails for a while. Each request must not come three times,
-// or the pool stays down under the retries after its fault has gone.
+// The whole pool fails for a while. Retries must stay within the budget; otherwise
+// their load would keep the pool down after the fault has gone.
 func TestBudgetBoundsRetries(t *testing.T) {
 	b := &Budget{}
 	retries := 0
@@ -19,8 +19,8 @@
 			retries++
 		}
 	}
-	if most := int(DefaultDepth + 500*DefaultRatio); retries > most || retries < most-2 {
-		t.Fatalf("%d retries, want about %d", retries, most)
+	if want := int(DefaultDepth + 500*DefaultRatio); retries > want || retries < want-2 {
+		t.Fatalf("%d retries were allowed, want about %d", retries, want)
 	}
 }
 
@@ -44,7 +44,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			wait, ok := (&Budget{}).Allow(tt.r, 1, tt.left, 100, tt.repeat)
 			if ok != tt.want || wait > DefaultBase {
-				t.Fatalf("got %v after %d", ok, wait)
+				t.Fatalf("got %v with a wait of %d ms", ok, wait)
 			}
 		})
 	}
