--- a/agent/turns/fuzz_test.go
+++ b/agent/turns/fuzz_test.go
@@ -28,7 +28,7 @@
 		clock.Advance(magno.Second)
 		k.take(ask{Agent: "other"}, second)
 		k.decide()
-		k.kept.End(e.ID)
+		k.kept.Release(e.ID)
 		if len(first)+len(second) > 1 {
 			t.Errorf("%q: two turns", data)
 		}
--- a/agent/turns/keeper.go
+++ b/agent/turns/keeper.go
@@ -13,14 +13,14 @@
 // idle is how long the keeper sleeps when nobody asks, in milliseconds.
 const idle = magno.Second
 
-// keeper runs a turn.Keeper on one goroutine, for calls that wait.
+// keeper runs a turn.Coordinator on one goroutine, for calls that wait.
 type keeper struct {
 	turns *Turns
 	ring  chan func()
 	// asking maps an agent to the call that waits for its turn. Only the
 	// goroutine of run touches it.
 	asking map[string]chan turn.Turn
-	kept   *turn.Keeper
+	kept   *turn.Coordinator
 }
 
 func newKeeper(t *Turns) *keeper {
@@ -46,10 +46,10 @@
 
 // sleep is how long nothing need be decided.
 func (k *keeper) sleep() magno.Millis {
-	if k.kept == nil || k.kept.Asks() == 0 {
+	if k.kept == nil || k.kept.Pending() == 0 {
 		return idle
 	}
-	return max(k.kept.Wake()-k.turns.Clock.Now(), 1)
+	return max(k.kept.NextWake()-k.turns.Clock.Now(), 1)
 }
 
 // decide hands out the turns that begin now.
@@ -57,11 +57,11 @@
 	if k.kept == nil {
 		return
 	}
-	k.kept.Rate, k.kept.Width = k.turns.Terms()
-	for _, t := range k.kept.Give() {
+	k.kept.Rate, k.kept.MaxLoads = k.turns.Terms()
+	for _, t := range k.kept.Grant() {
 		waiting := k.asking[t.Agent]
 		if waiting == nil {
-			k.kept.End(t.ID)
+			k.kept.Release(t.ID)
 			continue
 		}
 		delete(k.asking, t.Agent)
@@ -97,10 +97,10 @@
 func (k *keeper) take(a ask, got chan turn.Turn) {
 	if k.kept == nil {
 		rate, width := k.turns.Terms()
-		k.kept = &turn.Keeper{Clock: k.turns.Clock, Rate: rate, Width: width, Load: k.turns.Load()}
+		k.kept = &turn.Coordinator{Clock: k.turns.Clock, Rate: rate, MaxLoads: width, LoadTime: k.turns.Load()}
 	}
 	k.asking[a.Agent] = got
-	k.kept.Want(turn.Ask{Agent: a.Agent, Ref: a.Ref, Harm: a.Harm})
+	k.kept.Submit(turn.Request{Agent: a.Agent, Ref: a.Ref, DelayCost: a.Harm})
 }
 
 // drop forgets an ask and returns once it is forgotten.
@@ -110,7 +110,7 @@
 		defer close(done)
 		if k.asking[agent] == got {
 			delete(k.asking, agent)
-			k.kept.Drop(agent)
+			k.kept.Cancel(agent)
 		}
 	})
 	if ok {
@@ -125,7 +125,7 @@
 func (k *keeper) end(id uint64) {
 	k.post(context.Background(), func() {
 		if k.kept != nil {
-			k.kept.End(id)
+			k.kept.Release(id)
 		}
 	})
 }
--- a/agent/turns/turns.go
+++ b/agent/turns/turns.go
@@ -179,11 +179,11 @@
 		return
 	}
 	rate, width := t.Terms()
-	k := turn.Keeper{Clock: t.Clock, Rate: rate, Width: width, Load: t.Load()}
-	t.alone = now + k.Alone(len(t.Fleet.Pool(t.Pool)))
+	k := turn.Coordinator{Clock: t.Clock, Rate: rate, MaxLoads: width, LoadTime: t.Load()}
+	t.alone = now + k.FallbackInterval(len(t.Fleet.Pool(t.Pool)))
 	t.Log.Info("turns", "keeper", "unreachable", "error", err)
 	metrics.GetOrCreateCounter(`magno_turns_total{from="share"}`).Inc()
-	t.Loop.Load(ctx, k.Lease())
+	t.Loop.Load(ctx, k.LeaseTime())
 }
 
 // choose returns the pool's keeper: the agent whose name hashes lowest, so
--- a/agent/turns/turns_test.go
+++ b/agent/turns/turns_test.go
@@ -121,8 +121,8 @@
 	begun := make(chan struct{})
 	tr.keeper.ring <- func() {
 		tr.keeper.take(ask{Agent: "first"}, make(chan turn.Turn, 1))
-		tr.keeper.kept.Give()
-		tr.keeper.kept.Drop("first")
+		tr.keeper.kept.Grant()
+		tr.keeper.kept.Cancel("first")
 		close(begun)
 	}
 	<-begun
--- a/drive/sim/turns.go
+++ b/drive/sim/turns.go
@@ -16,7 +16,7 @@
 // scheduler takes turns, as the agents do; messages take a hop.
 type turns struct {
 	sim    *Sim
-	keeper *turn.Keeper
+	keeper *turn.Coordinator
 	// wakeAt is when the keeper is next asked to give, zero when not planned.
 	wakeAt magno.Millis
 }
@@ -39,16 +39,16 @@
 
 func newTurns(s *Sim) *turns {
 	d := &s.Load.Deploy
-	return &turns{sim: s, keeper: &turn.Keeper{Clock: s.clock, Rate: d.LoadRate, Width: d.LoadWidth, Load: d.Limits.Load}}
+	return &turns{sim: s, keeper: &turn.Coordinator{Clock: s.clock, Rate: d.LoadRate, MaxLoads: d.LoadWidth, LoadTime: d.Limits.Load}}
 }
 
 // give sends out the turns that begin now and plans the next look.
 func (t *turns) give() {
-	for _, given := range t.keeper.Give() {
+	for _, given := range t.keeper.Grant() {
 		up := t.sim.ups[given.Agent]
 		t.sim.after(t.sim.Load.Deploy.Hop, func() { up.taken(given) })
 	}
-	when := t.keeper.Wake()
+	when := t.keeper.NextWake()
 	if t.wakeAt > t.sim.clock.Now() && t.wakeAt <= when {
 		return
 	}
@@ -56,7 +56,7 @@
 	t.sim.at(when, func() {
 		if t.wakeAt == t.sim.clock.Now() {
 			t.wakeAt = 0
-			if t.keeper.Asks() > 0 {
+			if t.keeper.Pending() > 0 {
 				t.give()
 			}
 		}
@@ -84,15 +84,15 @@
 	case h.has || h.busy > 0:
 	case !ok && h.askedAt != 0:
 		h.askedAt = 0
-		u.tell(func(k *turn.Keeper) { k.Drop(u.name) })
+		u.tell(func(k *turn.Coordinator) { k.Cancel(u.name) })
 	case ok && (h.askedAt == 0 || ref != h.asked || now >= h.askedAt+askAgain):
 		h.asked, h.askedAt = ref, now
-		u.tell(func(k *turn.Keeper) { k.Want(turn.Ask{Agent: u.name, Ref: ref, Harm: harm}) })
+		u.tell(func(k *turn.Coordinator) { k.Submit(turn.Request{Agent: u.name, Ref: ref, DelayCost: harm}) })
 	}
 }
 
 // tell brings a message to the keeper.
-func (u *upstream) tell(do func(k *turn.Keeper)) {
+func (u *upstream) tell(do func(k *turn.Coordinator)) {
 	t := u.sim.turns
 	u.sim.after(u.sim.Load.Deploy.Hop, func() {
 		do(t.keeper)
@@ -117,5 +117,5 @@
 	h.has = false
 	h.turner.Turn(0)
 	id := h.turn.ID
-	u.tell(func(k *turn.Keeper) { k.End(id) })
+	u.tell(func(k *turn.Coordinator) { k.Release(id) })
 }
--- a/magno/turn/bench_test.go
+++ b/magno/turn/bench_test.go
@@ -13,23 +13,23 @@
 	for _, agents := range []int{18, 10000} {
 		b.Run(fmt.Sprint(agents), func(b *testing.B) {
 			clock := magno.NewClock(1_000_000)
-			k := &Keeper{Clock: clock, Rate: 6, Width: 2, Load: 333}
+			k := &Coordinator{Clock: clock, Rate: 6, MaxLoads: 2, LoadTime: 333}
 			names := make([]string, agents)
 			for i := range names {
 				names[i] = fmt.Sprint(i)
-				k.Want(Ask{Agent: names[i], Harm: float64(i)})
+				k.Submit(Request{Agent: names[i], DelayCost: float64(i)})
 			}
 			var held []Turn
 			i := 0
 			for b.Loop() {
 				i++
-				k.Want(Ask{Agent: names[i%agents], Harm: float64(i)})
+				k.Submit(Request{Agent: names[i%agents], DelayCost: float64(i)})
 				if i%6 == 0 {
 					clock.Advance(1)
 				}
-				held = append(held, k.Give()...)
+				held = append(held, k.Grant()...)
 				if i%1000 == 0 && len(held) > 0 {
-					k.End(held[0].ID)
+					k.Release(held[0].ID)
 					held = held[1:]
 				}
 			}
--- a/magno/turn/turn.go
+++ b/magno/turn/turn.go
@@ -44,13 +44,13 @@
 )
 
 // Ask is an agent's request for a turn. A later one replaces it.
-type Ask struct {
+type Request struct {
 	Agent string    `json:"agent"`
 	Ref   magno.Ref `json:"ref"`
 	// Harm is that of the wait; see magno.Turner.
-	Harm float64 `json:"harm"`
+	DelayCost float64 `json:"harm"`
 	// At is when the keeper got it.
-	At magno.Millis `json:"-"`
+	ReceivedAt magno.Millis `json:"-"`
 }
 
 // Turn is the right to run one load.
@@ -70,14 +70,14 @@
 
 // Keeper gives turns. One goroutine calls it. Its exported fields are set
 // before use.
-type Keeper struct {
+type Coordinator struct {
 	Clock *magno.Clock
 	// Rate is loads a second that the store allows, over zero; Width is how
 	// many run at once, at least 1.
-	Rate  float64
-	Width int
+	Rate     float64
+	MaxLoads int
 	// Load is the time of a load at full speed.
-	Load magno.Millis
+	LoadTime magno.Millis
 
 	begun bool
 	// quiet is until when a new keeper gives no turns.
@@ -87,20 +87,20 @@
 	seq  uint64
 	// swept is when old asks were dropped last.
 	swept  magno.Millis
-	asks   map[string]Ask
+	asks   map[string]Request
 	leases map[uint64]lease
 }
 
 // Lease is how long a turn lasts.
-func (k *Keeper) Lease() magno.Millis { return leaseLoads * max(k.Load, 1) }
+func (k *Coordinator) LeaseTime() magno.Millis { return leaseLoads * max(k.LoadTime, 1) }
 
-func (k *Keeper) setup(now magno.Millis) {
+func (k *Coordinator) setup(now magno.Millis) {
 	if k.begun {
 		return
 	}
 	k.begun = true
-	k.quiet = now + k.Lease() + Grace
-	k.asks, k.leases = map[string]Ask{}, map[uint64]lease{}
+	k.quiet = now + k.LeaseTime() + Grace
+	k.asks, k.leases = map[string]Request{}, map[uint64]lease{}
 	// Turn numbers of an earlier keeper must not come again: an End meant
 	// for it would free a place here.
 	k.seq = uint64(now) << 20
@@ -108,7 +108,7 @@
 
 // Want takes an ask. One whose agent holds a turn is dropped: an agent runs
 // one load at a time.
-func (k *Keeper) Want(a Ask) {
+func (k *Coordinator) Submit(a Request) {
 	now := k.Clock.Now()
 	k.setup(now)
 	for _, l := range k.leases {
@@ -116,7 +116,7 @@
 			return
 		}
 	}
-	a.At = now
+	a.ReceivedAt = now
 	k.asks[a.Agent] = a
 	if len(k.asks) > mostAsks {
 		delete(k.asks, k.least())
@@ -124,10 +124,10 @@
 }
 
 // Drop forgets the agent's ask: nothing waits there any more.
-func (k *Keeper) Drop(agent string) { delete(k.asks, agent) }
+func (k *Coordinator) Cancel(agent string) { delete(k.asks, agent) }
 
-func (k *Keeper) least() string {
-	least := Ask{}
+func (k *Coordinator) least() string {
+	least := Request{}
 	for _, a := range k.asks {
 		if least.Agent == "" || before(least, a) {
 			least = a
@@ -137,15 +137,15 @@
 }
 
 // before orders asks: most harm first, then by name.
-func before(a, b Ask) bool {
-	if a.Harm != b.Harm {
-		return a.Harm > b.Harm
+func before(a, b Request) bool {
+	if a.DelayCost != b.DelayCost {
+		return a.DelayCost > b.DelayCost
 	}
 	return a.Agent < b.Agent
 }
 
 // Give returns the turns that begin now.
-func (k *Keeper) Give() []Turn {
+func (k *Coordinator) Grant() []Turn {
 	now := k.Clock.Now()
 	k.setup(now)
 	k.expire(now)
@@ -153,12 +153,12 @@
 		return nil
 	}
 	var given []Turn
-	for len(k.asks) > 0 && len(k.leases) < max(k.Width, 1) && k.next <= float64(now) {
+	for len(k.asks) > 0 && len(k.leases) < max(k.MaxLoads, 1) && k.next <= float64(now) {
 		a := k.most()
 		delete(k.asks, a.Agent)
 		k.seq++
-		t := Turn{ID: k.seq, Agent: a.Agent, Ref: a.Ref, Left: k.Lease()}
-		k.leases[t.ID] = lease{turn: t, until: now + k.Lease() + Grace}
+		t := Turn{ID: k.seq, Agent: a.Agent, Ref: a.Ref, Left: k.LeaseTime()}
+		k.leases[t.ID] = lease{turn: t, until: now + k.LeaseTime() + Grace}
 		// One turn may be saved up, or each late call of Give would lose some
 		// of the rate for good.
 		each := float64(magno.Second) / k.Rate
@@ -170,8 +170,8 @@
 
 // most returns the ask that waits with most harm. The walk is over all asks,
 // but only for a turn that is given, of which the store allows few a second.
-func (k *Keeper) most() Ask {
-	most := Ask{}
+func (k *Coordinator) most() Request {
+	most := Request{}
 	for _, a := range k.asks {
 		if most.Agent == "" || before(a, most) {
 			most = a
@@ -181,7 +181,7 @@
 }
 
 // expire ends turns whose time is over, and now and then drops old asks.
-func (k *Keeper) expire(now magno.Millis) {
+func (k *Coordinator) expire(now magno.Millis) {
 	for id, l := range k.leases {
 		if now >= l.until {
 			delete(k.leases, id)
@@ -192,7 +192,7 @@
 	}
 	k.swept = now
 	for agent, a := range k.asks {
-		if now-a.At > askKeep {
+		if now-a.ReceivedAt > askKeep {
 			delete(k.asks, agent)
 		}
 	}
@@ -200,7 +200,7 @@
 
 // End ends a turn early; it tells whether the turn still stood. Only the call
 // that removes the turn frees its place.
-func (k *Keeper) End(id uint64) bool {
+func (k *Coordinator) Release(id uint64) bool {
 	if _, ok := k.leases[id]; !ok {
 		return false
 	}
@@ -209,12 +209,12 @@
 }
 
 // Wake is when Give is worth calling again, if no ask or end comes before.
-func (k *Keeper) Wake() magno.Millis {
+func (k *Coordinator) NextWake() magno.Millis {
 	now := k.Clock.Now()
 	k.setup(now)
 	at := max(k.quiet, magno.Millis(k.next)+1)
-	if len(k.leases) >= max(k.Width, 1) {
-		first := now + k.Lease() + Grace
+	if len(k.leases) >= max(k.MaxLoads, 1) {
+		first := now + k.LeaseTime() + Grace
 		for _, l := range k.leases {
 			first = min(first, l.until)
 		}
@@ -225,9 +225,9 @@
 
 // Alone is the time between loads of one agent of n while no keeper can be
 // reached.
-func (k *Keeper) Alone(n int) magno.Millis {
+func (k *Coordinator) FallbackInterval(n int) magno.Millis {
 	return magno.Millis(float64(magno.Second) * float64(max(n, 1)) / k.Rate)
 }
 
 // Asks counts the agents that wait for a turn.
-func (k *Keeper) Asks() int { return len(k.asks) }
+func (k *Coordinator) Pending() int { return len(k.asks) }
--- a/magno/turn/turn_test.go
+++ b/magno/turn/turn_test.go
@@ -15,7 +15,7 @@
 func TestTurns(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		clock := magno.NewClock(1_000_000)
-		fresh := func() *Keeper { return &Keeper{Clock: clock, Rate: 6, Width: 2, Load: 300} }
+		fresh := func() *Coordinator { return &Coordinator{Clock: clock, Rate: 6, MaxLoads: 2, LoadTime: 300} }
 		k := fresh()
 		// held maps a turn to when it is over at the latest.
 		held := map[uint64]magno.Millis{}
@@ -28,13 +28,13 @@
 					delete(held, id)
 				}
 			}
-			for _, turn := range k.Give() {
+			for _, turn := range k.Grant() {
 				held[turn.ID] = now + turn.Left + Grace
 				known = append(known, turn.ID)
 				given = append(given, now)
 			}
-			if len(held) > k.Width {
-				t.Fatalf("%d turns at once, %d allowed", len(held), k.Width)
+			if len(held) > k.MaxLoads {
+				t.Fatalf("%d turns at once, %d allowed", len(held), k.MaxLoads)
 			}
 			for i := range given {
 				n := float64(len(given) - i)
@@ -46,7 +46,7 @@
 		t.Repeat(map[string]func(*rapid.T){
 			"want": func(t *rapid.T) {
 				agent := fmt.Sprintf("a%d", rapid.IntRange(0, 9).Draw(t, "agent"))
-				k.Want(Ask{Agent: agent, Harm: rapid.Float64Range(0, 100).Draw(t, "harm")})
+				k.Submit(Request{Agent: agent, DelayCost: rapid.Float64Range(0, 100).Draw(t, "harm")})
 			},
 			"give":  give,
 			"give2": give,
@@ -56,7 +56,7 @@
 				}
 				id := rapid.SampledFrom(known).Draw(t, "id")
 				until, stands := held[id]
-				if got := k.End(id); got && (!stands || clock.Now() > until+Grace) {
+				if got := k.Release(id); got && (!stands || clock.Now() > until+Grace) {
 					t.Fatalf("turn %d ended twice", id)
 				}
 				delete(held, id)
@@ -75,18 +75,18 @@
 // whoever asked first.
 func TestMostHarmfulFirst(t *testing.T) {
 	clock := magno.NewClock(1_000_000)
-	k := &Keeper{Clock: clock, Rate: 2, Width: 1, Load: 500}
-	k.Give()
-	clock.Advance(k.Lease() + Grace)
+	k := &Coordinator{Clock: clock, Rate: 2, MaxLoads: 1, LoadTime: 500}
+	k.Grant()
+	clock.Advance(k.LeaseTime() + Grace)
 	for i, harm := range []float64{1, 9, 5} {
-		k.Want(Ask{Agent: fmt.Sprint(i), Harm: harm})
+		k.Submit(Request{Agent: fmt.Sprint(i), DelayCost: harm})
 	}
 	for _, want := range []string{"1", "2", "0"} {
-		turns := k.Give()
+		turns := k.Grant()
 		if len(turns) != 1 || turns[0].Agent != want {
 			t.Fatalf("got %+v, want %s", turns, want)
 		}
-		if !k.End(turns[0].ID) || k.End(turns[0].ID) {
+		if !k.Release(turns[0].ID) || k.Release(turns[0].ID) {
 			t.Fatal("a turn doesn't end once")
 		}
 		clock.Advance(500)
