--- a/agent/keep/calls.go
+++ b/agent/keep/calls.go
@@ -55,7 +55,7 @@
 	}
 	select {
 	case r := <-ch:
-		k.recent.Short(&r.Status, call.Held)
+		k.recent.Trim(&r.Status, call.ListsHash)
 		return r, nil
 	case <-ctx.Done(): // the entry is gone, and with it the request
 		k.post(context.WithoutCancel(ctx), func() { k.drop(call.ID, false) })
@@ -68,16 +68,16 @@
 	k.asks[call.ID] = ch
 	k.specify(call.Spec, call.Revision, call.ID)
 	r := k.check(call)
-	if r == nil && k.gate.Declines(&call.Ask) {
+	if r == nil && k.gate.Declines(&call.Request) {
 		k.served.declined.Inc()
 		k.reply(call.ID, gate.PermitReply{Declined: true})
 		return
 	}
 	if r == nil {
-		r = k.gate.Offer(call.Ask)
+		r = k.gate.Offer(call.Request)
 	}
 	if r != nil {
-		k.refused(call.ID, r, "rank", call.Rank, "left", call.Left)
+		k.refused(call.ID, r, "rank", call.Rank, "left", call.TimeLeft)
 		k.served.refusals.Inc()
 		k.reply(call.ID, gate.PermitReply{Refusal: r})
 	}
@@ -112,7 +112,7 @@
 		return nil, err
 	}
 	k.post(ctx, func() {
-		k.gate.Paused(call.ID, call.Pause)
+		k.gate.RecordPause(call.ID, call.MaxPause)
 		k.drop(call.ID, call.OK)
 	})
 	return nil, nil
@@ -130,7 +130,7 @@
 	}
 	select {
 	case r := <-ch:
-		k.recent.Short(&r, call.Held)
+		k.recent.Trim(&r, call.ListsHash)
 		return r, nil
 	case <-ctx.Done():
 		return nil, ctx.Err()
@@ -153,5 +153,5 @@
 		k.Log.Info("replica", "is", spec.Replica, "was", was, "rev", revision, "from", from)
 	}
 	k.revision = revision
-	k.gate.Specify(*spec)
+	k.gate.SetSpec(*spec)
 }
--- a/agent/keep/keep.go
+++ b/agent/keep/keep.go
@@ -61,7 +61,7 @@
 	pressed atomic.Bool
 	served  served
 	// recent are the lists that entries may have.
-	recent gate.Recent
+	recent gate.ListHistory
 }
 
 // Open takes the methods on the mesh, before either runs.
@@ -132,14 +132,14 @@
 
 // step carries out what the gate decides.
 func (k *Keep) step() {
-	s := k.gate.Next()
+	s := k.gate.Decide()
 	for _, g := range s.Grants {
 		k.served.grants.Inc()
 		k.served.waited(g.Waited, &g.Waits)
 		k.reply(g.ID, gate.PermitReply{Version: g.Version, Waits: g.Waits})
 	}
-	for _, t := range s.Turned {
-		k.refused(t.ID, t.Refusal, t.Waits.Line()...)
+	for _, t := range s.Rejections {
+		k.refused(t.ID, t.Refusal, t.Waits.LogArgs()...)
 		k.served.refusals.Inc()
 		k.reply(t.ID, gate.PermitReply{Refusal: t.Refusal, Waits: t.Waits})
 	}
@@ -177,11 +177,11 @@
 // state is what entries are told.
 func (k *Keep) state() gate.StatusReply {
 	r := gate.StatusReply{
-		Replica: k.gate.Spec().Replica, Revision: k.revision, Born: k.born,
+		Replica: k.gate.Spec().Replica, Revision: k.revision, EngineStart: k.born,
 		Down: k.down, Leaving: k.leaving, Backlog: k.gate.Backlog(),
 	}
-	r.Hold()
-	k.recent.Note(&r)
+	r.SetListsHash()
+	k.recent.Record(&r)
 	return r
 }
 
--- a/agent/keep/keep_test.go
+++ b/agent/keep/keep_test.go
@@ -150,8 +150,8 @@
 	ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 	defer cancel()
 	var reply gate.PermitReply
-	err := a.caller.Call(ctx, a.addr, gate.MethodPermit, gate.PermitCall{Replica: "r@1", Ask: gate.Ask{
-		ID: id, Model: "m", Adapter: "x", Prompt: 100, Output: 50, Aim: 60000, Patience: 60000, Left: 60000,
+	err := a.caller.Call(ctx, a.addr, gate.MethodPermit, gate.PermitCall{Replica: "r@1", Request: gate.Request{
+		ID: id, Model: "m", Adapter: "x", Prompt: 100, MaxOutput: 50, StartTarget: 60000, MaxWait: 60000, TimeLeft: 60000,
 	}}, &reply)
 	return &reply, err
 }
@@ -176,8 +176,8 @@
 	a := start(t, newEngine())
 	ask := func(revision int64, replica string) *magno.Refusal {
 		var reply gate.PermitReply
-		call := gate.PermitCall{Replica: replica, Spec: spec(replica), Revision: revision, Ask: gate.Ask{
-			ID: replica, Model: "m", Adapter: "x", Prompt: 100, Output: 50, Aim: 60000, Patience: 60000, Left: 60000,
+		call := gate.PermitCall{Replica: replica, Spec: spec(replica), Revision: revision, Request: gate.Request{
+			ID: replica, Model: "m", Adapter: "x", Prompt: 100, MaxOutput: 50, StartTarget: 60000, MaxWait: 60000, TimeLeft: 60000,
 		}}
 		if err := a.caller.Call(t.Context(), a.addr, gate.MethodPermit, call, &reply); err != nil {
 			t.Fatal(err)
--- a/agent/keep/speak.go
+++ b/agent/keep/speak.go
@@ -90,7 +90,7 @@
 		k.Log.Info("engine", "born", r.Born, "before", k.born, "models", len(r.Held))
 	}
 	k.born, k.asked, k.down = r.Born, asked, false
-	k.gate.Reported(r, asked)
+	k.gate.ApplyReport(r, asked)
 }
 
 // order gives one command and tells the gate what became of it.
@@ -114,7 +114,7 @@
 	}
 	s.served.orders.Inc()
 	at := s.Clock.Now()
-	s.post(ctx, func() { s.gate.Ordered(c, o, at) })
+	s.post(ctx, func() { s.gate.ApplyOutcome(c, o, at) })
 }
 
 // basis is what an order rests on: the incarnation that it is for, with the
--- a/drive/scene/engine.go
+++ b/drive/scene/engine.go
@@ -25,20 +25,20 @@
 	e.settle(now)
 	s.ended(e, now)
 	if now%reportEvery < tick {
-		e.gate.Reported(e.report(now), now)
+		e.gate.ApplyReport(e.report(now), now)
 	}
-	steps := e.gate.Next()
+	steps := e.gate.Decide()
 	for _, g := range steps.Grants {
 		s.begin(i, e, s.flights[g.ID])
 	}
-	for _, t := range steps.Turned {
+	for _, t := range steps.Rejections {
 		f := s.flights[t.ID]
 		s.routers[f.Entry].Sent(e.name, -f.Prompt)
 		f.avoid = append(f.avoid, e.name)
 		s.offer(f)
 	}
 	for _, c := range e.gate.Commands() {
-		e.gate.Ordered(c, s.obey(e, c, now), now)
+		e.gate.ApplyOutcome(c, s.obey(e, c, now), now)
 	}
 	if (now+magno.Millis(i)*tick)%s.Shape.Tell < tick {
 		for _, r := range s.routers {
@@ -71,7 +71,7 @@
 			continue
 		}
 		delete(e.runs, id)
-		e.gate.Paused(id, r.pause)
+		e.gate.RecordPause(id, r.pause)
 		e.gate.Done(id, !r.fails)
 		s.routers[f.Entry].Ended(e.name, f.Prompt, now-f.began, !r.fails)
 		switch {
--- a/drive/scene/scene.go
+++ b/drive/scene/scene.go
@@ -209,7 +209,7 @@
 		if s.Cold {
 			e.ready = 0
 		}
-		e.gate.Specify(gate.Spec{Replica: e.name, ID: e.name, Engine: magno.Engine{
+		e.gate.SetSpec(gate.Spec{Replica: e.name, ID: e.name, Engine: magno.Engine{
 			Models: []magno.Model{{Name: model, Size: 66_000, Adapter: 12, Load: base, Disk: base / 2}},
 			Slots:  s.Shape.Slots, Memory: memory, Tokens: tokens, Batch: s.Shape.Batch, Stride: stride,
 		}})
@@ -270,7 +270,7 @@
 // is better by now.
 func (s *Scene) offer(f *flight) {
 	router := s.routers[f.Entry]
-	q := magno.Query{Ref: magno.Ref{Adapter: gate.Name(model, f.Adapter)}, Aim: f.Aim, Gap: gap, Avoid: f.avoid}
+	q := magno.Query{Ref: magno.Ref{Adapter: gate.QualifiedName(model, f.Adapter)}, Aim: f.Aim, Gap: gap, Avoid: f.avoid}
 	choice := router.Choose(q)
 	for range declines {
 		if !s.declined(f, choice) {
@@ -301,7 +301,7 @@
 	}
 	e := s.engine(choice.Names[0])
 	a := s.ask(f)
-	a.Most = choice.Most
+	a.DeclineAbove = choice.Most
 	if e.lost || !e.gate.Declines(&a) {
 		return false
 	}
@@ -310,12 +310,12 @@
 }
 
 // ask is a flight as a gate sees it.
-func (s *Scene) ask(f *flight) gate.Ask {
+func (s *Scene) ask(f *flight) gate.Request {
 	now := s.clock.Now()
 	left := f.began + f.Limit - now
-	return gate.Ask{
-		ID: f.id, Model: model, Adapter: f.Adapter, Prompt: f.Prompt, Output: f.Output, Length: f.Hint, Rank: f.Rank,
-		Aim: f.Aim - (now - f.began), Patience: left - lateLeft, Left: left, Gap: gap,
+	return gate.Request{
+		ID: f.id, Model: model, Adapter: f.Adapter, Prompt: f.Prompt, MaxOutput: f.Output, ExpectedOutput: f.Hint, Rank: f.Rank,
+		StartTarget: f.Aim - (now - f.began), MaxWait: left - lateLeft, TimeLeft: left, MaxGap: gap,
 	}
 }
 
--- a/entry/desk/desk.go
+++ b/entry/desk/desk.go
@@ -254,9 +254,9 @@
 	ctx, cancel := context.WithTimeout(ctx, pollTime.Span())
 	defer cancel()
 	d.mu.Lock()
-	spec, revision, held := s.spec, s.revision, s.status.Held
+	spec, revision, held := s.spec, s.revision, s.status.ListsHash
 	d.mu.Unlock()
-	call := gate.StatusCall{Revision: revision, Held: held}
+	call := gate.StatusCall{Revision: revision, ListsHash: held}
 	var reply gate.StatusReply
 	err := d.Mesh.Call(ctx, s.addr, gate.MethodStatus, call, &reply)
 	if err == nil && (reply.Revision < revision || (reply.Replica != spec.Replica && reply.Revision <= revision)) {
@@ -293,7 +293,7 @@
 // heard takes an agent's state, told to an entry that had the list held.
 func (d *Desk) heard(s *seat, reply *gate.StatusReply, held uint64) {
 	d.mu.Lock()
-	reply.Fill(held, &s.status)
+	reply.Restore(held, &s.status)
 	if s.dead {
 		s.dead, s.lost = false, make(chan struct{})
 		d.Log.Info("agent back", "replica", s.replica.Key(), "addr", s.addr)
--- a/entry/desk/desk_test.go
+++ b/entry/desk/desk_test.go
@@ -152,7 +152,7 @@
 		d.mu.Unlock()
 		ctx, leave := context.WithCancel(context.Background())
 		leave()
-		if _, err := d.Permit(ctx, key, gate.Ask{ID: "1"}); err == nil {
+		if _, err := d.Permit(ctx, key, gate.Request{ID: "1"}); err == nil {
 			t.Fatal("a caller that left got a permit")
 		}
 		d.mu.Lock()
@@ -172,7 +172,7 @@
 	d, _ := start(t, a)
 	until(t, "the agent", d.heardOnce)
 	permit := func() {
-		if _, err := d.Permit(context.Background(), key, gate.Ask{ID: "1"}); err != nil {
+		if _, err := d.Permit(context.Background(), key, gate.Request{ID: "1"}); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -200,7 +200,7 @@
 	until(t, "the agent's state", d.heardOnce)
 	got := make(chan error, 1)
 	go func() {
-		_, err := d.Permit(context.Background(), key, gate.Ask{ID: "1"})
+		_, err := d.Permit(context.Background(), key, gate.Request{ID: "1"})
 		got <- err
 	}()
 	a.mu.Lock()
@@ -224,7 +224,7 @@
 	until(t, "the agent's state", func() bool { return d.Holds(key, "m/a") })
 	got := make(chan error, 1)
 	go func() {
-		_, err := d.Permit(context.Background(), key, gate.Ask{ID: "1"})
+		_, err := d.Permit(context.Background(), key, gate.Request{ID: "1"})
 		got <- err
 	}()
 	lose()
@@ -232,7 +232,7 @@
 		t.Fatalf("got %v, want ErrDead", err)
 	}
 	until(t, "the loss", func() bool {
-		_, err := d.Permit(context.Background(), key, gate.Ask{ID: "2"})
+		_, err := d.Permit(context.Background(), key, gate.Request{ID: "2"})
 		return errors.Is(err, ErrDead)
 	})
 	if !d.Holds(key, "m/a") {
@@ -248,7 +248,7 @@
 	until(t, "the agent's state", func() bool { return !d.Down(key) && d.heardOnce() })
 	ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
 	defer cancel()
-	if _, err := d.Permit(ctx, key, gate.Ask{ID: "1"}); err == nil {
+	if _, err := d.Permit(ctx, key, gate.Request{ID: "1"}); err == nil {
 		t.Fatal("the wait ended without an error")
 	}
 	until(t, "the word of it", func() bool {
--- a/entry/desk/lost_test.go
+++ b/entry/desk/lost_test.go
@@ -121,7 +121,7 @@
 		return r.Key()
 	}
 	before := list(1, 100)
-	status := gate.StatusReply{Replica: before, Born: 100, Backlog: magno.Backlog{Warm: []uint32{magno.Ref{Adapter: "m/a"}.Hash()}}}
+	status := gate.StatusReply{Replica: before, EngineStart: 100, Backlog: magno.Backlog{Warm: []uint32{magno.Ref{Adapter: "m/a"}.Hash()}}}
 	d.heard(d.seats[before], &status, 0)
 	if !d.Holds(before, "m/a") {
 		t.Fatal("what the engine holds isn't known")
@@ -131,7 +131,7 @@
 		t.Errorf("the one before holds %v, is down %v; this one holds %v, is down %v",
 			d.Holds(before, "m/a"), d.Down(before), d.Holds(now, "m/a"), d.Down(now))
 	}
-	if _, err := d.Permit(t.Context(), before, gate.Ask{ID: "1"}); !errors.Is(err, ErrDead) {
+	if _, err := d.Permit(t.Context(), before, gate.Request{ID: "1"}); !errors.Is(err, ErrDead) {
 		t.Errorf("a permit for the one before ends with %v", err)
 	}
 }
--- a/entry/desk/permit.go
+++ b/entry/desk/permit.go
@@ -12,7 +12,7 @@
 
 // Permit asks that a request may begin at a replica, and waits. ErrDead means
 // that nobody decided.
-func (d *Desk) Permit(ctx context.Context, key string, ask gate.Ask) (*gate.PermitReply, error) {
+func (d *Desk) Permit(ctx context.Context, key string, ask gate.Request) (*gate.PermitReply, error) {
 	d.mu.Lock()
 	s := d.seats[key]
 	if s == nil || s.dead {
@@ -21,7 +21,7 @@
 	}
 	s.used = d.Clock.Now()
 	lost, addr := s.lost, s.addr
-	call := gate.PermitCall{Ask: ask, Replica: key, Held: s.status.Held}
+	call := gate.PermitCall{Request: ask, Replica: key, ListsHash: s.status.ListsHash}
 	if s.status.Replica != key {
 		// The agent's turn to be polled may be a second away, and after a loss
 		// of all power that is so for all agents.
@@ -44,7 +44,7 @@
 		}
 		return nil, errors.Mark(err, ErrDead)
 	}
-	d.heard(s, &reply.Status, call.Held)
+	d.heard(s, &reply.Status, call.ListsHash)
 	d.mu.Lock()
 	s.asked = d.Clock.Now()
 	d.mu.Unlock()
--- a/entry/desk/seat.go
+++ b/entry/desk/seat.go
@@ -38,13 +38,13 @@
 // down tells whether the engine is known not to answer, or to have started anew
 // since the list named this incarnation.
 func (s *seat) down() bool {
-	return !s.dead && (s.status.Down || (s.status.Born != 0 && s.status.Born != s.replica.Born))
+	return !s.dead && (s.status.Down || (s.status.EngineStart != 0 && s.status.EngineStart != s.replica.Born))
 }
 
 // calm tells whether an agent's state is, for those who choose among engines, the one
 // before: nobody waits there, and the engine holds what it held.
 func calm(was, is *gate.StatusReply) bool {
-	return was.Replica == is.Replica && was.Held == is.Held && was.Down == is.Down && was.Leaving == is.Leaving &&
+	return was.Replica == is.Replica && was.ListsHash == is.ListsHash && was.Down == is.Down && was.Leaving == is.Leaving &&
 		is.Backlog.Wait <= calmWait && is.Backlog.BaseWait == 0 && len(is.Backlog.Coming) == 0
 }
 
--- a/entry/desk/share.go
+++ b/entry/desk/share.go
@@ -150,13 +150,13 @@
 	if !newer {
 		return
 	}
-	held := a.Held
+	held := a.ListsHash
 	d.heard(s, a, held)
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	// Changes of a list that this entry hasn't, or an agent that knows less than it:
 	// then this entry asks by itself.
-	if s.status.Held == held && a.Revision >= s.revision {
+	if s.status.ListsHash == held && a.Revision >= s.revision {
 		s.asked, s.told = d.Clock.Now(), s.revision
 	}
 }
--- a/entry/desk/share_test.go
+++ b/entry/desk/share_test.go
@@ -159,7 +159,7 @@
 func TestWordOfAnotherListIsNotTaken(t *testing.T) {
 	reply := func(warm ...uint32) gate.StatusReply {
 		r := gate.StatusReply{Replica: "1@0", Backlog: magno.Backlog{Warm: warm}}
-		r.Hold()
+		r.SetListsHash()
 		return r
 	}
 	for _, c := range []struct {
@@ -177,9 +177,9 @@
 		asked := s.asked
 		clock.Advance(300)
 		was, is := reply(1, 2), reply(2, 3)
-		var recent gate.Recent
-		recent.Note(&was)
-		recent.Short(&is, was.Held)
+		var recent gate.ListHistory
+		recent.Record(&was)
+		recent.Trim(&is, was.ListsHash)
 		d.told(&is)
 		if got := fmt.Sprint(s.status.Backlog.Warm); got != fmt.Sprint(c.want) || (s.asked == asked) != c.asks {
 			t.Errorf("%s: has %s, asks itself %v", c.name, got, s.asked == asked)
--- a/entry/relay/help_test.go
+++ b/entry/relay/help_test.go
@@ -127,8 +127,8 @@
 	declines func(key string) bool
 }
 
-func (p *permits) Permit(_ context.Context, key string, ask gate.Ask) (*gate.PermitReply, error) {
-	if p.declines != nil && ask.Most > 0 && p.declines(key) {
+func (p *permits) Permit(_ context.Context, key string, ask gate.Request) (*gate.PermitReply, error) {
+	if p.declines != nil && ask.DeclineAbove > 0 && p.declines(key) {
 		return &gate.PermitReply{Declined: true}, nil
 	}
 	if p.dead {
--- a/entry/relay/job.go
+++ b/entry/relay/job.go
@@ -198,7 +198,7 @@
 	if j.service.Engine == nil {
 		return magno.Ref{}
 	}
-	return magno.Ref{Adapter: gate.Name(j.call.Model, j.call.Adapter)}
+	return magno.Ref{Adapter: gate.QualifiedName(j.call.Model, j.call.Adapter)}
 }
 
 // replicas finds the incarnations that a router named.
--- a/entry/relay/permit.go
+++ b/entry/relay/permit.go
@@ -73,7 +73,7 @@
 	sent := j.Clock.Now()
 	res = j.send(ctx, r, j.rank())
 	router.Ended(key, work, j.Clock.Now()-sent, res != resultUnsent && res != resultFailed)
-	j.Permits.End(key, gate.EndCall{ID: id, OK: res == resultDone, Pause: j.pause})
+	j.Permits.End(key, gate.EndCall{ID: id, OK: res == resultDone, MaxPause: j.pause})
 	return res, true
 }
 
@@ -84,7 +84,7 @@
 func (j *job) permit(ctx context.Context, key string, most magno.Millis) (string, result) {
 	from := j.Clock.Now()
 	ask := j.ask(from)
-	ask.Most = most
+	ask.DeclineAbove = most
 	reply, err := j.Permits.Permit(ctx, key, ask)
 	j.waited += j.Clock.Now() - from
 	if err == nil {
@@ -98,7 +98,7 @@
 		return "", resultGone
 	case err != nil:
 		// Nobody decides there now. What the engine held goes without.
-		if !j.Permits.Holds(key, gate.Name(j.call.Model, j.call.Adapter)) {
+		if !j.Permits.Holds(key, gate.QualifiedName(j.call.Model, j.call.Adapter)) {
 			return "", resultRefused
 		}
 	case reply.Declined:
@@ -118,19 +118,19 @@
 }
 
 // ask is the request as the gate sees it.
-func (j *job) ask(now magno.Millis) gate.Ask {
+func (j *job) ask(now magno.Millis) gate.Request {
 	left := j.end - now
 	due, until := j.awaited()
 	patience := left - leastRun
 	if j.route.Kind == magno.KindStream {
 		patience = min(patience, until-waitSlack-now)
 	}
-	return gate.Ask{
+	return gate.Request{
 		ID:    j.Name + "/" + strconv.FormatUint(j.number.Add(1), 10) + "/" + j.id,
-		Model: j.call.Model, Adapter: j.call.Adapter, Prompt: j.call.Prompt, Output: j.call.Output, Length: j.call.Length,
-		Shared: j.call.Shared, Prefix: j.call.Prefix, Rank: j.rank(),
-		Aim: due - now, Patience: patience, Left: left,
-		Gap: j.route.Gap,
+		Model: j.call.Model, Adapter: j.call.Adapter, Prompt: j.call.Prompt, MaxOutput: j.call.Output, ExpectedOutput: j.call.Length,
+		PrefixTokens: j.call.Shared, PrefixHash: j.call.Prefix, Rank: j.rank(),
+		StartTarget: due - now, MaxWait: patience, TimeLeft: left,
+		MaxGap: j.route.Gap,
 	}
 }
 
--- a/entry/relay/relay.go
+++ b/entry/relay/relay.go
@@ -58,7 +58,7 @@
 
 // Permits decide when a request may begin; desk.Desk implements them.
 type Permits interface {
-	Permit(ctx context.Context, key string, ask gate.Ask) (*gate.PermitReply, error)
+	Permit(ctx context.Context, key string, ask gate.Request) (*gate.PermitReply, error)
 	End(key string, call gate.EndCall)
 	Holds(key, name string) bool
 	Down(key string) bool
@@ -315,11 +315,11 @@
 		route = j.route.Name
 	}
 	line := []any{
-		"request", j.id, "route", route, "customer", j.owner(), "adapter", gate.Name(j.call.Model, j.call.Adapter), "status", status, "outcome", outcome, "why", why,
+		"request", j.id, "route", route, "customer", j.owner(), "adapter", gate.QualifiedName(j.call.Model, j.call.Adapter), "status", status, "outcome", outcome, "why", why,
 		"replica", j.at, "tries", j.tries, "waited", j.waited, "took", took, "events", j.events, "first", j.first, "pause", j.pause,
 		"config", j.version(), "age", j.Book.Age(), "sure", j.sure,
 	}
-	j.Log.Info("request", append(line, j.waits.Line()...)...)
+	j.Log.Info("request", append(line, j.waits.LogArgs()...)...)
 }
 
 func (j *job) version() int64 {
--- a/entry/relay/stream_test.go
+++ b/entry/relay/stream_test.go
@@ -136,8 +136,8 @@
 			Relay: &Relay{}, route: &magno.Route{Kind: magno.KindStream, Aim: 800, Gap: 250},
 			came: now - 5000, end: now + 7000, events: c.events, passed: c.passed,
 		}
-		if a := j.ask(now); a.Aim != c.wantAim || a.Patience != c.wantPat {
-			t.Errorf("%s: due in %d ms, waits for %d; want %d and %d", c.name, a.Aim, a.Patience, c.wantAim, c.wantPat)
+		if a := j.ask(now); a.StartTarget != c.wantAim || a.MaxWait != c.wantPat {
+			t.Errorf("%s: due in %d ms, waits for %d; want %d and %d", c.name, a.StartTarget, a.MaxWait, c.wantAim, c.wantPat)
 		}
 	}
 }
--- a/magno/gate/ask.go
+++ b/magno/gate/ask.go
@@ -3,7 +3,7 @@
 import "magnoliastall.example/magno"
 
 // Ask is a request that wants to begin.
-type Ask struct {
+type Request struct {
 	// ID is unique for each send.
 	ID string `json:"id"`
 	// Model is never empty, Adapter is for the bare model.
@@ -11,32 +11,32 @@
 	Adapter string `json:"adapter,omitempty"`
 	// Prompt and Output are tokens. The first Shared tokens of the prompt are
 	// those that Prefix hashes.
-	Prompt int `json:"prompt"`
-	Output int `json:"output"`
+	Prompt    int `json:"prompt"`
+	MaxOutput int `json:"output"`
 	// Length is how many tokens its caller expects, zero when it doesn't say.
-	Length int    `json:"length,omitempty"`
-	Shared int    `json:"shared,omitempty"`
-	Prefix uint64 `json:"prefix,omitempty"`
+	ExpectedOutput int    `json:"length,omitempty"`
+	PrefixTokens   int    `json:"shared,omitempty"`
+	PrefixHash     uint64 `json:"prefix,omitempty"`
 	// Rank is the urgency, 0 first.
 	Rank int `json:"rank"`
 	// Aim is how soon it should begin to be on time, Patience the longest that
 	// it may wait, Left the time to its deadline. All count from now.
-	Aim      magno.Millis `json:"aim"`
-	Patience magno.Millis `json:"patience"`
-	Left     magno.Millis `json:"left"`
+	StartTarget magno.Millis `json:"aim"`
+	MaxWait     magno.Millis `json:"patience"`
+	TimeLeft    magno.Millis `json:"left"`
 	// Most is the longest wait with which this engine is still the best by what
 	// the entry knows, zero for any.
-	Most magno.Millis `json:"most,omitempty"`
+	DeclineAbove magno.Millis `json:"most,omitempty"`
 	// Gap is the longest pause between two events of its stream that is in time,
 	// zero when any is.
-	Gap magno.Millis `json:"gap,omitempty"`
+	MaxGap magno.Millis `json:"gap,omitempty"`
 }
 
 // name is the adapter's with its model, or the model's alone.
-func (a *Ask) name() string { return Name(a.Model, a.Adapter) }
+func (a *Request) name() string { return QualifiedName(a.Model, a.Adapter) }
 
 // Name joins a model and an adapter, which may be empty.
-func Name(model, adapter string) string {
+func QualifiedName(model, adapter string) string {
 	if adapter == "" {
 		return model
 	}
@@ -57,7 +57,7 @@
 
 // waiting is an ask in the queue.
 type waiting struct {
-	Ask
+	Request
 	// due is when it should begin, until when it is given up, end its
 	// deadline.
 	came, due, until, end magno.Millis
@@ -70,7 +70,7 @@
 
 // granted is a request that was let through and hasn't ended.
 type granted struct {
-	ask   Ask
+	ask   Request
 	at    magno.Millis
 	until magno.Millis
 	// unread is what the engine has to read of its prompt, in tokens, until its
@@ -92,7 +92,7 @@
 }
 
 // Turned is a request that is refused; it has not run.
-type Turned struct {
+type Rejection struct {
 	ID      string
 	Refusal *magno.Refusal
 	// Waits is how long it was in the queue, by cause.
@@ -100,7 +100,7 @@
 }
 
 // Steps are what is to be done now. Each is returned once.
-type Steps struct {
-	Grants []Grant
-	Turned []Turned
+type Decisions struct {
+	Grants     []Grant
+	Rejections []Rejection
 }
--- a/magno/gate/calls.go
+++ b/magno/gate/calls.go
@@ -11,10 +11,10 @@
 
 // PermitCall asks that a request may begin on one incarnation of an engine.
 type PermitCall struct {
-	Ask
+	Request
 	Replica string `json:"replica"`
 	// Held is the newest StatusReply.Held that the entry has.
-	Held uint64 `json:"held,omitempty"`
+	ListsHash uint64 `json:"held,omitempty"`
 	// Spec is set where the agent isn't known to have it: one that just started
 	// refuses everything until it does. Revision is the spec's.
 	Spec     *Spec `json:"spec,omitempty"`
@@ -39,7 +39,7 @@
 	// OK is true when the whole answer came.
 	OK bool `json:"ok"`
 	// Pause is the longest between two events of its stream, zero without any.
-	Pause magno.Millis `json:"pause,omitempty"`
+	MaxPause magno.Millis `json:"pause,omitempty"`
 }
 
 // StatusCall asks for an agent's state and tells it what its entry knows.
@@ -51,7 +51,7 @@
 	// Revision orders specs of several entries; the highest is in force.
 	Revision int64 `json:"rev"`
 	// Held is the newest StatusReply.Held that the entry has.
-	Held uint64 `json:"held,omitempty"`
+	ListsHash uint64 `json:"held,omitempty"`
 }
 
 // StatusReply is an agent's state.
@@ -61,29 +61,29 @@
 	Replica  string `json:"replica"`
 	Revision int64  `json:"rev"`
 	// Born is the engine's own, zero while it can't be reached.
-	Born    magno.Millis  `json:"born,omitempty"`
-	Down    bool          `json:"down,omitempty"`
-	Leaving bool          `json:"leaving,omitempty"`
-	Backlog magno.Backlog `json:"backlog"`
+	EngineStart magno.Millis  `json:"born,omitempty"`
+	Down        bool          `json:"down,omitempty"`
+	Leaving     bool          `json:"leaving,omitempty"`
+	Backlog     magno.Backlog `json:"backlog"`
 	// Held stands for Backlog.Warm and Kept, zero for empty lists. They are left
 	// out for an entry that has them: they change with each load only, and are
 	// most of the reply.
-	Held uint64 `json:"held,omitempty"`
+	ListsHash uint64 `json:"held,omitempty"`
 	// Since is the Held of the lists that Warm and Kept are changes of, zero where
 	// the backlog has the lists, or the entry does.
-	Since uint64 `json:"since,omitempty"`
-	Warm  Change `json:"warm,omitzero"`
-	Kept  Change `json:"kept,omitzero"`
+	BaseHash uint64 `json:"since,omitempty"`
+	WarmDiff Diff   `json:"warm,omitzero"`
+	KeptDiff Diff   `json:"kept,omitzero"`
 }
 
 // Hold sets Held by the lists.
-func (r *StatusReply) Hold() {
-	r.Held = 0
+func (r *StatusReply) SetListsHash() {
+	r.ListsHash = 0
 	for _, hash := range r.Backlog.Warm {
-		r.Held = r.Held*holdFactor + uint64(hash) + 1
+		r.ListsHash = r.ListsHash*holdFactor + uint64(hash) + 1
 	}
 	for _, hash := range r.Backlog.Kept {
-		r.Held = (r.Held + uint64(hash) + 1) * holdFactor
+		r.ListsHash = (r.ListsHash + uint64(hash) + 1) * holdFactor
 	}
 }
 
--- a/magno/gate/calls_test.go
+++ b/magno/gate/calls_test.go
@@ -9,7 +9,7 @@
 
 func reply(warm ...uint32) StatusReply {
 	r := StatusReply{Backlog: magno.Backlog{Warm: warm}}
-	r.Hold()
+	r.SetListsHash()
 	return r
 }
 
@@ -33,18 +33,18 @@
 		{"another order is another list", reply(1, 2), reply(2, 1), reply(1, 2), false, []uint32{2, 1}},
 	} {
 		r := c.told
-		var recent Recent // the agent remembers nothing
-		recent.Short(&r, c.known.Held)
+		var recent ListHistory // the agent remembers nothing
+		recent.Trim(&r, c.known.ListsHash)
 		if short := len(r.Backlog.Warm) == 0; short != c.short && len(c.told.Backlog.Warm) > 0 {
 			t.Errorf("%s: left out is %v, want %v", c.name, short, c.short)
 		}
-		r.Fill(c.known.Held, &c.had)
+		r.Restore(c.known.ListsHash, &c.had)
 		if !slices.Equal(r.Backlog.Warm, c.want) {
 			t.Errorf("%s: got %v, want %v", c.name, r.Backlog.Warm, c.want)
 		}
 		after := r
-		if after.Hold(); after.Held != r.Held {
-			t.Errorf("%s: the list %v goes by %d, want %d", c.name, r.Backlog.Warm, r.Held, after.Held)
+		if after.SetListsHash(); after.ListsHash != r.ListsHash {
+			t.Errorf("%s: the list %v goes by %d, want %d", c.name, r.Backlog.Warm, r.ListsHash, after.ListsHash)
 		}
 	}
 }
@@ -54,20 +54,20 @@
 func TestListOfWhatIsKeptIsToldWithTheOther(t *testing.T) {
 	old := reply(1, 2)
 	old.Backlog.Kept = []uint32{5}
-	old.Hold()
+	old.SetListsHash()
 	is := old
 	is.Backlog.Kept = []uint32{5, 6}
-	is.Hold()
-	if is.Held == old.Held {
+	is.SetListsHash()
+	if is.ListsHash == old.ListsHash {
 		t.Fatal("another list goes by the same number")
 	}
 	told := is
-	var recent Recent
-	recent.Short(&told, is.Held)
+	var recent ListHistory
+	recent.Trim(&told, is.ListsHash)
 	if len(told.Backlog.Kept) != 0 {
 		t.Error("the list is told to an entry that has it")
 	}
-	told.Fill(is.Held, &is)
+	told.Restore(is.ListsHash, &is)
 	if !slices.Equal(told.Backlog.Kept, is.Backlog.Kept) {
 		t.Errorf("put back as %v", told.Backlog.Kept)
 	}
@@ -89,20 +89,20 @@
 		{"one in place of another", []uint32{1, 9}, []uint32{2}, []uint32{2, 9}, []uint32{1}, []uint32{2}, []uint32{1}},
 		{"all gone but one", []uint32{1, 2, 3}, []uint32{7}, []uint32{2}, nil, nil, []uint32{1, 3}},
 	} {
-		var recent Recent
+		var recent ListHistory
 		was, is := reply(c.wasWarm...), reply(c.isWarm...)
 		was.Backlog.Kept, is.Backlog.Kept = c.wasKept, c.isKept
-		was.Hold()
-		is.Hold()
-		recent.Note(&was)
-		recent.Note(&is)
+		was.SetListsHash()
+		is.SetListsHash()
+		recent.Record(&was)
+		recent.Record(&is)
 		told := is
-		recent.Short(&told, was.Held)
-		if len(told.Backlog.Warm) != 0 || !slices.Equal(told.Warm.Gained, c.wantWarmer) || !slices.Equal(told.Warm.Lost, c.wantLost) {
-			t.Errorf("%s: told %v and %v", c.name, told.Backlog.Warm, told.Warm)
+		recent.Trim(&told, was.ListsHash)
+		if len(told.Backlog.Warm) != 0 || !slices.Equal(told.WarmDiff.Added, c.wantWarmer) || !slices.Equal(told.WarmDiff.Removed, c.wantLost) {
+			t.Errorf("%s: told %v and %v", c.name, told.Backlog.Warm, told.WarmDiff)
 		}
-		told.Fill(was.Held, &was)
-		if told.Held != is.Held || !slices.Equal(told.Backlog.Warm, c.isWarm) || !slices.Equal(told.Backlog.Kept, c.isKept) {
+		told.Restore(was.ListsHash, &was)
+		if told.ListsHash != is.ListsHash || !slices.Equal(told.Backlog.Warm, c.isWarm) || !slices.Equal(told.Backlog.Kept, c.isKept) {
 			t.Errorf("%s: has %v and %v", c.name, told.Backlog.Warm, told.Backlog.Kept)
 		}
 		if !slices.Equal(was.Backlog.Warm, c.wasWarm) {
@@ -115,33 +115,33 @@
 // that comes late is one of a list that the entry no longer has: applied to another
 // one, it would leave adapters there that are gone, for good.
 func TestChangeOfAnotherListIsNotApplied(t *testing.T) {
-	var recent Recent
+	var recent ListHistory
 	first, second, third := reply(1), reply(1, 2), reply(2, 3)
 	for _, r := range []*StatusReply{&first, &second, &third} {
-		recent.Note(r)
+		recent.Record(r)
 	}
 	late := second
-	recent.Short(&late, first.Held)
-	late.Fill(first.Held, &third)
-	if late.Held != third.Held || !slices.Equal(late.Backlog.Warm, third.Backlog.Warm) {
-		t.Errorf("has %v by %d, want what it had", late.Backlog.Warm, late.Held)
+	recent.Trim(&late, first.ListsHash)
+	late.Restore(first.ListsHash, &third)
+	if late.ListsHash != third.ListsHash || !slices.Equal(late.Backlog.Warm, third.Backlog.Warm) {
+		t.Errorf("has %v by %d, want what it had", late.Backlog.Warm, late.ListsHash)
 	}
 }
 
 // An agent remembers few lists. An entry that asks seldom has one that is forgotten,
 // and is told everything.
 func TestForgottenListIsToldWhole(t *testing.T) {
-	var recent Recent
+	var recent ListHistory
 	old := reply(1)
-	recent.Note(&old)
+	recent.Record(&old)
 	var is StatusReply
 	for i := range uint32(mostRecent) {
 		is = reply(i+2, i+3)
-		recent.Note(&is)
+		recent.Record(&is)
 	}
 	told := is
-	recent.Short(&told, old.Held)
-	if told.Since != 0 || !slices.Equal(told.Backlog.Warm, is.Backlog.Warm) {
-		t.Errorf("told %v since %d", told.Backlog.Warm, told.Since)
+	recent.Trim(&told, old.ListsHash)
+	if told.BaseHash != 0 || !slices.Equal(told.Backlog.Warm, is.Backlog.Warm) {
+		t.Errorf("told %v since %d", told.Backlog.Warm, told.BaseHash)
 	}
 }
--- a/magno/gate/cause.go
+++ b/magno/gate/cause.go
@@ -7,11 +7,11 @@
 
 // The causes of a wait, each apart, since each has another remedy.
 const (
-	CauseModel Cause = iota // its base model isn't there
-	CauseSlot               // every adapter slot is in use
-	CauseLoad               // its adapter is being loaded, or waits for its turn to be
-	CausePlace              // no place among the running requests, or no memory
-	CauseRead               // prompts before it are read first
+	CauseModel    Cause = iota // its base model isn't there
+	CauseSlot                  // every adapter slot is in use
+	CauseLoad                  // its adapter is being loaded, or waits for its turn to be
+	CauseCapacity              // no place among the running requests, or no memory
+	CausePrefill               // prompts before it are read first
 	causes
 )
 
@@ -22,7 +22,7 @@
 func (c Cause) String() string { return causeNames[c] }
 
 // Causes lists all causes.
-func Causes() []Cause { return []Cause{CauseModel, CauseSlot, CauseLoad, CausePlace, CauseRead} }
+func Causes() []Cause { return []Cause{CauseModel, CauseSlot, CauseLoad, CauseCapacity, CausePrefill} }
 
 // Waits is how long a request waited for each cause.
 type Waits [causes]magno.Millis
@@ -35,7 +35,7 @@
 }
 
 // Line lists the causes that there were for a log line, in ms.
-func (w *Waits) Line() []any {
+func (w *Waits) LogArgs() []any {
 	var line []any
 	for c, part := range w {
 		if part > 0 {
@@ -50,7 +50,7 @@
 func (g *Gate) blame(now magno.Millis) {
 	for _, w := range g.queue {
 		w.passed(now)
-		w.cause = g.cause(&w.Ask)
+		w.cause = g.cause(&w.Request)
 	}
 }
 
@@ -61,14 +61,14 @@
 }
 
 // cause tells why a request in the queue can't begin now.
-func (g *Gate) cause(a *Ask) Cause {
+func (g *Gate) cause(a *Request) Cause {
 	switch {
 	case !g.held.models[a.Model]:
 		return CauseModel
 	case g.held.ready(a) && !g.room(a):
-		return CausePlace
+		return CauseCapacity
 	case g.held.ready(a):
-		return CauseRead
+		return CausePrefill
 	case g.held.moving(a.name()) || g.held.fits() || g.spare():
 		return CauseLoad
 	}
--- a/magno/gate/cause_test.go
+++ b/magno/gate/cause_test.go
@@ -15,38 +15,38 @@
 		cause Cause
 		// before fills the engine with what makes the request "x" wait.
 		before func(w *world)
-		ask    Ask
+		ask    Request
 	}{
-		{CauseLoad, func(*world) {}, Ask{Adapter: "x"}},
+		{CauseLoad, func(*world) {}, Request{Adapter: "x"}},
 		{CauseSlot, func(w *world) {
 			for i := range 2 {
 				w.offer(w.ask(fmt.Sprint(i), fmt.Sprint("a", i), 100))
 			}
 			w.run(1200, nil)
-		}, Ask{Adapter: "x"}},
-		{CausePlace, func(w *world) {
+		}, Request{Adapter: "x"}},
+		{CauseCapacity, func(w *world) {
 			w.running = 64
 			w.report()
-		}, Ask{}},
-		{CauseRead, func(w *world) {
+		}, Request{}},
+		{CausePrefill, func(w *world) {
 			for i := range 4 {
 				w.offer(w.ask(fmt.Sprint(i), "", 4000))
 			}
-		}, Ask{}},
+		}, Request{}},
 		{CauseModel, func(w *world) {
-			w.gate.Reported(&magno.Report{Born: 2, Held: map[string]map[string]int64{}}, w.clock.Now())
-		}, Ask{}},
+			w.gate.ApplyReport(&magno.Report{Born: 2, Held: map[string]map[string]int64{}}, w.clock.Now())
+		}, Request{}},
 	}
 	for _, tt := range tests {
 		w := newWorld(t, 2)
 		tt.before(w)
 		a := w.ask("x", tt.ask.Adapter, 100)
-		a.Patience = 6000 // longer than a base model takes to load
+		a.MaxWait = 6000 // longer than a base model takes to load
 		w.offer(a)
 		from := w.clock.Now()
-		w.gate.Next()
+		w.gate.Decide()
 		w.clock.Advance(100)
-		w.gate.Next()
+		w.gate.Decide()
 		i := len(w.gate.queue) - 1
 		if i < 0 {
 			t.Errorf("%s: the request didn't wait", tt.cause)
--- a/magno/gate/gate.go
+++ b/magno/gate/gate.go
@@ -84,7 +84,7 @@
 
 // Specify tells what the engine is. Another incarnation holds nothing of what
 // the one before held, and what ran there is gone.
-func (g *Gate) Specify(s Spec) {
+func (g *Gate) SetSpec(s Spec) {
 	g.setup()
 	if g.spec.Replica != "" && s.Replica != g.spec.Replica {
 		g.forget()
@@ -105,7 +105,7 @@
 }
 
 // Reported takes the engine's report, which was asked for at asked.
-func (g *Gate) Reported(r *magno.Report, asked magno.Millis) {
+func (g *Gate) ApplyReport(r *magno.Report, asked magno.Millis) {
 	g.setup()
 	if g.held.restarted(r) {
 		g.forget()
@@ -115,7 +115,7 @@
 }
 
 // Ordered takes what became of a command, and when its answer came.
-func (g *Gate) Ordered(c magno.Command, o magno.Outcome, at magno.Millis) {
+func (g *Gate) ApplyOutcome(c magno.Command, o magno.Outcome, at magno.Millis) {
 	g.setup()
 	g.held.ordered(c, o, at)
 }
@@ -126,15 +126,15 @@
 // Load pattern: several entries send what comes to whichever engine looked best in
 // reports that are a quarter of a second old, and all of it meets at one. Asked
 // first, that engine says so within a round trip, and its word is fresh.
-func (g *Gate) Declines(a *Ask) bool {
+func (g *Gate) Declines(a *Request) bool {
 	g.setup()
-	return a.Most > 0 && g.spec.Replica != "" && !g.spec.Leaving && g.expect(a, g.now())+g.congestion() > a.Most
+	return a.DeclineAbove > 0 && g.spec.Replica != "" && !g.spec.Leaving && g.expect(a, g.now())+g.congestion() > a.DeclineAbove
 }
 
 // Offer takes a request into the queue, or refuses it at once when its wait is
 // expected to be over its patience: then waiting helps nobody, and the caller
 // may still find another way.
-func (g *Gate) Offer(a Ask) *magno.Refusal {
+func (g *Gate) Offer(a Request) *magno.Refusal {
 	g.setup()
 	now := g.now()
 	if g.spec.Replica == "" {
@@ -147,15 +147,15 @@
 		return magno.Refuse(magno.KindBusy, "%d requests wait", len(g.queue)).Later(mostAfter)
 	}
 	wait := g.expect(&a, now)
-	if wait > a.Patience {
+	if wait > a.MaxWait {
 		kind := magno.KindBusy
 		if !g.held.ready(&a) {
 			kind = magno.KindLoading
 		}
-		return magno.Refuse(kind, "a wait of %d ms is expected, its patience is %d ms", wait, a.Patience).
-			Later(min(max(wait-a.Patience, leastAfter), mostAfter))
+		return magno.Refuse(kind, "a wait of %d ms is expected, its patience is %d ms", wait, a.MaxWait).
+			Later(min(max(wait-a.MaxWait, leastAfter), mostAfter))
 	}
-	w := &waiting{Ask: a, came: now, due: now + a.Aim, until: now + a.Patience, end: now + a.Left, looked: now}
+	w := &waiting{Request: a, came: now, due: now + a.StartTarget, until: now + a.MaxWait, end: now + a.TimeLeft, looked: now}
 	w.cause = g.cause(&a)
 	g.queue = append(g.queue, w)
 	g.held.wanted(a.name(), now)
@@ -184,19 +184,19 @@
 
 // Paused takes the longest pause between two events of a request's stream. It
 // comes before Done.
-func (g *Gate) Paused(id string, longest magno.Millis) {
+func (g *Gate) RecordPause(id string, longest magno.Millis) {
 	g.setup()
-	if r := g.runs[id]; r != nil && r.ask.Gap > 0 && longest > 0 {
-		g.pace.paused(longest, r.ask.Gap, g.Clock.Now())
+	if r := g.runs[id]; r != nil && r.ask.MaxGap > 0 && longest > 0 {
+		g.pace.paused(longest, r.ask.MaxGap, g.Clock.Now())
 	}
 }
 
 // Next returns what is to be done now. It is called after each change, and
 // every 20 ms or so while requests wait.
-func (g *Gate) Next() Steps {
+func (g *Gate) Decide() Decisions {
 	g.setup()
 	now := g.now()
-	var s Steps
+	var s Decisions
 	for id, r := range g.runs {
 		if now > r.until {
 			g.pace.gave(r.unread)
@@ -250,7 +250,7 @@
 func (g *Gate) missing() []string {
 	return slices.DeleteFunc(g.demand(), func(name string) bool {
 		model, adapter := split(name)
-		return g.held.ready(&Ask{Model: model, Adapter: adapter})
+		return g.held.ready(&Request{Model: model, Adapter: adapter})
 	})
 }
 
--- a/magno/gate/gate_test.go
+++ b/magno/gate/gate_test.go
@@ -30,7 +30,7 @@
 		t: t, clock: clock, gate: &Gate{Clock: clock}, held: map[string]int64{}, loading: map[string]magno.Millis{},
 		slots: slots, granted: map[string]bool{}, turned: map[string]*magno.Refusal{},
 	}
-	w.gate.Specify(w.spec())
+	w.gate.SetSpec(w.spec())
 	w.report()
 	return w
 }
@@ -57,17 +57,17 @@
 	for name, version := range w.held {
 		r.Held[model][name] = version
 	}
-	w.gate.Reported(r, now)
+	w.gate.ApplyReport(r, now)
 }
 
 // step lets the gate decide and the engine obey. Lost orders are obeyed without
 // an answer.
 func (w *world) step(lost func() bool) {
-	s := w.gate.Next()
+	s := w.gate.Decide()
 	for _, g := range s.Grants {
 		w.granted[g.ID] = true
 	}
-	for _, t := range s.Turned {
+	for _, t := range s.Rejections {
 		w.turned[t.ID] = t.Refusal
 	}
 	for _, c := range w.gate.Commands() {
@@ -76,7 +76,7 @@
 		if lost != nil && lost() {
 			outcome = magno.OrderUnknown
 		}
-		w.gate.Ordered(c, outcome, w.clock.Now())
+		w.gate.ApplyOutcome(c, outcome, w.clock.Now())
 	}
 }
 
@@ -100,11 +100,11 @@
 	}
 }
 
-func (w *world) ask(id, adapter string, prompt int) Ask {
-	return Ask{ID: id, Model: model, Adapter: adapter, Prompt: prompt, Output: 100, Aim: 800, Patience: 3000, Left: 12000, Gap: 250}
+func (w *world) ask(id, adapter string, prompt int) Request {
+	return Request{ID: id, Model: model, Adapter: adapter, Prompt: prompt, MaxOutput: 100, StartTarget: 800, MaxWait: 3000, TimeLeft: 12000, MaxGap: 250}
 }
 
-func (w *world) offer(a Ask) {
+func (w *world) offer(a Request) {
 	if r := w.gate.Offer(a); r != nil {
 		w.turned[a.ID] = r
 	}
@@ -124,7 +124,7 @@
 	}
 	var at []magno.Millis
 	for range 200 {
-		s := w.gate.Next()
+		s := w.gate.Decide()
 		for range s.Grants {
 			at = append(at, w.clock.Now())
 		}
@@ -172,7 +172,7 @@
 	w.offer(w.ask("1", "a", 100))
 	spec := w.spec()
 	spec.Leaving = true
-	w.gate.Specify(spec)
+	w.gate.SetSpec(spec)
 	w.run(600, nil)
 	if w.granted["1"] || w.turned["1"] == nil {
 		t.Error("a request that waited began at an engine that leaves")
@@ -192,9 +192,9 @@
 	if !w.granted["1"] {
 		t.Fatal("the first request didn't begin")
 	}
-	w.gate.Reported(&magno.Report{Born: 2}, w.clock.Now())
+	w.gate.ApplyReport(&magno.Report{Born: 2}, w.clock.Now())
 	w.offer(w.ask("2", "a", 100))
-	w.gate.Next()
+	w.gate.Decide()
 	if c := w.gate.Commands(); len(c) != 1 || !c[0].Load || c[0].Adapter != "" {
 		t.Errorf("ordered %v, want the base model first", c)
 	}
@@ -210,7 +210,7 @@
 		w := newWorld(t, 2)
 		spec := w.spec()
 		spec.Engine.Batch = 1
-		w.gate.Specify(spec)
+		w.gate.SetSpec(spec)
 		w.held["a"] = 1
 		w.orders = 5
 		w.report()
@@ -222,7 +222,7 @@
 			t.Fatal("one place, and not one request in it")
 		}
 		report.Held = map[string]map[string]int64{model: {"a": 1}}
-		w.gate.Reported(report, w.clock.Now())
+		w.gate.ApplyReport(report, w.clock.Now())
 		w.step(nil)
 		if !w.granted["2"] {
 			t.Errorf("%s: a request that is gone still keeps its place", name)
@@ -240,7 +240,7 @@
 		w.offer(w.ask(fmt.Sprint(i), "a", 2400))
 	}
 	a := w.ask("last", "a", 2400)
-	a.Patience = 500
+	a.MaxWait = 500
 	r := w.gate.Offer(a)
 	if r == nil || r.Kind != magno.KindBusy || r.After <= 0 {
 		t.Errorf("got %v, want a refusal with a time to come back", r)
@@ -255,13 +255,13 @@
 	start := w.clock.Now()
 	for i := range 20 {
 		a := w.ask(fmt.Sprint("hot", i), fmt.Sprint("a", i%10), 100)
-		a.Patience = 4000
+		a.MaxWait = 4000
 		w.offer(a)
 	}
 	late := w.ask("late", "rare", 100)
-	late.Patience = 2500
+	late.MaxWait = 2500
 	g := w.gate
-	g.queue = append(g.queue, &waiting{Ask: late, came: start, due: start + 800, until: start + 2500, end: start + 12000})
+	g.queue = append(g.queue, &waiting{Request: late, came: start, due: start + 800, until: start + 2500, end: start + 12000})
 	for w.turned["late"] == nil && w.clock.Now() < start+2400 {
 		w.run(30, nil)
 	}
@@ -283,7 +283,7 @@
 		w.offer(w.ask(fmt.Sprint(i), fmt.Sprint("a", i), 1200))
 	}
 	a := w.ask("x", "x", 100)
-	a.Patience = 1200
+	a.MaxWait = 1200
 	if r := w.gate.Offer(a); r != nil {
 		t.Errorf("refused: %s", r.Detail)
 	}
@@ -297,12 +297,12 @@
 	w := &world{clock: clock, slots: 30, held: map[string]int64{"a": 1}, loading: map[string]magno.Millis{}}
 	g := &Gate{Clock: clock}
 	w.gate = g
-	g.Specify(w.spec())
+	g.SetSpec(w.spec())
 	w.report()
 	for i := 0; b.Loop(); i++ {
 		id := fmt.Sprint(i)
 		_ = g.Offer(w.ask(id, "a", 400))
-		g.Next()
+		g.Decide()
 		g.Done(id, true)
 		clock.Advance(15)
 	}
--- a/magno/gate/machine_test.go
+++ b/magno/gate/machine_test.go
@@ -36,9 +36,9 @@
 	// open are requests that have no outcome yet, with the time by which they
 	// must; running were let through and have not ended. All end by their
 	// deadlines.
-	open     map[string]Ask
+	open     map[string]Request
 	until    map[string]magno.Millis
-	running  map[string]Ask
+	running  map[string]Request
 	deadline map[string]magno.Millis
 	// late is a report on its way, as of lateAt in lateLife.
 	late     *magno.Report
@@ -52,8 +52,8 @@
 func newMachine() *machine {
 	clock := magno.NewClock(magno.Hour)
 	m := &machine{
-		clock: clock, gate: &Gate{Clock: clock}, open: map[string]Ask{}, until: map[string]magno.Millis{},
-		running: map[string]Ask{}, deadline: map[string]magno.Millis{}, declared: map[string]magno.Millis{},
+		clock: clock, gate: &Gate{Clock: clock}, open: map[string]Request{}, until: map[string]magno.Millis{},
+		running: map[string]Request{}, deadline: map[string]magno.Millis{}, declared: map[string]magno.Millis{},
 		spec: Spec{Replica: "r@1", ID: "r", Pins: map[string]int64{}, Engine: magno.Engine{
 			Models: []magno.Model{{Name: model, Size: 1000, Adapter: 10, Load: machineModel, Disk: machineModel}},
 			Slots:  machineSlots, Memory: 2000, Tokens: 20_000, Batch: machineBatch,
@@ -69,7 +69,7 @@
 func (m *machine) specify() {
 	spec := m.spec
 	spec.Pins = maps.Clone(spec.Pins)
-	m.gate.Specify(spec)
+	m.gate.SetSpec(spec)
 }
 
 func (m *machine) report() {
@@ -89,7 +89,7 @@
 	if m.late == nil || m.lateLife != m.life {
 		return // the connection broke with the engine
 	}
-	m.gate.Reported(m.late, m.lateAt)
+	m.gate.ApplyReport(m.late, m.lateAt)
 	m.late, m.told = nil, m.lateLife
 }
 
@@ -104,13 +104,13 @@
 // outcome.
 func (m *machine) offer(t *rapid.T) {
 	m.n++
-	a := Ask{
+	a := Request{
 		ID: fmt.Sprint(m.n), Model: model, Adapter: fmt.Sprint("a", rapid.IntRange(0, 4).Draw(t, "adapter")),
-		Prompt: rapid.SampledFrom([]int{1, 1, 50, 50, 300, 2000, 9000}).Draw(t, "prompt"), Output: 100, Rank: rapid.IntRange(0, 3).Draw(t, "rank"), Aim: 500,
-		Gap:      rapid.SampledFrom([]magno.Millis{0, 150, 250, 600}).Draw(t, "gap"),
-		Patience: magno.Millis(rapid.IntRange(50, 3000).Draw(t, "patience")),
+		Prompt: rapid.SampledFrom([]int{1, 1, 50, 50, 300, 2000, 9000}).Draw(t, "prompt"), MaxOutput: 100, Rank: rapid.IntRange(0, 3).Draw(t, "rank"), StartTarget: 500,
+		MaxGap:  rapid.SampledFrom([]magno.Millis{0, 150, 250, 600}).Draw(t, "gap"),
+		MaxWait: magno.Millis(rapid.IntRange(50, 3000).Draw(t, "patience")),
 	}
-	a.Left = a.Patience + 4000
+	a.TimeLeft = a.MaxWait + 4000
 	if r := m.gate.Offer(a); r != nil {
 		if r.After <= 0 {
 			t.Fatalf("refused without a time to come back: %v", r)
@@ -120,9 +120,9 @@
 	m.take(a)
 }
 
-func (m *machine) take(a Ask) {
+func (m *machine) take(a Request) {
 	now := m.clock.Now()
-	m.open[a.ID], m.until[a.ID], m.deadline[a.ID] = a, now+a.Patience, now+a.Left
+	m.open[a.ID], m.until[a.ID], m.deadline[a.ID] = a, now+a.MaxWait, now+a.TimeLeft
 }
 
 // look lets the gate decide, and checks what it does.
@@ -134,11 +134,11 @@
 			delete(m.running, id)
 		}
 	}
-	s := m.gate.Next()
+	s := m.gate.Decide()
 	for _, g := range s.Grants {
 		m.granted(t, g, now)
 	}
-	for _, turned := range s.Turned {
+	for _, turned := range s.Rejections {
 		if _, ok := m.open[turned.ID]; !ok {
 			t.Fatalf("%s is refused, which has its outcome already or never came", turned.ID)
 		}
@@ -189,14 +189,14 @@
 	for _, c := range m.gate.Commands() {
 		fate := rapid.SampledFrom([]string{"told", "told", "told", "answer lost", "order lost"}).Draw(t, "fate")
 		if fate == "order lost" {
-			m.gate.Ordered(c, magno.OrderUnknown, now)
+			m.gate.ApplyOutcome(c, magno.OrderUnknown, now)
 			continue
 		}
 		outcome := m.engine.obey(t, c, used, now)
 		if fate == "answer lost" {
 			outcome = magno.OrderUnknown
 		}
-		m.gate.Ordered(c, outcome, now)
+		m.gate.ApplyOutcome(c, outcome, now)
 	}
 }
 
@@ -260,7 +260,7 @@
 	m.life++
 	m.engine.born++
 	m.engine.empty()
-	m.running = map[string]Ask{}
+	m.running = map[string]Request{}
 	m.report()
 	m.look(t)
 }
@@ -269,7 +269,7 @@
 func (m *machine) declare(t *rapid.T) {
 	name := fmt.Sprint("a", rapid.IntRange(0, 4).Draw(t, "adapter"))
 	m.engine.newest[name] = max(m.engine.newest[name], 1) + 1
-	m.spec.Pins[Name(model, name)] = m.engine.newest[name]
+	m.spec.Pins[QualifiedName(model, name)] = m.engine.newest[name]
 	m.declared[name] = m.clock.Now()
 	m.specify()
 }
@@ -285,7 +285,7 @@
 	m.life++
 	m.engine.born++
 	m.engine.empty()
-	m.running = map[string]Ask{}
+	m.running = map[string]Request{}
 	m.spec.Leaving, m.spec.Replica = false, fmt.Sprintf("r@%d", m.engine.born)
 	m.specify()
 	m.report()
@@ -312,7 +312,7 @@
 func (m *machine) calm(t *rapid.T) {
 	m.spec.Leaving = false
 	m.specify()
-	a := Ask{ID: "last", Model: model, Adapter: "a0", Prompt: 100, Output: 10, Aim: 500, Patience: 8000, Left: 9000}
+	a := Request{ID: "last", Model: model, Adapter: "a0", Prompt: 100, MaxOutput: 10, StartTarget: 500, MaxWait: 8000, TimeLeft: 9000}
 	for range 300 {
 		m.clock.Advance(30)
 		m.report()
--- a/magno/gate/orders.go
+++ b/magno/gate/orders.go
@@ -160,7 +160,7 @@
 // take marks an order as given, so that the same pass doesn't use its room
 // twice.
 func (s *shelf) take(c magno.Command, now magno.Millis) magno.Command {
-	s.taken[Name(c.Model, c.Adapter)] = order{command: c, at: now}
+	s.taken[QualifiedName(c.Model, c.Adapter)] = order{command: c, at: now}
 	return c
 }
 
--- a/magno/gate/orders_test.go
+++ b/magno/gate/orders_test.go
@@ -50,10 +50,10 @@
 	w.offer(w.ask("1", "a", 100))
 	given := 0
 	for range 30 {
-		w.gate.Next()
+		w.gate.Decide()
 		for _, c := range w.gate.Commands() {
 			given++
-			w.gate.Ordered(c, magno.OrderElse, w.clock.Now())
+			w.gate.ApplyOutcome(c, magno.OrderElse, w.clock.Now())
 		}
 		w.clock.Advance(10)
 		w.report()
@@ -71,10 +71,10 @@
 	w.run(600, nil)
 	spec := w.spec()
 	spec.Pins = map[string]int64{"m/a": 2}
-	w.gate.Specify(spec)
+	w.gate.SetSpec(spec)
 	w.clock.Advance(renewSpread)
 	w.offer(w.ask("2", "a", 100))
-	s := w.gate.Next()
+	s := w.gate.Decide()
 	if len(s.Grants) > 0 {
 		t.Error("a request began on a version that was replaced long ago")
 	}
@@ -123,8 +123,8 @@
 	} {
 		clock := magno.NewClock(magno.Hour)
 		g := &Gate{Clock: clock}
-		g.Reported(&magno.Report{Held: c.held, Warm: c.disk}, clock.Now())
-		g.Next()
+		g.ApplyReport(&magno.Report{Held: c.held, Warm: c.disk}, clock.Now())
+		g.Decide()
 		got := ""
 		if list := g.Commands(); len(list) > 0 {
 			got = list[0].Model
@@ -143,11 +143,11 @@
 func TestModelThatIsBeingLoadedStaysWhenAgentIsTold(t *testing.T) {
 	clock := magno.NewClock(magno.Hour)
 	g := &Gate{Clock: clock}
-	g.Reported(&magno.Report{Warm: []string{model}}, clock.Now())
-	g.Ordered(g.Commands()[0], magno.OrderAccepted, clock.Now())
+	g.ApplyReport(&magno.Report{Warm: []string{model}}, clock.Now())
+	g.ApplyOutcome(g.Commands()[0], magno.OrderAccepted, clock.Now())
 	clock.Advance(1000)
-	g.Specify((&world{slots: 2}).spec())
-	g.Reported(&magno.Report{Warm: []string{model}, Busy: true}, clock.Now())
+	g.SetSpec((&world{slots: 2}).spec())
+	g.ApplyReport(&magno.Report{Warm: []string{model}, Busy: true}, clock.Now())
 	if list := g.Commands(); len(list) > 0 {
 		t.Errorf("ordered %v while the model is on its way", list)
 	}
--- a/magno/gate/pace_test.go
+++ b/magno/gate/pace_test.go
@@ -71,7 +71,7 @@
 	start := clock.Now()
 	spec := (&world{slots: 8}).spec()
 	spec.Engine.Stride = e.stride
-	g.Specify(spec)
+	g.SetSpec(spec)
 	e.runs, e.longest, e.passed = map[string]int{}, map[string]float64{}, map[string]float64{}
 	e.free = float64(start)
 	n, given, due := 0, 0.0, float64(start)
@@ -82,9 +82,9 @@
 			due += 3000 / perSecond
 			for range 3 {
 				n++
-				a := Ask{
-					ID: fmt.Sprint(n), Model: model, Adapter: "a", Prompt: prompt, Output: answer,
-					Aim: 5000, Patience: 20_000, Left: 60_000, Gap: gap,
+				a := Request{
+					ID: fmt.Sprint(n), Model: model, Adapter: "a", Prompt: prompt, MaxOutput: answer,
+					StartTarget: 5000, MaxWait: 20_000, TimeLeft: 60_000, MaxGap: gap,
 				}
 				sizes[a.ID] = prompt
 				_ = g.Offer(a) // refused where too many wait
@@ -95,14 +95,14 @@
 			if tokens >= answer {
 				pauses = append(pauses, e.longest[id])
 				delete(e.runs, id)
-				g.Paused(id, magno.Millis(e.longest[id]))
+				g.RecordPause(id, magno.Millis(e.longest[id]))
 				g.Done(id, true)
 			}
 		}
 		if (now-start)%30 == 0 {
-			g.Reported(e.report(), now)
+			g.ApplyReport(e.report(), now)
 		}
-		for _, grant := range g.Next().Grants {
+		for _, grant := range g.Decide().Grants {
 			e.unread = append(e.unread, float64(sizes[grant.ID]))
 			e.ids = append(e.ids, grant.ID)
 			given += float64(sizes[grant.ID])
@@ -164,7 +164,7 @@
 		w.report()
 		for i := range 3 {
 			a := w.ask(fmt.Sprint(i), "a", 50)
-			a.Gap = gap
+			a.MaxGap = gap
 			w.offer(a)
 		}
 		w.run(2500, nil)
--- a/magno/gate/queue.go
+++ b/magno/gate/queue.go
@@ -15,13 +15,13 @@
 // expire gives up what waited for too long, and what would: a request for an
 // adapter that can't be there in time is refused now, while its caller may
 // still find another way.
-func (g *Gate) expire(s *Steps, now magno.Millis) {
+func (g *Gate) expire(s *Decisions, now magno.Millis) {
 	eta := g.forecast(now).eta
 	g.queue = slices.DeleteFunc(g.queue, func(w *waiting) bool {
 		r := g.hopeless(w, eta[w.name()], now)
 		if r != nil {
 			w.passed(now)
-			s.Turned = append(s.Turned, Turned{ID: w.ID, Refusal: r, Waits: w.waits})
+			s.Rejections = append(s.Rejections, Rejection{ID: w.ID, Refusal: r, Waits: w.waits})
 		}
 		return r != nil
 	})
@@ -63,37 +63,37 @@
 // grant lets through what the engine can begin now. A request whose adapter
 // isn't there doesn't hold up those behind it; one that waits for its turn to
 // be read does, or long prompts would never get one.
-func (g *Gate) grant(s *Steps, now magno.Millis) {
+func (g *Gate) grant(s *Decisions, now magno.Millis) {
 	blocked := false
 	g.queue = slices.DeleteFunc(g.queue, func(w *waiting) bool {
-		if blocked || !g.held.ready(&w.Ask) {
+		if blocked || !g.held.ready(&w.Request) {
 			return false
 		}
-		tokens := g.unread(&w.Ask)
-		if !g.room(&w.Ask) || !g.pace.allows(tokens, now) {
+		tokens := g.unread(&w.Request)
+		if !g.room(&w.Request) || !g.pace.allows(tokens, now) {
 			blocked = true
 			return false
 		}
 		readBy := g.pace.take(tokens, now)
-		g.read.add(w.name(), w.Prefix)
-		g.runs[w.ID] = &granted{ask: w.Ask, at: now, until: w.end + grantSlack, unread: tokens, readBy: readBy}
+		g.read.add(w.name(), w.PrefixHash)
+		g.runs[w.ID] = &granted{ask: w.Request, at: now, until: w.end + grantSlack, unread: tokens, readBy: readBy}
 		w.passed(now)
-		s.Grants = append(s.Grants, Grant{ID: w.ID, Version: g.held.version(&w.Ask), Waited: now - w.came, Waits: w.waits})
+		s.Grants = append(s.Grants, Grant{ID: w.ID, Version: g.held.version(&w.Request), Waited: now - w.came, Waits: w.waits})
 		return true
 	})
 }
 
 // unread is how many prompt tokens the engine has to read: parts that it read
 // for the same adapter lately are still there.
-func (g *Gate) unread(a *Ask) int {
-	if a.Shared > 0 && g.read.has(a.name(), a.Prefix) {
-		return a.Prompt - a.Shared
+func (g *Gate) unread(a *Request) int {
+	if a.PrefixTokens > 0 && g.read.has(a.name(), a.PrefixHash) {
+		return a.Prompt - a.PrefixTokens
 	}
 	return a.Prompt
 }
 
 // room tells whether the engine has a place and memory for one more.
-func (g *Gate) room(a *Ask) bool {
+func (g *Gate) room(a *Request) bool {
 	if g.running() >= g.spec.Engine.Batch {
 		return false
 	}
@@ -107,4 +107,4 @@
 	return float64(used) <= roomPart*float64(g.spec.Engine.Tokens)
 }
 
-func need(a *Ask) int { return a.Prompt + min(a.Output, mostMade) }
+func need(a *Request) int { return a.Prompt + min(a.MaxOutput, mostMade) }
--- a/magno/gate/seen.go
+++ b/magno/gate/seen.go
@@ -45,10 +45,10 @@
 		}
 	}
 	for _, r := range g.runs {
-		take(r.ask.Gap)
+		take(r.ask.MaxGap)
 	}
 	for _, w := range g.queue {
-		take(w.Gap)
+		take(w.MaxGap)
 	}
 	return least
 }
--- a/magno/gate/shelf.go
+++ b/magno/gate/shelf.go
@@ -138,7 +138,7 @@
 	for model, held := range r.Held {
 		s.models[model] = true
 		for adapter, version := range held {
-			name := Name(model, adapter)
+			name := QualifiedName(model, adapter)
 			s.adapters[name] = version
 			if l, ok := s.began[name]; ok {
 				delete(s.began, name)
@@ -149,7 +149,7 @@
 	}
 	s.rankAll()
 	for _, p := range r.Coming {
-		s.coming[Name(p.Model, p.Adapter)] = true
+		s.coming[QualifiedName(p.Model, p.Adapter)] = true
 	}
 	for name, o := range s.taken {
 		if (o.sure && asked >= o.at) || asked > o.at+orderedLife {
@@ -180,7 +180,7 @@
 
 // ready tells whether a request may begin: its adapter is there, in a version
 // that may still be given out, and isn't being replaced.
-func (s *shelf) ready(a *Ask) bool {
+func (s *shelf) ready(a *Request) bool {
 	if !s.models[a.Model] || s.stale(a.name()) {
 		return false
 	}
@@ -200,7 +200,7 @@
 // stale tells whether an old version is no longer given out.
 func (s *shelf) stale(name string) bool { return s.old(name) && s.at >= s.renew[name] }
 
-func (s *shelf) version(a *Ask) int64 { return s.adapters[a.name()] }
+func (s *shelf) version(a *Request) int64 { return s.adapters[a.name()] }
 
 // wanted counts a request for an adapter.
 func (s *shelf) wanted(name string, now magno.Millis) {
@@ -217,7 +217,7 @@
 
 // ordered takes what became of a command.
 func (s *shelf) ordered(c magno.Command, o magno.Outcome, now magno.Millis) {
-	name := Name(c.Model, c.Adapter)
+	name := QualifiedName(c.Model, c.Adapter)
 	switch o {
 	case magno.OrderAccepted, magno.OrderDone:
 		s.taken[name] = order{command: c, at: now, sure: true}
--- a/magno/gate/slots.go
+++ b/magno/gate/slots.go
@@ -67,7 +67,7 @@
 	holds := make(map[string]magno.Millis, len(g.queue))
 	for _, w := range g.queue {
 		name := w.name()
-		holds[name] = max(holds[name], g.hold(&w.Ask))
+		holds[name] = max(holds[name], g.hold(&w.Request))
 	}
 	return holds
 }
@@ -101,7 +101,7 @@
 }
 
 // hold is how long a request will use its adapter once it begins.
-func (g *Gate) hold(a *Ask) magno.Millis {
+func (g *Gate) hold(a *Request) magno.Millis {
 	return g.pace.time(g.unread(a)) + g.making(a.length())
 }
 
@@ -123,9 +123,9 @@
 }
 
 // length is how many tokens the answer is expected to have.
-func (a *Ask) length() int {
-	if a.Length > 0 {
-		return min(a.Length, max(a.Output, 1))
+func (a *Request) length() int {
+	if a.ExpectedOutput > 0 {
+		return min(a.ExpectedOutput, max(a.MaxOutput, 1))
 	}
-	return a.Output / usualPart
+	return a.MaxOutput / usualPart
 }
--- a/magno/gate/slots_test.go
+++ b/magno/gate/slots_test.go
@@ -16,7 +16,7 @@
 	w := newWorld(t, 2)
 	for i := range 2 {
 		a := w.ask(fmt.Sprint(i), fmt.Sprint("a", i), 100)
-		a.Length, a.Output = 600, 1200 // a hundred events of 42 ms and more
+		a.ExpectedOutput, a.MaxOutput = 600, 1200 // a hundred events of 42 ms and more
 		w.offer(a)
 	}
 	w.run(1500, nil)
@@ -27,7 +27,7 @@
 		t.Errorf("entries are told %d ms while both slots are in use for seconds", wait)
 	}
 	a := w.ask("x", "x", 100)
-	a.Patience = 1000
+	a.MaxWait = 1000
 	if r := w.gate.Offer(a); r == nil || r.After <= 0 {
 		t.Errorf("got %v, want a refusal at once with a time to come back", r)
 	}
@@ -43,14 +43,14 @@
 func TestWaitForABaseModelIsToldOnce(t *testing.T) {
 	w := newWorld(t, 6)
 	empty := &magno.Report{Born: 2, Held: map[string]map[string]int64{}, Warm: []string{model}}
-	w.gate.Reported(empty, w.clock.Now())
-	w.gate.Next()
+	w.gate.ApplyReport(empty, w.clock.Now())
+	w.gate.Decide()
 	for _, c := range w.gate.Commands() {
-		w.gate.Ordered(c, magno.OrderAccepted, w.clock.Now())
+		w.gate.ApplyOutcome(c, magno.OrderAccepted, w.clock.Now())
 	}
 	for i := range 4 {
 		a := w.ask(fmt.Sprint(i), fmt.Sprint("a", i), 100)
-		a.Patience = 2700
+		a.MaxWait = 2700
 		if r := w.gate.Offer(a); r != nil {
 			t.Errorf("refused: %s", r.Detail)
 		}
@@ -108,7 +108,7 @@
 func BenchmarkDeclines(b *testing.B) {
 	clock := magno.NewClock(magno.Hour)
 	w := &world{clock: clock, slots: 6, held: map[string]int64{}, loading: map[string]magno.Millis{}, gate: &Gate{Clock: clock}}
-	w.gate.Specify(w.spec())
+	w.gate.SetSpec(w.spec())
 	for i := range 6 {
 		w.held[fmt.Sprint("a", i)] = 1
 	}
@@ -118,12 +118,12 @@
 		if i >= 60 {
 			a.Adapter = fmt.Sprint("b", i)
 		}
-		a.Patience = magno.Hour
+		a.MaxWait = magno.Hour
 		_ = w.gate.Offer(a)
-		w.gate.Next()
+		w.gate.Decide()
 	}
 	a := w.ask("x", "x", 100)
-	a.Most = 100
+	a.DeclineAbove = 100
 	b.ReportAllocs()
 	for b.Loop() {
 		w.gate.Declines(&a)
@@ -138,18 +138,18 @@
 	w.held["a"] = 1
 	w.report()
 	a := w.ask("x", "a", 100)
-	a.Most = 60
+	a.DeclineAbove = 60
 	if w.gate.Declines(&a) {
 		t.Error("an idle engine declined")
 	}
 	for i := range 8 {
 		w.offer(w.ask(fmt.Sprint(i), "a", 2400))
 	}
-	w.gate.Next()
+	w.gate.Decide()
 	if !w.gate.Declines(&a) {
 		t.Error("an engine behind 8 long prompts didn't decline")
 	}
-	a.Most = 0
+	a.DeclineAbove = 0
 	if w.gate.Declines(&a) {
 		t.Error("a request that any wait is right for was declined")
 	}
--- a/magno/gate/waits.go
+++ b/magno/gate/waits.go
@@ -8,11 +8,11 @@
 )
 
 // expect estimates how long a request that came now would wait.
-func (g *Gate) expect(a *Ask, now magno.Millis) magno.Millis {
+func (g *Gate) expect(a *Request, now magno.Millis) magno.Millis {
 	tokens := 0
 	for _, w := range g.queue {
 		if w.Rank <= a.Rank && now <= w.due {
-			tokens += g.unread(&w.Ask)
+			tokens += g.unread(&w.Request)
 		}
 	}
 	wait := max(g.pace.wait(tokens, now), g.placeWait())
@@ -61,7 +61,7 @@
 	now := g.now()
 	queued := 0
 	for _, w := range g.queue {
-		queued += g.unread(&w.Ask)
+		queued += g.unread(&w.Request)
 	}
 	missing := g.missing()
 	next := g.forecast(now).next
