--- a/magno/turn/turn.go
+++ b/magno/turn/turn.go
@@ -1,65 +1,64 @@
-// Package turn shares a weight store's allowance over the fleet: one keeper,
-// the member that all agents name by the same rule, gives turns to load, the
-// most harmful wait first.
+// Package turn shares the weight store's rate limit among the agents of a pool. One
+// coordinator, the member that all agents select by the same rule, grants turns to load an
+// adapter, the wait with the highest delay cost first.
 //
-//	agent -- Ask{harm} --> Keeper -- Turn{id, until} --> agent -- load
-//	                         ^                              |
-//	                         +---------- End(id) -----------+
+//	agent -- Request{cost} --> Coordinator -- Turn{id, left} --> agent -- load
+//	                             ^                                 |
+//	                             +---------- Release(id) ----------+
 //
-// Load pattern: after a shift of popularity or a cold start most upstreams
-// want loads at once, and the store serves few. Without it all loads run at
-// once and slow each other down: the most harmful wait ends no sooner than the
-// least, and the store's refusals are tried again by everybody.
+// Load pattern: after a shift in popularity or a cold start most upstreams want to load at
+// once, and the store can serve few. Without coordination all loads run at once and slow each
+// other down: the most costly wait ends no sooner than the least costly one, and every agent
+// retries what the store refuses.
 //
-// A turn is a lease. Its deadline is the keeper's, for a holder that died
-// can't end it, and slots that nobody gives back would add up until no load
-// runs at all, with no error anywhere. What frees a place is the removal of
-// the lease, whether by End or by expiry, so that a late End, or one that is
-// sent twice, never frees another holder's place. A missed deadline does not
-// prove that the load stopped; the holder has to stop it by itself at Until,
-// and the keeper waits Grace longer. These rules and their grounds are from
-// the paper "leases and expiry"; the tests here measure the two it warns of, a
-// double release and a dead holder.
+// A turn is a lease. The coordinator enforces its deadline, because a holder that has failed
+// cannot release it, and turns that are never released would add up until no load runs at all,
+// without any error. Capacity is freed by the removal of the lease, whether by Release or by
+// expiry, so that a late or repeated Release never frees the turn of another holder. A missed
+// deadline does not prove that the load has stopped; the holder has to abort it when the turn's
+// time is over, and the coordinator waits for Grace longer. These rules and the reasons for
+// them are from the paper "leases and expiry"; the tests cover the two failures that it warns
+// of, a double release and a failed holder.
 //
-// The keeper holds nothing that lasts. A new one knows no turns and waits for
-// the longest lease before it gives its first, so two keepers in turn never
-// exceed the width. While no keeper can be reached each agent loads by itself
-// at Alone, its static share of the rate.
+// The coordinator has no persistent state. A new one knows no turns and waits for the longest
+// lease before it grants its first, so that two successive coordinators never exceed MaxLoads.
+// While no coordinator can be reached, each agent loads on its own every FallbackInterval,
+// which is its static share of the rate.
 package turn
 
 import "magnoliastall.example/magno"
 
 const (
-	// leaseLoads is how long a turn lasts, in loads at full speed: a store
-	// that is three times as slow as usual still ends its loads in time.
-	leaseLoads = 4
-	// Grace is the time after Until for which a turn still holds its place.
+	// leaseFactor is the duration of a turn in load times at full speed, so that loads still
+	// finish in time at a store that is three times as slow as usual.
+	leaseFactor = 4
+	// Grace is how long after its deadline a turn still counts.
 	Grace = 500 * magno.Millis(1)
-	// askKeep is how long an ask stands: agents ask again each second or so.
-	askKeep = 3 * magno.Second
-	// sweepEvery is how often old asks are dropped.
-	sweepEvery = magno.Second
-	// mostAsks bounds the asks in memory; the least harmful goes first.
-	mostAsks = 20000
+	// requestTTL is how long a request is kept; agents repeat theirs about every second.
+	requestTTL = 3 * magno.Second
+	// sweepInterval is how often expired requests are dropped.
+	sweepInterval = magno.Second
+	// maxRequests bounds the requests in memory; the least costly one is dropped first.
+	maxRequests = 20000
 )
 
-// Ask is an agent's request for a turn. A later one replaces it.
+// Request is an agent's request for a turn. It replaces an earlier one of the same agent.
 type Request struct {
 	Agent string    `json:"agent"`
 	Ref   magno.Ref `json:"ref"`
-	// Harm is that of the wait; see magno.Turner.
+	// DelayCost is the cost of the wait; see magno.Turner.
 	DelayCost float64 `json:"harm"`
-	// At is when the keeper got it.
+	// ReceivedAt is when the coordinator received the request.
 	ReceivedAt magno.Millis `json:"-"`
 }
 
-// Turn is the right to run one load.
+// Turn is the permission to run one load.
 type Turn struct {
 	ID    uint64    `json:"id"`
 	Agent string    `json:"agent"`
 	Ref   magno.Ref `json:"ref"`
-	// Left is how long it lasts from when it was sent; the holder aborts a
-	// load that takes longer.
+	// Left is how long it is valid from when it was sent; the holder aborts a load that takes
+	// longer.
 	Left magno.Millis `json:"left"`
 }
 
@@ -68,154 +67,154 @@
 	until magno.Millis
 }
 
-// Keeper gives turns. One goroutine calls it. Its exported fields are set
+// Coordinator grants turns. It is not safe for concurrent use. Its exported fields must be set
 // before use.
 type Coordinator struct {
 	Clock *magno.Clock
-	// Rate is loads a second that the store allows, over zero; Width is how
-	// many run at once, at least 1.
+	// Rate is the number of loads per second that the store allows, greater than zero. MaxLoads
+	// is the number of concurrent loads, at least 1.
 	Rate     float64
 	MaxLoads int
-	// Load is the time of a load at full speed.
+	// LoadTime is the time of a load at full speed.
 	LoadTime magno.Millis
 
-	begun bool
-	// quiet is until when a new keeper gives no turns.
-	quiet magno.Millis
-	// next is when the rate allows another load, in fractions of Millis.
-	next float64
-	seq  uint64
-	// swept is when old asks were dropped last.
-	swept  magno.Millis
-	asks   map[string]Request
-	leases map[uint64]lease
+	initialized bool
+	// quietUntil is when a new coordinator starts to grant turns.
+	quietUntil magno.Millis
+	// nextAt is when the rate allows another load, in ms with fractions.
+	nextAt float64
+	seq    uint64
+	// lastSweep is when expired requests were last dropped.
+	lastSweep magno.Millis
+	requests  map[string]Request
+	leases    map[uint64]lease
 }
 
-// Lease is how long a turn lasts.
-func (k *Coordinator) LeaseTime() magno.Millis { return leaseLoads * max(k.LoadTime, 1) }
+// LeaseTime is how long a turn is valid.
+func (c *Coordinator) LeaseTime() magno.Millis { return leaseFactor * max(c.LoadTime, 1) }
 
-func (k *Coordinator) setup(now magno.Millis) {
-	if k.begun {
+func (c *Coordinator) setup(now magno.Millis) {
+	if c.initialized {
 		return
 	}
-	k.begun = true
-	k.quiet = now + k.LeaseTime() + Grace
-	k.asks, k.leases = map[string]Request{}, map[uint64]lease{}
-	// Turn numbers of an earlier keeper must not come again: an End meant
-	// for it would free a place here.
-	k.seq = uint64(now) << 20
+	c.initialized = true
+	c.quietUntil = now + c.LeaseTime() + Grace
+	c.requests, c.leases = map[string]Request{}, map[uint64]lease{}
+	// IDs must not repeat those of an earlier coordinator: a Release meant for it would release
+	// a turn here.
+	c.seq = uint64(now) << 20
 }
 
-// Want takes an ask. One whose agent holds a turn is dropped: an agent runs
-// one load at a time.
-func (k *Coordinator) Submit(a Request) {
-	now := k.Clock.Now()
-	k.setup(now)
-	for _, l := range k.leases {
-		if l.turn.Agent == a.Agent {
+// Submit adds a request. It is ignored if the agent holds a turn: an agent runs one load at a
+// time.
+func (c *Coordinator) Submit(r Request) {
+	now := c.Clock.Now()
+	c.setup(now)
+	for _, l := range c.leases {
+		if l.turn.Agent == r.Agent {
 			return
 		}
 	}
-	a.ReceivedAt = now
-	k.asks[a.Agent] = a
-	if len(k.asks) > mostAsks {
-		delete(k.asks, k.least())
+	r.ReceivedAt = now
+	c.requests[r.Agent] = r
+	if len(c.requests) > maxRequests {
+		delete(c.requests, c.leastCostly())
 	}
 }
 
-// Drop forgets the agent's ask: nothing waits there any more.
-func (k *Coordinator) Cancel(agent string) { delete(k.asks, agent) }
+// Cancel drops the agent's request, after nothing waits for a load there any more.
+func (c *Coordinator) Cancel(agent string) { delete(c.requests, agent) }
 
-func (k *Coordinator) least() string {
+func (c *Coordinator) leastCostly() string {
 	least := Request{}
-	for _, a := range k.asks {
-		if least.Agent == "" || before(least, a) {
-			least = a
+	for _, r := range c.requests {
+		if least.Agent == "" || costlier(least, r) {
+			least = r
 		}
 	}
 	return least.Agent
 }
 
-// before orders asks: most harm first, then by name.
-func before(a, b Request) bool {
+// costlier orders requests by descending cost, then by agent.
+func costlier(a, b Request) bool {
 	if a.DelayCost != b.DelayCost {
 		return a.DelayCost > b.DelayCost
 	}
 	return a.Agent < b.Agent
 }
 
-// Give returns the turns that begin now.
-func (k *Coordinator) Grant() []Turn {
-	now := k.Clock.Now()
-	k.setup(now)
-	k.expire(now)
-	if now < k.quiet || len(k.asks) == 0 {
+// Grant returns the turns that start now.
+func (c *Coordinator) Grant() []Turn {
+	now := c.Clock.Now()
+	c.setup(now)
+	c.expire(now)
+	if now < c.quietUntil || len(c.requests) == 0 {
 		return nil
 	}
-	var given []Turn
-	for len(k.asks) > 0 && len(k.leases) < max(k.MaxLoads, 1) && k.next <= float64(now) {
-		a := k.most()
-		delete(k.asks, a.Agent)
-		k.seq++
-		t := Turn{ID: k.seq, Agent: a.Agent, Ref: a.Ref, Left: k.LeaseTime()}
-		k.leases[t.ID] = lease{turn: t, until: now + k.LeaseTime() + Grace}
-		// One turn may be saved up, or each late call of Give would lose some
-		// of the rate for good.
-		each := float64(magno.Second) / k.Rate
-		k.next = max(k.next, float64(now)-each) + each
-		given = append(given, t)
+	var granted []Turn
+	for len(c.requests) > 0 && len(c.leases) < max(c.MaxLoads, 1) && c.nextAt <= float64(now) {
+		r := c.mostCostly()
+		delete(c.requests, r.Agent)
+		c.seq++
+		t := Turn{ID: c.seq, Agent: r.Agent, Ref: r.Ref, Left: c.LeaseTime()}
+		c.leases[t.ID] = lease{turn: t, until: now + c.LeaseTime() + Grace}
+		// One interval may be saved up; otherwise each late call of Grant would lose some of
+		// the rate for good.
+		interval := float64(magno.Second) / c.Rate
+		c.nextAt = max(c.nextAt, float64(now)-interval) + interval
+		granted = append(granted, t)
 	}
-	return given
+	return granted
 }
 
-// most returns the ask that waits with most harm. The walk is over all asks,
-// but only for a turn that is given, of which the store allows few a second.
-func (k *Coordinator) most() Request {
+// mostCostly returns the request with the highest delay cost. It scans all requests, but only
+// once per turn granted, of which the store allows few per second.
+func (c *Coordinator) mostCostly() Request {
 	most := Request{}
-	for _, a := range k.asks {
-		if most.Agent == "" || before(a, most) {
-			most = a
+	for _, r := range c.requests {
+		if most.Agent == "" || costlier(r, most) {
+			most = r
 		}
 	}
 	return most
 }
 
-// expire ends turns whose time is over, and now and then drops old asks.
-func (k *Coordinator) expire(now magno.Millis) {
-	for id, l := range k.leases {
+// expire removes expired turns and, every sweepInterval, expired requests.
+func (c *Coordinator) expire(now magno.Millis) {
+	for id, l := range c.leases {
 		if now >= l.until {
-			delete(k.leases, id)
+			delete(c.leases, id)
 		}
 	}
-	if now < k.swept+sweepEvery {
+	if now < c.lastSweep+sweepInterval {
 		return
 	}
-	k.swept = now
-	for agent, a := range k.asks {
-		if now-a.ReceivedAt > askKeep {
-			delete(k.asks, agent)
+	c.lastSweep = now
+	for agent, r := range c.requests {
+		if now-r.ReceivedAt > requestTTL {
+			delete(c.requests, agent)
 		}
 	}
 }
 
-// End ends a turn early; it tells whether the turn still stood. Only the call
-// that removes the turn frees its place.
-func (k *Coordinator) Release(id uint64) bool {
-	if _, ok := k.leases[id]; !ok {
+// Release ends a turn early and reports whether it was still held. Only the call that removes
+// the turn frees its capacity.
+func (c *Coordinator) Release(id uint64) bool {
+	if _, ok := c.leases[id]; !ok {
 		return false
 	}
-	delete(k.leases, id)
+	delete(c.leases, id)
 	return true
 }
 
-// Wake is when Give is worth calling again, if no ask or end comes before.
-func (k *Coordinator) NextWake() magno.Millis {
-	now := k.Clock.Now()
-	k.setup(now)
-	at := max(k.quiet, magno.Millis(k.next)+1)
-	if len(k.leases) >= max(k.MaxLoads, 1) {
-		first := now + k.LeaseTime() + Grace
-		for _, l := range k.leases {
+// NextWake is when Grant should be called again, unless a request or release comes first.
+func (c *Coordinator) NextWake() magno.Millis {
+	now := c.Clock.Now()
+	c.setup(now)
+	at := max(c.quietUntil, magno.Millis(c.nextAt)+1)
+	if len(c.leases) >= max(c.MaxLoads, 1) {
+		first := now + c.LeaseTime() + Grace
+		for _, l := range c.leases {
 			first = min(first, l.until)
 		}
 		at = max(at, first)
@@ -223,11 +222,11 @@
 	return max(at, now+1)
 }
 
-// Alone is the time between loads of one agent of n while no keeper can be
+// FallbackInterval is the time between loads of each of n agents while no coordinator can be
 // reached.
-func (k *Coordinator) FallbackInterval(n int) magno.Millis {
-	return magno.Millis(float64(magno.Second) * float64(max(n, 1)) / k.Rate)
+func (c *Coordinator) FallbackInterval(n int) magno.Millis {
+	return magno.Millis(float64(magno.Second) * float64(max(n, 1)) / c.Rate)
 }
 
-// Asks counts the agents that wait for a turn.
-func (k *Coordinator) Pending() int { return len(k.asks) }
+// Pending is the number of agents that wait for a turn.
+func (c *Coordinator) Pending() int { return len(c.requests) }
--- a/magno/turn/turn_test.go
+++ b/magno/turn/turn_test.go
@@ -9,85 +9,85 @@
 	"magnoliastall.example/magno"
 )
 
-// Agents die with a turn, end one late or twice, and the keeper is replaced
-// by one that knows nothing. If a place were freed twice, or a dead holder's
-// never, the store would be asked for more loads than it allows, or for none.
+// Agents fail while they hold a turn, release one late or twice, and the coordinator is
+// replaced by one without state. If a turn were released twice, or never after its holder
+// failed, the store would get more loads than it allows, or none.
 func TestTurns(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		clock := magno.NewClock(1_000_000)
-		fresh := func() *Coordinator { return &Coordinator{Clock: clock, Rate: 6, MaxLoads: 2, LoadTime: 300} }
-		k := fresh()
-		// held maps a turn to when it is over at the latest.
+		newCoordinator := func() *Coordinator { return &Coordinator{Clock: clock, Rate: 6, MaxLoads: 2, LoadTime: 300} }
+		c := newCoordinator()
+		// held maps each turn to its latest end.
 		held := map[uint64]magno.Millis{}
-		var given []magno.Millis
-		var known []uint64
-		give := func(t *rapid.T) {
+		var grantTimes []magno.Millis
+		var ids []uint64
+		grant := func(t *rapid.T) {
 			now := clock.Now()
 			for id, until := range held {
 				if now >= until {
 					delete(held, id)
 				}
 			}
-			for _, turn := range k.Grant() {
+			for _, turn := range c.Grant() {
 				held[turn.ID] = now + turn.Left + Grace
-				known = append(known, turn.ID)
-				given = append(given, now)
+				ids = append(ids, turn.ID)
+				grantTimes = append(grantTimes, now)
 			}
-			if len(held) > k.MaxLoads {
-				t.Fatalf("%d turns at once, %d allowed", len(held), k.MaxLoads)
+			if len(held) > c.MaxLoads {
+				t.Fatalf("%d concurrent turns, want at most %d", len(held), c.MaxLoads)
 			}
-			for i := range given {
-				n := float64(len(given) - i)
-				if span := float64(now-given[i]) / 1000; n > span*k.Rate+2 {
-					t.Fatalf("%v turns in %v s", n, span)
+			for i := range grantTimes {
+				n := float64(len(grantTimes) - i)
+				if span := float64(now-grantTimes[i]) / 1000; n > span*c.Rate+2 {
+					t.Fatalf("%v turns were granted in %v s", n, span)
 				}
 			}
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"want": func(t *rapid.T) {
 				agent := fmt.Sprintf("a%d", rapid.IntRange(0, 9).Draw(t, "agent"))
-				k.Submit(Request{Agent: agent, DelayCost: rapid.Float64Range(0, 100).Draw(t, "harm")})
+				c.Submit(Request{Agent: agent, DelayCost: rapid.Float64Range(0, 100).Draw(t, "harm")})
 			},
-			"give":  give,
-			"give2": give,
+			"give":  grant,
+			"give2": grant,
 			"end": func(t *rapid.T) {
-				if len(known) == 0 {
+				if len(ids) == 0 {
 					return
 				}
-				id := rapid.SampledFrom(known).Draw(t, "id")
-				until, stands := held[id]
-				if got := k.Release(id); got && (!stands || clock.Now() > until+Grace) {
-					t.Fatalf("turn %d ended twice", id)
+				id := rapid.SampledFrom(ids).Draw(t, "id")
+				until, active := held[id]
+				if got := c.Release(id); got && (!active || clock.Now() > until+Grace) {
+					t.Fatalf("turn %d was released twice", id)
 				}
 				delete(held, id)
 			},
 			"time": func(t *rapid.T) { clock.Advance(magno.Millis(rapid.IntRange(1, 400).Draw(t, "ms"))) },
 			"replace": func(t *rapid.T) {
 				if rapid.IntRange(0, 20).Draw(t, "replace") == 20 {
-					k = fresh()
+					c = newCoordinator()
 				}
 			},
 		})
 	})
 }
 
-// All upstreams want loads after a shift. The most harmful wait goes first,
-// whoever asked first.
-func TestMostHarmfulFirst(t *testing.T) {
+// After a shift in popularity all upstreams want to load. The request with the highest delay
+// cost is granted first, whatever the order of requests.
+func TestMostCostlyFirst(t *testing.T) {
 	clock := magno.NewClock(1_000_000)
-	k := &Coordinator{Clock: clock, Rate: 2, MaxLoads: 1, LoadTime: 500}
-	k.Grant()
-	clock.Advance(k.LeaseTime() + Grace)
-	for i, harm := range []float64{1, 9, 5} {
-		k.Submit(Request{Agent: fmt.Sprint(i), DelayCost: harm})
+	c := &Coordinator{Clock: clock, Rate: 2, MaxLoads: 1, LoadTime: 500}
+	c.Grant()
+	clock.Advance(c.LeaseTime() + Grace)
+	for i, cost := range []float64{1, 9, 5} {
+		c.Submit(Request{Agent: fmt.Sprint(i), DelayCost: cost})
 	}
 	for _, want := range []string{"1", "2", "0"} {
-		turns := k.Grant()
+		turns := c.Grant()
 		if len(turns) != 1 || turns[0].Agent != want {
 			t.Fatalf("got %+v, want %s", turns, want)
 		}
-		if !k.Release(turns[0].ID) || k.Release(turns[0].ID) {
-			t.Fatal("a turn doesn't end once")
+		if !c.Release(turns[0].ID) || c.Release(turns[0].ID) {
+			t.Fatal("a turn was not released exactly once")
 		}
 		clock.Advance(500)
 	}
