--- a/magno/gate/ask.go
+++ b/magno/gate/ask.go
@@ -2,40 +2,39 @@
 
 import "magnoliastall.example/magno"
 
-// Ask is a request that wants to begin.
+// Request is a request for admission.
 type Request struct {
-	// ID is unique for each send.
+	// ID is unique per attempt.
 	ID string `json:"id"`
-	// Model is never empty, Adapter is for the bare model.
+	// Model is never empty; Adapter is empty for the base model itself.
 	Model   string `json:"model"`
 	Adapter string `json:"adapter,omitempty"`
-	// Prompt and Output are tokens. The first Shared tokens of the prompt are
-	// those that Prefix hashes.
+	// Prompt and MaxOutput are in tokens. PrefixHash is the hash of the first PrefixTokens
+	// tokens of the prompt.
 	Prompt    int `json:"prompt"`
 	MaxOutput int `json:"output"`
-	// Length is how many tokens its caller expects, zero when it doesn't say.
+	// ExpectedOutput is the caller's estimate of the output tokens, zero if it gives none.
 	ExpectedOutput int    `json:"length,omitempty"`
 	PrefixTokens   int    `json:"shared,omitempty"`
 	PrefixHash     uint64 `json:"prefix,omitempty"`
-	// Rank is the urgency, 0 first.
+	// Rank is the priority, 0 being the highest.
 	Rank int `json:"rank"`
-	// Aim is how soon it should begin to be on time, Patience the longest that
-	// it may wait, Left the time to its deadline. All count from now.
+	// StartTarget is the time within which it should start, MaxWait the longest time that it
+	// may wait, and TimeLeft the time to its deadline, all from now.
 	StartTarget magno.Millis `json:"aim"`
 	MaxWait     magno.Millis `json:"patience"`
 	TimeLeft    magno.Millis `json:"left"`
-	// Most is the longest wait with which this engine is still the best by what
-	// the entry knows, zero for any.
+	// DeclineAbove is the expected wait above which another engine is the better choice, by
+	// what the entry knows; zero for no limit.
 	DeclineAbove magno.Millis `json:"most,omitempty"`
-	// Gap is the longest pause between two events of its stream that is in time,
-	// zero when any is.
+	// MaxGap is the longest allowed pause between two events of the stream, zero for no limit.
 	MaxGap magno.Millis `json:"gap,omitempty"`
 }
 
-// name is the adapter's with its model, or the model's alone.
-func (a *Request) name() string { return QualifiedName(a.Model, a.Adapter) }
+// qualifiedName is the name of the adapter with its model, or of the model alone.
+func (req *Request) qualifiedName() string { return QualifiedName(req.Model, req.Adapter) }
 
-// Name joins a model and an adapter, which may be empty.
+// QualifiedName joins a model and an adapter, which may be empty, as MODEL/ADAPTER.
 func QualifiedName(model, adapter string) string {
 	if adapter == "" {
 		return model
@@ -43,63 +42,62 @@
 	return model + "/" + adapter
 }
 
-// Spec is what an agent is told of the engine beside it.
+// Spec is the configuration that an agent receives for its engine.
 type Spec struct {
-	// Replica is the incarnation's key, ID its name for orders.
+	// Replica is the key of the engine's incarnation, ID the name by which commands address it.
 	Replica string       `json:"replica"`
 	ID      string       `json:"id"`
 	Engine  magno.Engine `json:"engine"`
-	// Pins maps MODEL/ADAPTER to the newest version that was declared.
+	// Pins maps MODEL/ADAPTER to the newest declared version.
 	Pins map[string]int64 `json:"pins,omitempty"`
-	// Leaving engines begin nothing any more.
+	// Leaving is true for an engine that must not start further requests.
 	Leaving bool `json:"leaving,omitempty"`
 }
 
-// waiting is an ask in the queue.
-type waiting struct {
+// queuedRequest is a request in the queue.
+type queuedRequest struct {
 	Request
-	// due is when it should begin, until when it is given up, end its
-	// deadline.
-	came, due, until, end magno.Millis
-	// cause is why it couldn't begin when it was last looked at, waits how long
-	// it had each cause until then.
-	cause  Cause
-	looked magno.Millis
-	waits  Waits
+	// startBy is when it should start, giveUpAt when it is rejected.
+	queuedAt, startBy, giveUpAt, deadline magno.Millis
+	// cause is why it could not start at the time accountedAt, and waits the time that it had
+	// spent on each cause by then.
+	cause       Cause
+	accountedAt magno.Millis
+	waits       Waits
 }
 
-// granted is a request that was let through and hasn't ended.
-type granted struct {
-	ask   Request
-	at    magno.Millis
-	until magno.Millis
-	// unread is what the engine has to read of its prompt, in tokens, until its
-	// first event was seen or should have been, at readBy.
-	unread int
-	readBy magno.Millis
-	// events is how many it was seen to have made.
+// activeRequest is an admitted request that has not ended.
+type activeRequest struct {
+	request   Request
+	grantedAt magno.Millis
+	expiresAt magno.Millis
+	// prefillTokens is what the engine has to prefill of its prompt. It is set to zero at the
+	// first event, or at prefillBy if none was seen.
+	prefillTokens int
+	prefillBy     magno.Millis
+	// events is the number of events that the engine has reported for it.
 	events int
 }
 
-// Grant lets a request through.
+// Grant admits a request.
 type Grant struct {
 	ID string
-	// Version of the adapter that the engine holds, zero when unknown.
+	// Version is that of the adapter that the engine has loaded, zero if unknown.
 	Version int64
-	// Waited is how long it was in the queue, Waits that by cause.
+	// Waited is the time in the queue, and Waits that time by cause.
 	Waited magno.Millis
 	Waits  Waits
 }
 
-// Turned is a request that is refused; it has not run.
+// Rejection refuses a queued request, which has not run.
 type Rejection struct {
 	ID      string
 	Refusal *magno.Refusal
-	// Waits is how long it was in the queue, by cause.
+	// Waits is the time in the queue, by cause.
 	Waits Waits
 }
 
-// Steps are what is to be done now. Each is returned once.
+// Decisions are the results of one Decide call. Each is returned once.
 type Decisions struct {
 	Grants     []Grant
 	Rejections []Rejection
--- a/magno/gate/calls.go
+++ b/magno/gate/calls.go
@@ -2,90 +2,90 @@
 
 import "magnoliastall.example/magno"
 
-// Methods of the protocol between entries and the agent beside an engine.
+// Methods of the protocol between entries and the agent of an engine.
 const (
 	MethodPermit = "permit" // PermitCall, answered by PermitReply once decided
 	MethodEnd    = "end"    // EndCall, a notification
 	MethodStatus = "status" // StatusCall, answered by StatusReply
 )
 
-// PermitCall asks that a request may begin on one incarnation of an engine.
+// PermitCall asks for the admission of a request by one incarnation of an engine.
 type PermitCall struct {
 	Request
 	Replica string `json:"replica"`
-	// Held is the newest StatusReply.Held that the entry has.
+	// ListsHash is the newest StatusReply.ListsHash that the entry has.
 	ListsHash uint64 `json:"held,omitempty"`
-	// Spec is set where the agent isn't known to have it: one that just started
-	// refuses everything until it does. Revision is the spec's.
+	// Spec is set unless the agent is known to have it: an agent that has just started refuses
+	// everything until it has one. Revision is that of the spec.
 	Spec     *Spec `json:"spec,omitempty"`
 	Revision int64 `json:"rev,omitempty"`
 }
 
-// PermitReply ends the wait.
+// PermitReply is the decision on a PermitCall.
 type PermitReply struct {
-	// Refusal is nil when the request may be sent now.
+	// Refusal is nil if the request may be sent now.
 	Refusal *magno.Refusal `json:"refusal,omitempty"`
-	// Declined is true when another engine is better now: the status tells why.
+	// Declined is true if another engine is the better choice now, as Status shows.
 	Declined bool  `json:"declined,omitempty"`
 	Version  int64 `json:"version,omitempty"`
-	// Waits is how long it waited, by cause.
+	// Waits is the time in the queue, by cause.
 	Waits  Waits       `json:"waits"`
 	Status StatusReply `json:"status"`
 }
 
-// EndCall tells that a permitted request ended, or that its caller left.
+// EndCall reports that an admitted request has ended, or that its caller has disconnected.
 type EndCall struct {
 	ID string `json:"id"`
-	// OK is true when the whole answer came.
+	// OK is true if the whole answer was delivered.
 	OK bool `json:"ok"`
-	// Pause is the longest between two events of its stream, zero without any.
+	// MaxPause is the longest pause between two events of its stream, zero if there were none.
 	MaxPause magno.Millis `json:"pause,omitempty"`
 }
 
-// StatusCall asks for an agent's state and tells it what its entry knows.
+// StatusCall asks for an agent's state and updates its spec.
 type StatusCall struct {
-	// Entry is the caller's name; it goes with Spec.
+	// Entry is the caller's name; it is set along with Spec.
 	Entry string `json:"entry,omitempty"`
-	// Spec is left out when the agent is known to have it.
+	// Spec is left out if the agent is known to have it.
 	Spec *Spec `json:"spec,omitempty"`
-	// Revision orders specs of several entries; the highest is in force.
+	// Revision orders the specs of different entries; the highest one is in force.
 	Revision int64 `json:"rev"`
-	// Held is the newest StatusReply.Held that the entry has.
+	// ListsHash is the newest StatusReply.ListsHash that the entry has.
 	ListsHash uint64 `json:"held,omitempty"`
 }
 
 // StatusReply is an agent's state.
 type StatusReply struct {
-	// Replica is the incarnation that the agent knows, Revision that of its
-	// spec. Zero asks for one.
+	// Replica is the incarnation that the agent has a spec for, and Revision that of the spec.
+	// A zero Revision asks for a spec.
 	Replica  string `json:"replica"`
 	Revision int64  `json:"rev"`
-	// Born is the engine's own, zero while it can't be reached.
+	// EngineStart is the engine's start time by its report, zero while it is unreachable.
 	EngineStart magno.Millis  `json:"born,omitempty"`
 	Down        bool          `json:"down,omitempty"`
 	Leaving     bool          `json:"leaving,omitempty"`
 	Backlog     magno.Backlog `json:"backlog"`
-	// Held stands for Backlog.Warm and Kept, zero for empty lists. They are left
-	// out for an entry that has them: they change with each load only, and are
-	// most of the reply.
+	// ListsHash identifies Backlog.Warm and Backlog.Kept, zero for empty lists. The lists
+	// change only with each load and are most of the reply, so they are left out for an entry
+	// that has them.
 	ListsHash uint64 `json:"held,omitempty"`
-	// Since is the Held of the lists that Warm and Kept are changes of, zero where
-	// the backlog has the lists, or the entry does.
+	// BaseHash is the ListsHash of the lists that WarmDiff and KeptDiff apply to. It is zero if
+	// Backlog has the lists, or if the entry has them.
 	BaseHash uint64 `json:"since,omitempty"`
 	WarmDiff Diff   `json:"warm,omitzero"`
 	KeptDiff Diff   `json:"kept,omitzero"`
 }
 
-// Hold sets Held by the lists.
+// SetListsHash computes ListsHash from the lists.
 func (r *StatusReply) SetListsHash() {
 	r.ListsHash = 0
 	for _, hash := range r.Backlog.Warm {
-		r.ListsHash = r.ListsHash*holdFactor + uint64(hash) + 1
+		r.ListsHash = r.ListsHash*hashFactor + uint64(hash) + 1
 	}
 	for _, hash := range r.Backlog.Kept {
-		r.ListsHash = (r.ListsHash + uint64(hash) + 1) * holdFactor
+		r.ListsHash = (r.ListsHash + uint64(hash) + 1) * hashFactor
 	}
 }
 
-// holdFactor is odd and large, so that each place of the list counts.
-const holdFactor = 0x9e3779b97f4a7c15
+// hashFactor is odd and large, so that the hash depends on the position of each element.
+const hashFactor = 0x9e3779b97f4a7c15
--- a/magno/gate/calls_test.go
+++ b/magno/gate/calls_test.go
@@ -13,16 +13,15 @@
 	return r
 }
 
-// An agent is asked for its state several times a second, and the list of what
-// its engine holds is most of it. It is told once; an entry that is told of
-// another list meanwhile must not put the old one in its place, or it sends
-// requests where their adapters are gone.
-func TestListIsToldOnce(t *testing.T) {
+// The list of loaded adapters is most of a status reply, so it is left out for an entry that
+// has it. If the entry has received another list since it asked, it must not go back to the old
+// one, or it sends requests to an engine that has evicted their adapters.
+func TestKnownListIsLeftOut(t *testing.T) {
 	for _, c := range []struct {
-		name             string
-		known, told, had StatusReply
-		short            bool
-		want             []uint32
+		name                 string
+		known, sent, current StatusReply
+		short                bool
+		want                 []uint32
 	}{
 		{"nothing known", reply(), reply(1, 2), reply(), false, []uint32{1, 2}},
 		{"the same", reply(1, 2), reply(1, 2), reply(1, 2), true, []uint32{1, 2}},
@@ -32,26 +31,27 @@
 		{"told of another since", reply(1, 2), reply(1, 2), reply(7), true, []uint32{7}},
 		{"another order is another list", reply(1, 2), reply(2, 1), reply(1, 2), false, []uint32{2, 1}},
 	} {
-		r := c.told
-		var recent ListHistory // the agent remembers nothing
+		r := c.sent
+		var recent ListHistory // an empty history
 		recent.Trim(&r, c.known.ListsHash)
-		if short := len(r.Backlog.Warm) == 0; short != c.short && len(c.told.Backlog.Warm) > 0 {
-			t.Errorf("%s: left out is %v, want %v", c.name, short, c.short)
+		if short := len(r.Backlog.Warm) == 0; short != c.short && len(c.sent.Backlog.Warm) > 0 {
+			t.Errorf("%s: list left out: %v, want %v", c.name, short, c.short)
 		}
-		r.Restore(c.known.ListsHash, &c.had)
+		r.Restore(c.known.ListsHash, &c.current)
 		if !slices.Equal(r.Backlog.Warm, c.want) {
-			t.Errorf("%s: got %v, want %v", c.name, r.Backlog.Warm, c.want)
+			t.Errorf("%s: restored %v, want %v", c.name, r.Backlog.Warm, c.want)
 		}
 		after := r
 		if after.SetListsHash(); after.ListsHash != r.ListsHash {
-			t.Errorf("%s: the list %v goes by %d, want %d", c.name, r.Backlog.Warm, r.ListsHash, after.ListsHash)
+			t.Errorf("%s: list %v has hash %d, want %d", c.name, r.Backlog.Warm, r.ListsHash, after.ListsHash)
 		}
 	}
 }
 
-// What an engine keeps in its memory changes while it holds the same adapters. An
-// entry that goes by the old list sends requests where they are loaded anew.
-func TestListOfWhatIsKeptIsToldWithTheOther(t *testing.T) {
+// The adapters cached in an engine's memory change while the loaded ones stay the same. If the
+// hash did not cover them, an entry with the old list would send requests to an engine that has
+// to load the adapter from the store.
+func TestKeptListIsPartOfListsHash(t *testing.T) {
 	old := reply(1, 2)
 	old.Backlog.Kept = []uint32{5}
 	old.SetListsHash()
@@ -59,25 +59,24 @@
 	is.Backlog.Kept = []uint32{5, 6}
 	is.SetListsHash()
 	if is.ListsHash == old.ListsHash {
-		t.Fatal("another list goes by the same number")
+		t.Fatal("different lists have the same hash")
 	}
-	told := is
+	sent := is
 	var recent ListHistory
-	recent.Trim(&told, is.ListsHash)
-	if len(told.Backlog.Kept) != 0 {
-		t.Error("the list is told to an entry that has it")
+	recent.Trim(&sent, is.ListsHash)
+	if len(sent.Backlog.Kept) != 0 {
+		t.Error("the list is sent to an entry that has it")
 	}
-	told.Restore(is.ListsHash, &is)
-	if !slices.Equal(told.Backlog.Kept, is.Backlog.Kept) {
-		t.Errorf("put back as %v", told.Backlog.Kept)
+	sent.Restore(is.ListsHash, &is)
+	if !slices.Equal(sent.Backlog.Kept, is.Backlog.Kept) {
+		t.Errorf("restored as %v", sent.Backlog.Kept)
 	}
 }
 
-// An engine loads an adapter about once a second, and each of many entries asks its
-// agent as often. Told whole lists each time, weak machines spend their links on
-// what they know already. An entry that has one of the agent's last lists is told
-// the change, and must end with the same lists as one that is told all.
-func TestListsAreToldByTheirChange(t *testing.T) {
+// Each engine loads an adapter about once a second, and each entry polls it as often, so whole
+// lists would fill slow links with hashes that the entries have. An entry that has a recent
+// list is sent the diff, and must arrive at the same lists as one that is sent everything.
+func TestListsAreSentAsDiffs(t *testing.T) {
 	for _, c := range []struct {
 		name                 string
 		wasWarm, wasKept     []uint32
@@ -96,25 +95,25 @@
 		is.SetListsHash()
 		recent.Record(&was)
 		recent.Record(&is)
-		told := is
-		recent.Trim(&told, was.ListsHash)
-		if len(told.Backlog.Warm) != 0 || !slices.Equal(told.WarmDiff.Added, c.wantWarmer) || !slices.Equal(told.WarmDiff.Removed, c.wantLost) {
-			t.Errorf("%s: told %v and %v", c.name, told.Backlog.Warm, told.WarmDiff)
+		sent := is
+		recent.Trim(&sent, was.ListsHash)
+		if len(sent.Backlog.Warm) != 0 || !slices.Equal(sent.WarmDiff.Added, c.wantWarmer) || !slices.Equal(sent.WarmDiff.Removed, c.wantLost) {
+			t.Errorf("%s: sent list %v and diff %v", c.name, sent.Backlog.Warm, sent.WarmDiff)
 		}
-		told.Restore(was.ListsHash, &was)
-		if told.ListsHash != is.ListsHash || !slices.Equal(told.Backlog.Warm, c.isWarm) || !slices.Equal(told.Backlog.Kept, c.isKept) {
-			t.Errorf("%s: has %v and %v", c.name, told.Backlog.Warm, told.Backlog.Kept)
+		sent.Restore(was.ListsHash, &was)
+		if sent.ListsHash != is.ListsHash || !slices.Equal(sent.Backlog.Warm, c.isWarm) || !slices.Equal(sent.Backlog.Kept, c.isKept) {
+			t.Errorf("%s: restored warm %v and kept %v", c.name, sent.Backlog.Warm, sent.Backlog.Kept)
 		}
 		if !slices.Equal(was.Backlog.Warm, c.wasWarm) {
-			t.Errorf("%s: the list before is %v now", c.name, was.Backlog.Warm)
+			t.Errorf("%s: the previous list was changed to %v", c.name, was.Backlog.Warm)
 		}
 	}
 }
 
-// Two answers of an agent overtake each other on their way to an entry. The change
-// that comes late is one of a list that the entry no longer has: applied to another
-// one, it would leave adapters there that are gone, for good.
-func TestChangeOfAnotherListIsNotApplied(t *testing.T) {
+// Two replies of an agent arrive in the wrong order, so the later one has a diff to a list that
+// the entry has replaced. Applied to the newer list, it would leave evicted adapters there for
+// good.
+func TestDiffOfAnotherListIsNotApplied(t *testing.T) {
 	var recent ListHistory
 	first, second, third := reply(1), reply(1, 2), reply(2, 3)
 	for _, r := range []*StatusReply{&first, &second, &third} {
@@ -124,24 +123,24 @@
 	recent.Trim(&late, first.ListsHash)
 	late.Restore(first.ListsHash, &third)
 	if late.ListsHash != third.ListsHash || !slices.Equal(late.Backlog.Warm, third.Backlog.Warm) {
-		t.Errorf("has %v by %d, want what it had", late.Backlog.Warm, late.ListsHash)
+		t.Errorf("got list %v with hash %d, want the lists that the entry had", late.Backlog.Warm, late.ListsHash)
 	}
 }
 
-// An agent remembers few lists. An entry that asks seldom has one that is forgotten,
-// and is told everything.
-func TestForgottenListIsToldWhole(t *testing.T) {
+// An entry that polls rarely has a list that the agent no longer remembers, and is sent the
+// whole lists.
+func TestForgottenListIsSentInFull(t *testing.T) {
 	var recent ListHistory
 	old := reply(1)
 	recent.Record(&old)
 	var is StatusReply
-	for i := range uint32(mostRecent) {
+	for i := range uint32(maxListHistory) {
 		is = reply(i+2, i+3)
 		recent.Record(&is)
 	}
-	told := is
-	recent.Trim(&told, old.ListsHash)
-	if told.BaseHash != 0 || !slices.Equal(told.Backlog.Warm, is.Backlog.Warm) {
-		t.Errorf("told %v since %d", told.Backlog.Warm, told.BaseHash)
+	sent := is
+	recent.Trim(&sent, old.ListsHash)
+	if sent.BaseHash != 0 || !slices.Equal(sent.Backlog.Warm, is.Backlog.Warm) {
+		t.Errorf("sent %v as a diff to %d, want the whole list", sent.Backlog.Warm, sent.BaseHash)
 	}
 }
--- a/magno/gate/cause.go
+++ b/magno/gate/cause.go
@@ -5,27 +5,27 @@
 // Cause is why a request waits for its permit.
 type Cause int
 
-// The causes of a wait, each apart, since each has another remedy.
+// The causes of a wait. They are told apart because each has a different remedy.
 const (
-	CauseModel    Cause = iota // its base model isn't there
+	CauseModel    Cause = iota // the base model is not loaded
 	CauseSlot                  // every adapter slot is in use
-	CauseLoad                  // its adapter is being loaded, or waits for its turn to be
-	CauseCapacity              // no place among the running requests, or no memory
-	CausePrefill               // prompts before it are read first
-	causes
+	CauseLoad                  // the adapter is being loaded, or its load is queued
+	CauseCapacity              // the batch or the token memory is full
+	CausePrefill               // earlier prompts are prefilled first
+	numCauses
 )
 
-// causeNames are what logs and metrics say.
-var causeNames = [causes]string{"model", "slot", "load", "place", "read"}
+// causeNames are the names in logs and metrics.
+var causeNames = [numCauses]string{"model", "slot", "load", "place", "read"}
 
-// String names the cause.
+// String returns the name of the cause.
 func (c Cause) String() string { return causeNames[c] }
 
-// Causes lists all causes.
+// Causes returns all causes.
 func Causes() []Cause { return []Cause{CauseModel, CauseSlot, CauseLoad, CauseCapacity, CausePrefill} }
 
-// Waits is how long a request waited for each cause.
-type Waits [causes]magno.Millis
+// Waits is the time that a request waited, by cause.
+type Waits [numCauses]magno.Millis
 
 // Add adds the waits at another engine.
 func (w *Waits) Add(other *Waits) {
@@ -34,7 +34,7 @@
 	}
 }
 
-// Line lists the causes that there were for a log line, in ms.
+// LogArgs returns the nonzero waits as arguments of a log call, in ms.
 func (w *Waits) LogArgs() []any {
 	var line []any
 	for c, part := range w {
@@ -45,38 +45,38 @@
 	return line
 }
 
-// blame adds the time since the last look to the cause that each waiting
-// request had then, and notes the cause that it has now.
-func (g *Gate) blame(now magno.Millis) {
+// accountWaits adds the time since the last call to the previous cause of each queued request,
+// and determines its current cause.
+func (g *Gate) accountWaits(now magno.Millis) {
 	for _, w := range g.queue {
-		w.passed(now)
+		w.accountWait(now)
 		w.cause = g.cause(&w.Request)
 	}
 }
 
-// passed adds the time since the last look to the cause of that time.
-func (w *waiting) passed(now magno.Millis) {
-	w.waits[w.cause] += now - w.looked
-	w.looked = now
+// accountWait adds the time since the last call to the request's cause.
+func (w *queuedRequest) accountWait(now magno.Millis) {
+	w.waits[w.cause] += now - w.accountedAt
+	w.accountedAt = now
 }
 
-// cause tells why a request in the queue can't begin now.
-func (g *Gate) cause(a *Request) Cause {
+// cause returns why a queued request cannot start now.
+func (g *Gate) cause(req *Request) Cause {
 	switch {
-	case !g.held.models[a.Model]:
+	case !g.inventory.models[req.Model]:
 		return CauseModel
-	case g.held.ready(a) && !g.room(a):
+	case g.inventory.ready(req) && !g.hasCapacity(req):
 		return CauseCapacity
-	case g.held.ready(a):
+	case g.inventory.ready(req):
 		return CausePrefill
-	case g.held.moving(a.name()) || g.held.fits() || g.spare():
+	case g.inventory.changing(req.qualifiedName()) || g.inventory.canFitAdapter() || g.hasIdleAdapter():
 		return CauseLoad
 	}
 	return CauseSlot
 }
 
-// spare tells whether an adapter is held that no request uses or waits for.
-func (g *Gate) spare() bool {
-	_, ok := g.held.victim(g.inUse(), g.held.at)
+// hasIdleAdapter reports whether an adapter is loaded that no running or queued request uses.
+func (g *Gate) hasIdleAdapter() bool {
+	_, ok := g.inventory.victim(g.inUse(), g.inventory.now)
 	return ok
 }
--- a/magno/gate/gate.go
+++ b/magno/gate/gate.go
@@ -1,23 +1,22 @@
-// Package gate decides for one engine which requests begin, which wait, which
-// are refused, and which models and adapters are loaded.
+// Package gate is the admission controller of one engine: it decides which requests start,
+// which wait and which are refused, and which models and adapters the engine loads.
 //
-//	Offer --> queue --(adapter held, room, pace)--> granted --> Done
+//	Offer --> queue --(adapter loaded, capacity, pacing)--> admitted --> Done
 //	            |            ^
-//	            v            | Report
+//	            v            | ApplyReport
 //	        refused        engine <-- Command (load, unload)
 //
-// Load pattern: prompts come in clumps. The engine reads every prompt that it
-// is given between the tokens of all that runs, so ten long prompts at once
-// stop every stream for a second. Requests for adapters that aren't held can't
-// run at all until a load of a quarter of a second has ended.
+// Load pattern: prompts arrive in bursts. An engine prefills every prompt that it has between
+// the decode steps of its running requests, so ten long prompts at once stall every stream for
+// a second. A request whose adapter is not loaded cannot start until a load of about 250 ms has
+// finished.
 //
-// Without this package each entry would send by its own count, streams of all
-// callers would pause whenever clumps met, and adapters would push each other
-// out of the slots.
+// Without this package each entry would send by its own count of requests, all streams would
+// stall whenever bursts coincide, and adapters would evict each other from the slots.
 //
-// The engine's own report is the truth about what it holds; what was ordered
-// since and isn't seen there yet counts as taken, so that a lost answer never
-// leads to more than the engine has room for.
+// The engine's report is authoritative for what it holds. A command that was issued since and
+// is not in the report yet counts as carried out, so that a lost reply never overcommits the
+// engine.
 package gate
 
 import (
@@ -29,216 +28,214 @@
 )
 
 const (
-	// roomPart is the part of an engine's token memory that is given out: what
-	// is made beyond the estimate needs the rest.
-	roomPart = 0.9
-	// mostMade bounds the output that is reserved for a request: callers state
-	// a maximum that few answers come near.
-	mostMade = 600
-	// mostWaiting bounds the queue; far more than is served within any
-	// deadline.
-	mostWaiting = 512
-	// lateGain is what a late answer counts of one in time when loads are ordered.
-	lateGain = 0.3
-	// runGain weighs a new run in the average time of runs.
-	runGain = 0.05
-	// firstRun is that average before the first run ended.
-	firstRun = 1500 * magno.Millis(1)
-	// grantSlack is how long after its deadline a request that nobody ended
-	// still counts: its entry may be gone.
-	grantSlack = magno.Second
-	// leastAfter and mostAfter bound the time after which a refused caller is
-	// told to come back.
-	leastAfter = 50 * magno.Millis(1)
-	mostAfter  = 5 * magno.Second
+	// tokenMemoryShare is the share of an engine's token memory that is reserved for admitted
+	// requests. The rest absorbs output beyond the estimate.
+	tokenMemoryShare = 0.9
+	// maxReservedOutput bounds the output tokens reserved for a request: callers state a
+	// maximum that few answers come near.
+	maxReservedOutput = 600
+	// maxQueued bounds the queue; it is far more than is served within any deadline.
+	maxQueued = 512
+	// lateWeight is the weight of a request that is already late, against 1 for one in time,
+	// when loads are prioritized.
+	lateWeight = 0.3
+	// runTimeWeight is the weight of a new sample in the moving average of run times.
+	runTimeWeight = 0.05
+	// initialRunTime is that average before the first request has finished.
+	initialRunTime = 1500 * magno.Millis(1)
+	// grantExpirySlack is how long after its deadline an admitted request still counts if no
+	// end was reported for it: its entry may have failed.
+	grantExpirySlack = magno.Second
+	// minRetryAfter and maxRetryAfter bound the retry-after time of a refusal.
+	minRetryAfter = 50 * magno.Millis(1)
+	maxRetryAfter = 5 * magno.Second
 )
 
-// Gate is one engine's. One goroutine uses it; Clock is set before.
+// Gate controls admission to one engine. It is not safe for concurrent use. Clock must be set
+// before the first call.
 type Gate struct {
 	Clock *magno.Clock
 
-	spec  Spec
-	queue []*waiting
-	runs  map[string]*granted
-	held  shelf
-	pace  pace
-	read  *prefixes
-	// run is the average time of a run.
-	run float64
+	spec      Spec
+	queue     []*queuedRequest
+	active    map[string]*activeRequest
+	inventory inventory
+	pacer     pacer
+	prefixes  *prefixCache
+	// meanRunTime is the moving average of run times, in ms.
+	meanRunTime float64
 }
 
 func (g *Gate) setup() {
-	if g.runs == nil {
-		g.runs = map[string]*granted{}
-		g.run = float64(firstRun)
-		g.read = newPrefixes()
-		g.held.setup()
+	if g.active == nil {
+		g.active = map[string]*activeRequest{}
+		g.meanRunTime = float64(initialRunTime)
+		g.prefixes = newPrefixCache()
+		g.inventory.setup()
 	}
 }
 
-// now is the time, and that by which the shelf judges.
+// now returns the time, and sets it as the time at which the inventory is evaluated.
 func (g *Gate) now() magno.Millis {
-	g.held.at = g.Clock.Now()
-	return g.held.at
+	g.inventory.now = g.Clock.Now()
+	return g.inventory.now
 }
 
-// Specify tells what the engine is. Another incarnation holds nothing of what
-// the one before held, and what ran there is gone.
+// SetSpec sets what the engine is configured to be. A spec of another incarnation drops the
+// state of the previous one: what was loaded and what ran there is gone.
 func (g *Gate) SetSpec(s Spec) {
 	g.setup()
 	if g.spec.Replica != "" && s.Replica != g.spec.Replica {
-		g.forget()
+		g.reset()
 	}
 	g.spec = s
-	g.pace.engine.Stride = s.Engine.Stride
-	g.held.setSpec(&g.spec, g.Clock.Now())
+	g.pacer.engine.Stride = s.Engine.Stride
+	g.inventory.setSpec(&g.spec, g.Clock.Now())
 }
 
-// Spec is what was told last.
+// Spec returns the spec last set.
 func (g *Gate) Spec() Spec { return g.spec }
 
-func (g *Gate) forget() {
-	clear(g.runs)
-	g.pace.forget()
-	g.read = newPrefixes()
-	g.held.forget()
+func (g *Gate) reset() {
+	clear(g.active)
+	g.pacer.reset()
+	g.prefixes = newPrefixCache()
+	g.inventory.reset()
 }
 
-// Reported takes the engine's report, which was asked for at asked.
+// ApplyReport takes the engine's report, which was requested at the time asked.
 func (g *Gate) ApplyReport(r *magno.Report, asked magno.Millis) {
 	g.setup()
-	if g.held.restarted(r) {
-		g.forget()
+	if g.inventory.restarted(r) {
+		g.reset()
 	}
-	g.held.report(r, asked)
-	g.seen(r, asked)
+	g.inventory.applyReport(r, asked)
+	g.updateProgress(r, asked)
 }
 
-// Ordered takes what became of a command, and when its answer came.
+// ApplyOutcome takes the outcome of a command and the time of its reply.
 func (g *Gate) ApplyOutcome(c magno.Command, o magno.Outcome, at magno.Millis) {
 	g.setup()
-	g.held.ordered(c, o, at)
+	g.inventory.applyOutcome(c, o, at)
 }
 
-// Declines tells whether the wait for a request has grown so much since the entry
-// last heard of this engine that another one is better now.
+// Declines reports whether the expected wait of a request has grown since the entry last heard
+// of this engine, so far that another engine is the better choice now.
 //
-// Load pattern: several entries send what comes to whichever engine looked best in
-// reports that are a quarter of a second old, and all of it meets at one. Asked
-// first, that engine says so within a round trip, and its word is fresh.
-func (g *Gate) Declines(a *Request) bool {
+// Several entries send to whichever engine looked best in reports that are 250 ms old, and
+// their requests meet at the same one. The engine itself declines within one round trip, from
+// current state.
+func (g *Gate) Declines(req *Request) bool {
 	g.setup()
-	return a.DeclineAbove > 0 && g.spec.Replica != "" && !g.spec.Leaving && g.expect(a, g.now())+g.congestion() > a.DeclineAbove
+	return req.DeclineAbove > 0 && g.spec.Replica != "" && !g.spec.Leaving && g.expectedWait(req, g.now())+g.congestion() > req.DeclineAbove
 }
 
-// Offer takes a request into the queue, or refuses it at once when its wait is
-// expected to be over its patience: then waiting helps nobody, and the caller
-// may still find another way.
-func (g *Gate) Offer(a Request) *magno.Refusal {
+// Offer queues a request. It refuses one at once if the expected wait is over its MaxWait:
+// queueing it would gain nothing, and the caller may still be served elsewhere.
+func (g *Gate) Offer(req Request) *magno.Refusal {
 	g.setup()
 	now := g.now()
 	if g.spec.Replica == "" {
-		return magno.Refuse(magno.KindStarting, "what stands beside this agent isn't known yet").Later(leastAfter)
+		return magno.Refuse(magno.KindStarting, "what stands beside this agent isn't known yet").Later(minRetryAfter)
 	}
 	if g.spec.Leaving {
-		return leaving()
+		return refuseLeaving()
 	}
-	if len(g.queue) >= mostWaiting {
-		return magno.Refuse(magno.KindBusy, "%d requests wait", len(g.queue)).Later(mostAfter)
+	if len(g.queue) >= maxQueued {
+		return magno.Refuse(magno.KindBusy, "%d requests wait", len(g.queue)).Later(maxRetryAfter)
 	}
-	wait := g.expect(&a, now)
-	if wait > a.MaxWait {
+	wait := g.expectedWait(&req, now)
+	if wait > req.MaxWait {
 		kind := magno.KindBusy
-		if !g.held.ready(&a) {
+		if !g.inventory.ready(&req) {
 			kind = magno.KindLoading
 		}
-		return magno.Refuse(kind, "a wait of %d ms is expected, its patience is %d ms", wait, a.MaxWait).
-			Later(min(max(wait-a.MaxWait, leastAfter), mostAfter))
+		return magno.Refuse(kind, "a wait of %d ms is expected, its patience is %d ms", wait, req.MaxWait).
+			Later(min(max(wait-req.MaxWait, minRetryAfter), maxRetryAfter))
 	}
-	w := &waiting{Request: a, came: now, due: now + a.StartTarget, until: now + a.MaxWait, end: now + a.TimeLeft, looked: now}
-	w.cause = g.cause(&a)
+	w := &queuedRequest{Request: req, queuedAt: now, startBy: now + req.StartTarget, giveUpAt: now + req.MaxWait, deadline: now + req.TimeLeft, accountedAt: now}
+	w.cause = g.cause(&req)
 	g.queue = append(g.queue, w)
-	g.held.wanted(a.name(), now)
+	g.inventory.recordDemand(req.qualifiedName(), now)
 	return nil
 }
 
-// Done ends a request; ok tells that it came to a good end.
+// Done ends a request; ok is true if it completed.
 func (g *Gate) Done(id string, ok bool) {
 	g.setup()
-	if i := slices.IndexFunc(g.queue, func(w *waiting) bool { return w.ID == id }); i >= 0 {
+	if i := slices.IndexFunc(g.queue, func(w *queuedRequest) bool { return w.ID == id }); i >= 0 {
 		g.queue = slices.Delete(g.queue, i, i+1)
 		return
 	}
-	r := g.runs[id]
+	r := g.active[id]
 	if r == nil {
 		return
 	}
-	delete(g.runs, id)
+	delete(g.active, id)
 	if ok {
-		g.pace.read(r.unread)
-		g.run += runGain * (float64(g.Clock.Now()-r.at) - g.run)
+		g.pacer.finish(r.prefillTokens)
+		g.meanRunTime += runTimeWeight * (float64(g.Clock.Now()-r.grantedAt) - g.meanRunTime)
 		return
 	}
-	g.pace.gave(r.unread)
+	g.pacer.discard(r.prefillTokens)
 }
 
-// Paused takes the longest pause between two events of a request's stream. It
-// comes before Done.
+// RecordPause takes the longest pause between two events of a request's stream. It must be
+// called before Done.
 func (g *Gate) RecordPause(id string, longest magno.Millis) {
 	g.setup()
-	if r := g.runs[id]; r != nil && r.ask.MaxGap > 0 && longest > 0 {
-		g.pace.paused(longest, r.ask.MaxGap, g.Clock.Now())
+	if r := g.active[id]; r != nil && r.request.MaxGap > 0 && longest > 0 {
+		g.pacer.recordPause(longest, r.request.MaxGap, g.Clock.Now())
 	}
 }
 
-// Next returns what is to be done now. It is called after each change, and
-// every 20 ms or so while requests wait.
+// Decide returns the requests to admit and to reject now. It must be called after each change,
+// and about every 20 ms while requests are queued.
 func (g *Gate) Decide() Decisions {
 	g.setup()
 	now := g.now()
-	var s Decisions
-	for id, r := range g.runs {
-		if now > r.until {
-			g.pace.gave(r.unread)
-			delete(g.runs, id)
+	var d Decisions
+	for id, r := range g.active {
+		if now > r.expiresAt {
+			g.pacer.discard(r.prefillTokens)
+			delete(g.active, id)
 		}
 	}
-	g.expire(&s, now)
-	g.pace.gap = g.tightest()
-	g.order(now)
-	g.grant(&s, now)
-	g.blame(now)
-	return s
+	g.expire(&d, now)
+	g.pacer.maxGap = g.minGap()
+	g.sortQueue(now)
+	g.admit(&d, now)
+	g.accountWaits(now)
+	return d
 }
 
-// Commands returns what to order now, the most pressing first. Each counts as
-// given until Ordered tells what became of it.
+// Commands returns the commands to send to the engine now, most urgent first. Each counts as
+// issued until ApplyOutcome is called for it.
 func (g *Gate) Commands() []magno.Command {
 	g.setup()
 	now := g.now()
-	return g.held.commands(g.demand(), g.inUse(), now)
+	return g.inventory.commands(g.namesByDemand(), g.inUse(), now)
 }
 
-// running counts what runs by this gate's own account and by the engine's,
-// which knows what other ways led there.
-func (g *Gate) running() int { return max(len(g.runs), g.held.running) }
+// runningCount counts the running requests. The engine's own count may be higher, since
+// requests can reach it without a permit.
+func (g *Gate) runningCount() int { return max(len(g.active), g.inventory.running) }
 
-// demand lists the names of what waits, the most pressing first: by the number
-// of requests that would still begin in time, the more urgent ones counted
-// double for each rank, and late ones for little. After a restart, when nothing
-// is held, the adapters that most callers use come first.
-func (g *Gate) demand() []string {
-	now := g.held.at
+// namesByDemand lists the names that queued requests need, most valuable first. A request
+// counts double for each step in rank, and lateWeight of that if it can no longer start in
+// time. After a restart, when nothing is loaded, the adapters with most callers come first.
+func (g *Gate) namesByDemand() []string {
+	now := g.inventory.now
 	worth := map[string]float64{}
 	var names []string
 	for _, w := range g.queue {
-		name := w.name()
+		name := w.qualifiedName()
 		if worth[name] == 0 {
 			names = append(names, name)
 		}
 		gain := math.Exp2(-float64(w.Rank))
-		if now+g.held.cold() > w.due {
-			gain *= lateGain
+		if now+g.inventory.coldLoadTime() > w.startBy {
+			gain *= lateWeight
 		}
 		worth[name] += gain
 	}
@@ -246,22 +243,22 @@
 	return names
 }
 
-// missing lists what must still be loaded of what waits, in the order of loads.
-func (g *Gate) missing() []string {
-	return slices.DeleteFunc(g.demand(), func(name string) bool {
-		model, adapter := split(name)
-		return g.held.ready(&Request{Model: model, Adapter: adapter})
+// missingNames lists what queued requests need and is not ready, in load order.
+func (g *Gate) missingNames() []string {
+	return slices.DeleteFunc(g.namesByDemand(), func(name string) bool {
+		model, adapter := splitName(name)
+		return g.inventory.ready(&Request{Model: model, Adapter: adapter})
 	})
 }
 
-// inUse tells which adapters requests use or wait for.
+// inUse returns the names that running or queued requests use.
 func (g *Gate) inUse() map[string]bool {
-	used := make(map[string]bool, len(g.runs)+len(g.queue))
-	for _, r := range g.runs {
-		used[r.ask.name()] = true
+	names := make(map[string]bool, len(g.active)+len(g.queue))
+	for _, r := range g.active {
+		names[r.request.qualifiedName()] = true
 	}
 	for _, w := range g.queue {
-		used[w.name()] = true
+		names[w.qualifiedName()] = true
 	}
-	return used
+	return names
 }
--- a/magno/gate/gate_test.go
+++ b/magno/gate/gate_test.go
@@ -7,133 +7,133 @@
 	"magnoliastall.example/magno"
 )
 
-// world is a gate beside a fake engine.
-type world struct {
+// harness drives a gate with a fake engine.
+type harness struct {
 	t     *testing.T
 	clock *magno.Clock
 	gate  *Gate
-	// held, loading and slots are the engine's.
+	// held, loading and slots are the engine's state.
 	held    map[string]int64
 	loading map[string]magno.Millis
 	slots   int
 	running int
 	orders  int64
 	granted map[string]bool
-	turned  map[string]*magno.Refusal
+	refused map[string]*magno.Refusal
 }
 
 const model = "m"
 
-func newWorld(t *testing.T, slots int) *world {
+func newHarness(t *testing.T, slots int) *harness {
 	clock := magno.NewClock(magno.Hour)
-	w := &world{
+	h := &harness{
 		t: t, clock: clock, gate: &Gate{Clock: clock}, held: map[string]int64{}, loading: map[string]magno.Millis{},
-		slots: slots, granted: map[string]bool{}, turned: map[string]*magno.Refusal{},
+		slots: slots, granted: map[string]bool{}, refused: map[string]*magno.Refusal{},
 	}
-	w.gate.SetSpec(w.spec())
-	w.report()
-	return w
+	h.gate.SetSpec(h.spec())
+	h.report()
+	return h
 }
 
-func (w *world) spec() Spec {
+func (h *harness) spec() Spec {
 	return Spec{Replica: "r@1", ID: "r", Engine: magno.Engine{
 		Models: []magno.Model{{Name: model, Size: 1000, Adapter: 10, Load: 3200, Disk: 1300}},
-		Slots:  w.slots, Memory: 1000 + 10*float64(w.slots), Tokens: 100_000, Batch: 64, Stride: 6,
+		Slots:  h.slots, Memory: 1000 + 10*float64(h.slots), Tokens: 100_000, Batch: 64, Stride: 6,
 	}}
 }
 
-// report tells the gate what the engine holds.
-func (w *world) report() {
-	now := w.clock.Now()
-	r := &magno.Report{Born: 1, Orders: w.orders, Running: w.running, Held: map[string]map[string]int64{model: {}}}
-	for name, end := range w.loading {
+// report sends the engine's report to the gate.
+func (h *harness) report() {
+	now := h.clock.Now()
+	r := &magno.Report{Born: 1, Orders: h.orders, Running: h.running, Held: map[string]map[string]int64{model: {}}}
+	for name, end := range h.loading {
 		if now >= end {
-			w.held[name] = 1
-			delete(w.loading, name)
+			h.held[name] = 1
+			delete(h.loading, name)
 			continue
 		}
 		r.Coming = append(r.Coming, magno.Pin{Model: model, Adapter: name, Number: 1})
 	}
-	for name, version := range w.held {
+	for name, version := range h.held {
 		r.Held[model][name] = version
 	}
-	w.gate.ApplyReport(r, now)
+	h.gate.ApplyReport(r, now)
 }
 
-// step lets the gate decide and the engine obey. Lost orders are obeyed without
-// an answer.
-func (w *world) step(lost func() bool) {
-	s := w.gate.Decide()
-	for _, g := range s.Grants {
-		w.granted[g.ID] = true
+// step lets the gate decide and the engine execute its commands. If lost returns true, the
+// command is executed and its reply is lost.
+func (h *harness) step(lost func() bool) {
+	decisions := h.gate.Decide()
+	for _, g := range decisions.Grants {
+		h.granted[g.ID] = true
 	}
-	for _, t := range s.Rejections {
-		w.turned[t.ID] = t.Refusal
+	for _, t := range decisions.Rejections {
+		h.refused[t.ID] = t.Refusal
 	}
-	for _, c := range w.gate.Commands() {
-		w.obey(c)
+	for _, c := range h.gate.Commands() {
+		h.execute(c)
 		outcome := magno.OrderAccepted
 		if lost != nil && lost() {
 			outcome = magno.OrderUnknown
 		}
-		w.gate.ApplyOutcome(c, outcome, w.clock.Now())
+		h.gate.ApplyOutcome(c, outcome, h.clock.Now())
 	}
 }
 
-func (w *world) obey(c magno.Command) {
-	w.orders++
+func (h *harness) execute(c magno.Command) {
+	h.orders++
 	if !c.Load {
-		delete(w.held, c.Adapter)
+		delete(h.held, c.Adapter)
 		return
 	}
-	w.loading[c.Adapter] = w.clock.Now() + 250
-	if n := len(w.held) + len(w.loading); n > w.slots {
-		w.t.Fatalf("the engine was ordered to hold %d adapters in %d slots", n, w.slots)
+	h.loading[c.Adapter] = h.clock.Now() + 250
+	if n := len(h.held) + len(h.loading); n > h.slots {
+		h.t.Fatalf("the engine was commanded to hold %d adapters in %d slots", n, h.slots)
 	}
 }
 
-// run plays for so long, with a report each 30 ms.
-func (w *world) run(span magno.Millis, lost func() bool) {
-	for end := w.clock.Now() + span; w.clock.Now() < end; w.clock.Advance(30) {
-		w.report()
-		w.step(lost)
+// run advances the clock by span, with a report every 30 ms.
+func (h *harness) run(span magno.Millis, lost func() bool) {
+	for end := h.clock.Now() + span; h.clock.Now() < end; h.clock.Advance(30) {
+		h.report()
+		h.step(lost)
 	}
 }
 
-func (w *world) ask(id, adapter string, prompt int) Request {
+func (h *harness) request(id, adapter string, prompt int) Request {
 	return Request{ID: id, Model: model, Adapter: adapter, Prompt: prompt, MaxOutput: 100, StartTarget: 800, MaxWait: 3000, TimeLeft: 12000, MaxGap: 250}
 }
 
-func (w *world) offer(a Request) {
-	if r := w.gate.Offer(a); r != nil {
-		w.turned[a.ID] = r
+func (h *harness) offer(a Request) {
+	if r := h.gate.Offer(a); r != nil {
+		h.refused[a.ID] = r
 	}
 }
 
-// Ten long prompts come within the same moment. Read at once, they would stop
-// every stream of the engine for over half a second, where 250 ms are allowed.
-// They are spaced, so that what is read leaves room for an event in each window.
+// Ten long prompts arrive together. Prefilled at once they would stall every stream for over
+// half a second, where 250 ms are allowed. The gate spaces them, so that the prefill in each
+// window leaves room for an event.
 func TestBurstOfPromptsIsSpaced(t *testing.T) {
-	w := newWorld(t, 8)
-	w.held["a"] = 1
-	w.report()
-	const prompt = 2400 // 75 ms
+	h := newHarness(t, 8)
+	h.held["a"] = 1
+	h.report()
+	const prompt = 2400 // 75 ms of prefill
 	for i := range 10 {
-		a := w.ask(fmt.Sprint(i), "a", prompt)
-		w.offer(a)
+		a := h.request(fmt.Sprint(i), "a", prompt)
+		h.offer(a)
 	}
 	var at []magno.Millis
 	for range 200 {
-		s := w.gate.Decide()
+		s := h.gate.Decide()
 		for range s.Grants {
-			at = append(at, w.clock.Now())
+			at = append(at, h.clock.Now())
 		}
-		w.clock.Advance(10)
+		h.clock.Advance(10)
 	}
 	if len(at) != 10 {
-		t.Fatalf("%d of 10 began", len(at))
+		t.Fatalf("%d of 10 prompts were admitted", len(at))
 	}
-	p := &w.gate.pace
+	p := &h.gate.pacer
 	event := p.engine.Event()
 	span := 250 - event
 	for i, from := range at {
@@ -143,165 +143,164 @@
 				tokens += prompt
 			}
 		}
-		if read := p.time(tokens); read+event > span {
-			t.Errorf("prompts of %d ms began within %d ms, and an event takes %d", read, span, event)
+		if read := p.prefillTime(tokens); read+event > span {
+			t.Errorf("prompts with %d ms of prefill were admitted within %d ms, and an event takes %d ms", read, span, event)
 		}
 	}
 }
 
-// A prompt that takes longer than a whole window comes while shorter ones go on
-// coming. It gets its turn once the window is empty.
-func TestVeryLongPromptIsReadAtLast(t *testing.T) {
-	w := newWorld(t, 8)
-	w.held["a"] = 1
-	w.report()
-	w.offer(w.ask("first", "a", 3000))
-	w.run(30, nil)
-	w.offer(w.ask("long", "a", 9000))
-	w.run(600, nil)
-	if !w.granted["long"] {
-		t.Error("the long prompt still waits")
+// A prompt that needs more than a whole window is admitted once the window is empty, though
+// shorter ones keep arriving.
+func TestPromptLongerThanWindowIsAdmitted(t *testing.T) {
+	h := newHarness(t, 8)
+	h.held["a"] = 1
+	h.report()
+	h.offer(h.request("first", "a", 3000))
+	h.run(30, nil)
+	h.offer(h.request("long", "a", 9000))
+	h.run(600, nil)
+	if !h.granted["long"] {
+		t.Error("the long prompt was not admitted")
 	}
 }
 
-// Requests wait at an engine whose adapters aren't there yet, and operators
-// take that engine away. The callers' requests must go elsewhere at once:
-// begun there two seconds later, they would be cut off with it.
-func TestLeavingEngineTurnsAwayWhatWaits(t *testing.T) {
-	w := newWorld(t, 2)
-	w.offer(w.ask("1", "a", 100))
-	spec := w.spec()
+// An engine starts to leave while requests wait for their adapters. They must be refused at
+// once, so that they can run elsewhere: started two seconds later, they would be cut off with
+// the engine.
+func TestLeavingEngineRefusesQueuedRequests(t *testing.T) {
+	h := newHarness(t, 2)
+	h.offer(h.request("1", "a", 100))
+	spec := h.spec()
 	spec.Leaving = true
-	w.gate.SetSpec(spec)
-	w.run(600, nil)
-	if w.granted["1"] || w.turned["1"] == nil {
-		t.Error("a request that waited began at an engine that leaves")
+	h.gate.SetSpec(spec)
+	h.run(600, nil)
+	if h.granted["1"] || h.refused["1"] == nil {
+		t.Error("a queued request was not refused when the engine began to leave")
 	}
-	w.offer(w.ask("2", "a", 100))
-	if w.turned["2"] == nil {
-		t.Error("a leaving engine took a new request")
+	h.offer(h.request("2", "a", 100))
+	if h.refused["2"] == nil {
+		t.Error("a leaving engine accepted a new request")
 	}
 }
 
-// The engine restarts empty, under the name that it had. What it held is gone,
-// and requests wait for their adapters' loads instead of being sent to fail.
+// An engine restarts under the same name. Its adapters are gone, so requests must wait for
+// their loads; sent at once, they would fail.
 func TestRestartedEngineHoldsNothing(t *testing.T) {
-	w := newWorld(t, 2)
-	w.offer(w.ask("1", "a", 100))
-	w.run(600, nil)
-	if !w.granted["1"] {
-		t.Fatal("the first request didn't begin")
+	h := newHarness(t, 2)
+	h.offer(h.request("1", "a", 100))
+	h.run(600, nil)
+	if !h.granted["1"] {
+		t.Fatal("the first request was not admitted")
 	}
-	w.gate.ApplyReport(&magno.Report{Born: 2}, w.clock.Now())
-	w.offer(w.ask("2", "a", 100))
-	w.gate.Decide()
-	if c := w.gate.Commands(); len(c) != 1 || !c[0].Load || c[0].Adapter != "" {
-		t.Errorf("ordered %v, want the base model first", c)
+	h.gate.ApplyReport(&magno.Report{Born: 2}, h.clock.Now())
+	h.offer(h.request("2", "a", 100))
+	h.gate.Decide()
+	if c := h.gate.Commands(); len(c) != 1 || !c[0].Load || c[0].Adapter != "" {
+		t.Errorf("commands are %v, want a load of the base model", c)
 	}
 }
 
-// The engine restarts within one report, with its base model there again. What
-// ran before is gone and must not keep the places of what comes; whether it says
-// when it started, or only counts its orders anew, it is noticed.
-func TestRestartFreesThePlaces(t *testing.T) {
+// An engine restarts between two reports and has its base model loaded again. The restart must
+// be noticed by the start time or by the command count, or requests that are gone would occupy
+// the batch.
+func TestRestartFreesCapacity(t *testing.T) {
 	for name, report := range map[string]*magno.Report{
 		"another start": {Born: 2, Orders: 9}, "orders counted anew": {Born: 1, Orders: 0},
 	} {
-		w := newWorld(t, 2)
-		spec := w.spec()
+		h := newHarness(t, 2)
+		spec := h.spec()
 		spec.Engine.Batch = 1
-		w.gate.SetSpec(spec)
-		w.held["a"] = 1
-		w.orders = 5
-		w.report()
-		w.offer(w.ask("1", "a", 100))
-		w.run(60, nil)
-		w.offer(w.ask("2", "a", 100))
-		w.run(300, nil)
-		if !w.granted["1"] || w.granted["2"] {
-			t.Fatal("one place, and not one request in it")
+		h.gate.SetSpec(spec)
+		h.held["a"] = 1
+		h.orders = 5
+		h.report()
+		h.offer(h.request("1", "a", 100))
+		h.run(60, nil)
+		h.offer(h.request("2", "a", 100))
+		h.run(300, nil)
+		if !h.granted["1"] || h.granted["2"] {
+			t.Fatal("want exactly the first request admitted with a batch of one")
 		}
 		report.Held = map[string]map[string]int64{model: {"a": 1}}
-		w.gate.ApplyReport(report, w.clock.Now())
-		w.step(nil)
-		if !w.granted["2"] {
-			t.Errorf("%s: a request that is gone still keeps its place", name)
+		h.gate.ApplyReport(report, h.clock.Now())
+		h.step(nil)
+		if !h.granted["2"] {
+			t.Errorf("%s: a request from before the restart still occupies the batch", name)
 		}
 	}
 }
 
-// An engine is full, with a queue behind it. A caller whose patience is shorter
-// than the wait is told so at once, and when to come back.
-func TestHopelessWaitIsRefusedAtOnce(t *testing.T) {
-	w := newWorld(t, 2)
-	w.held["a"] = 1
-	w.report()
+// A request whose MaxWait is shorter than the expected wait at a full engine is refused at
+// once, with a time after which to retry.
+func TestWaitOverLimitIsRefusedAtOnce(t *testing.T) {
+	h := newHarness(t, 2)
+	h.held["a"] = 1
+	h.report()
 	for i := range 200 {
-		w.offer(w.ask(fmt.Sprint(i), "a", 2400))
+		h.offer(h.request(fmt.Sprint(i), "a", 2400))
 	}
-	a := w.ask("last", "a", 2400)
+	a := h.request("last", "a", 2400)
 	a.MaxWait = 500
-	r := w.gate.Offer(a)
+	r := h.gate.Offer(a)
 	if r == nil || r.Kind != magno.KindBusy || r.After <= 0 {
-		t.Errorf("got %v, want a refusal with a time to come back", r)
+		t.Errorf("got %v, want a busy refusal with a retry time", r)
 	}
 }
 
-// Many adapters are asked for at once, more than can be loaded in time. Callers
-// whose adapter can't come are told so as soon as that shows, and not at the end
-// of their patience.
+// More adapters are requested than can be loaded in time. Requests whose adapter cannot be
+// ready in time are refused as soon as that is known, not at the end of their MaxWait.
 func TestAdapterThatCannotComeInTimeIsRefusedEarly(t *testing.T) {
-	w := newWorld(t, 30)
-	start := w.clock.Now()
+	h := newHarness(t, 30)
+	start := h.clock.Now()
 	for i := range 20 {
-		a := w.ask(fmt.Sprint("hot", i), fmt.Sprint("a", i%10), 100)
+		a := h.request(fmt.Sprint("hot", i), fmt.Sprint("a", i%10), 100)
 		a.MaxWait = 4000
-		w.offer(a)
+		h.offer(a)
 	}
-	late := w.ask("late", "rare", 100)
+	late := h.request("late", "rare", 100)
 	late.MaxWait = 2500
-	g := w.gate
-	g.queue = append(g.queue, &waiting{Request: late, came: start, due: start + 800, until: start + 2500, end: start + 12000})
-	for w.turned["late"] == nil && w.clock.Now() < start+2400 {
-		w.run(30, nil)
+	g := h.gate
+	g.queue = append(g.queue, &queuedRequest{Request: late, queuedAt: start, startBy: start + 800, giveUpAt: start + 2500, deadline: start + 12000})
+	for h.refused["late"] == nil && h.clock.Now() < start+2400 {
+		h.run(30, nil)
 	}
-	if waited := w.clock.Now() - start; waited > 1000 {
-		t.Errorf("it was refused after %d ms", waited)
+	if waited := h.clock.Now() - start; waited > 1000 {
+		t.Errorf("the request was refused after %d ms, want 1000 at most", waited)
 	}
 }
 
-// Requests for eight adapters that are there wait for their turn to be read, and
-// one comes for an adapter that isn't. Nothing else is to be loaded, so its load
-// begins at once; counted behind the eight, it was refused.
+// Requests for eight loaded adapters wait for prefill when one for an adapter that is not
+// loaded arrives. Its load starts at once, so the eight must not count towards its wait; with
+// them it was refused.
 func TestWaitForALoadCountsLoadsOnly(t *testing.T) {
-	w := newWorld(t, 12)
+	h := newHarness(t, 12)
 	for i := range 8 {
-		w.held[fmt.Sprint("a", i)] = 1
+		h.held[fmt.Sprint("a", i)] = 1
 	}
-	w.report()
+	h.report()
 	for i := range 8 {
-		w.offer(w.ask(fmt.Sprint(i), fmt.Sprint("a", i), 1200))
+		h.offer(h.request(fmt.Sprint(i), fmt.Sprint("a", i), 1200))
 	}
-	a := w.ask("x", "x", 100)
+	a := h.request("x", "x", 100)
 	a.MaxWait = 1200
-	if r := w.gate.Offer(a); r != nil {
+	if r := h.gate.Offer(a); r != nil {
 		t.Errorf("refused: %s", r.Detail)
 	}
-	if wait := w.gate.Backlog().LoadWait; wait > 2*magno.Millis(priorCold) {
-		t.Errorf("entries are told that a load takes %d ms", wait)
+	if wait := h.gate.Backlog().LoadWait; wait > 2*magno.Millis(initialColdLoad) {
+		t.Errorf("the reported load wait is %d ms, want that of one load", wait)
 	}
 }
 
 func BenchmarkOfferAndNext(b *testing.B) {
 	clock := magno.NewClock(magno.Hour)
-	w := &world{clock: clock, slots: 30, held: map[string]int64{"a": 1}, loading: map[string]magno.Millis{}}
+	h := &harness{clock: clock, slots: 30, held: map[string]int64{"a": 1}, loading: map[string]magno.Millis{}}
 	g := &Gate{Clock: clock}
-	w.gate = g
-	g.SetSpec(w.spec())
-	w.report()
+	h.gate = g
+	g.SetSpec(h.spec())
+	h.report()
 	for i := 0; b.Loop(); i++ {
 		id := fmt.Sprint(i)
-		_ = g.Offer(w.ask(id, "a", 400))
+		_ = g.Offer(h.request(id, "a", 400))
 		g.Decide()
 		g.Done(id, true)
 		clock.Advance(15)
--- a/magno/gate/lists.go
+++ b/magno/gate/lists.go
@@ -5,131 +5,131 @@
 	"sync"
 )
 
-// mostRecent bounds the lists that an agent remembers. An engine changes what it
-// holds a few times a second, and entries ask about each second.
-const mostRecent = 16
+// maxListHistory bounds the lists that an agent remembers. An engine's lists change a few times
+// a second, and each entry polls about every second.
+const maxListHistory = 16
 
-// Change is what one list has that another hasn't, and the reverse. Both are in
-// ascending order.
+// Diff is the difference between two lists. Both fields are in ascending order.
 type Diff struct {
 	Added   []uint32 `json:"gained,omitempty"`
 	Removed []uint32 `json:"lost,omitempty"`
 }
 
-// Lists are what an engine holds and what it keeps in its memory, as hashes in
-// ascending order. They aren't changed once made.
+// AdapterLists are the adapters loaded at an engine (Warm) and those cached in its host memory
+// (Kept), as hashes in ascending order. They are immutable.
 type AdapterLists struct {
-	// Held stands for both.
+	// Hash identifies both lists.
 	Hash       uint64
 	Warm, Kept []uint32
 }
 
-// Recent remembers the lists that an agent told lately, so that an entry that has
-// one of them is told only what changed.
+// ListHistory remembers the lists that an agent sent recently, so that an entry that has one of
+// them is sent only the difference.
 //
-// Load pattern: each engine loads an adapter about once a second, and each entry
-// asks each agent as often. With the whole lists at each change, most of what goes
-// between data centres in a fleet of hundreds of machines is hashes that the
-// receiver has already.
+// Each engine loads an adapter about once a second, and each entry polls each agent as often.
+// With the whole lists sent at each change, hashes that the receiver already has would be most
+// of the traffic between data centres in a fleet of hundreds of machines.
 //
 // It is safe for concurrent use.
 type ListHistory struct {
 	mu   sync.Mutex
-	ring [mostRecent]AdapterLists
+	ring [maxListHistory]AdapterLists
 	next int
 }
 
-// Note remembers the lists of a reply.
-func (r *ListHistory) Record(s *StatusReply) {
-	if s.ListsHash == 0 {
+// Record remembers the lists of a reply.
+func (h *ListHistory) Record(reply *StatusReply) {
+	if reply.ListsHash == 0 {
 		return
 	}
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if newest := (r.next + mostRecent - 1) % mostRecent; r.ring[newest].Hash == s.ListsHash {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	if newest := (h.next + maxListHistory - 1) % maxListHistory; h.ring[newest].Hash == reply.ListsHash {
 		return
 	}
-	r.ring[r.next] = s.lists()
-	r.next = (r.next + 1) % mostRecent
+	h.ring[h.next] = reply.lists()
+	h.next = (h.next + 1) % maxListHistory
 }
 
-// find returns the lists that go by held; false when they aren't remembered.
-func (r *ListHistory) find(held uint64) (AdapterLists, bool) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	i := slices.IndexFunc(r.ring[:], func(l AdapterLists) bool { return l.Hash == held })
+// find returns the lists with the given hash; false if they are no longer remembered.
+func (h *ListHistory) find(hash uint64) (AdapterLists, bool) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	i := slices.IndexFunc(h.ring[:], func(l AdapterLists) bool { return l.Hash == hash })
 	if i < 0 {
 		return AdapterLists{}, false
 	}
-	return r.ring[i], true
+	return h.ring[i], true
 }
 
-// Short leaves out of a reply what an entry has whose lists go by known.
-func (r *ListHistory) Trim(s *StatusReply, known uint64) {
+// Trim removes from a reply the lists that the entry already has, given the hash of its lists,
+// or replaces them by the difference to those.
+func (h *ListHistory) Trim(reply *StatusReply, known uint64) {
 	if known == 0 {
 		return
 	}
-	if known == s.ListsHash {
-		s.Backlog.Warm, s.Backlog.Kept = nil, nil
+	if known == reply.ListsHash {
+		reply.Backlog.Warm, reply.Backlog.Kept = nil, nil
 		return
 	}
-	was, ok := r.find(known)
-	if !ok || s.ListsHash == 0 {
+	was, ok := h.find(known)
+	if !ok || reply.ListsHash == 0 {
 		return
 	}
-	s.BaseHash = known
-	s.WarmDiff, s.KeptDiff = difference(was.Warm, s.Backlog.Warm), difference(was.Kept, s.Backlog.Kept)
-	s.Backlog.Warm, s.Backlog.Kept = nil, nil
+	reply.BaseHash = known
+	reply.WarmDiff, reply.KeptDiff = diffLists(was.Warm, reply.Backlog.Warm), diffLists(was.Kept, reply.Backlog.Kept)
+	reply.Backlog.Warm, reply.Backlog.Kept = nil, nil
 }
 
-// Fill puts the lists back for an entry that said that it had known, and has had
-// by now. An entry that was told of another one since it asked keeps that.
-func (s *StatusReply) Restore(known uint64, had *StatusReply) {
+// Restore fills in the lists that Trim removed. known is the hash that the entry sent with its
+// request, and have is the status that it has now. Lists that it has received since are kept.
+func (r *StatusReply) Restore(known uint64, have *StatusReply) {
 	switch {
-	case s.BaseHash != 0 && s.BaseHash == had.ListsHash:
-		s.Backlog.Warm, s.Backlog.Kept = s.WarmDiff.apply(had.Backlog.Warm), s.KeptDiff.apply(had.Backlog.Kept)
-	case s.BaseHash != 0, s.same(known):
-		s.ListsHash, s.Backlog.Warm, s.Backlog.Kept = had.ListsHash, had.Backlog.Warm, had.Backlog.Kept
+	case r.BaseHash != 0 && r.BaseHash == have.ListsHash:
+		r.Backlog.Warm, r.Backlog.Kept = r.WarmDiff.apply(have.Backlog.Warm), r.KeptDiff.apply(have.Backlog.Kept)
+	case r.BaseHash != 0, r.sameLists(known):
+		r.ListsHash, r.Backlog.Warm, r.Backlog.Kept = have.ListsHash, have.Backlog.Warm, have.Backlog.Kept
 	}
-	s.BaseHash, s.WarmDiff, s.KeptDiff = 0, Diff{}, Diff{}
+	r.BaseHash, r.WarmDiff, r.KeptDiff = 0, Diff{}, Diff{}
 }
 
-// same tells whether the lists were left out since known stands for them.
-func (s *StatusReply) same(known uint64) bool {
-	return known != 0 && known == s.ListsHash && len(s.Backlog.Warm) == 0 && len(s.Backlog.Kept) == 0
+// sameLists reports whether the lists were left out because the entry has them under the hash
+// known.
+func (r *StatusReply) sameLists(known uint64) bool {
+	return known != 0 && known == r.ListsHash && len(r.Backlog.Warm) == 0 && len(r.Backlog.Kept) == 0
 }
 
-func (s *StatusReply) lists() AdapterLists {
-	return AdapterLists{Hash: s.ListsHash, Warm: s.Backlog.Warm, Kept: s.Backlog.Kept}
+func (r *StatusReply) lists() AdapterLists {
+	return AdapterLists{Hash: r.ListsHash, Warm: r.Backlog.Warm, Kept: r.Backlog.Kept}
 }
 
-// difference is what makes is of was.
-func difference(was, is []uint32) Diff {
-	var c Diff
+// diffLists returns the changes from was to is.
+func diffLists(was, is []uint32) Diff {
+	var d Diff
 	for len(was) > 0 || len(is) > 0 {
 		switch {
 		case len(was) == 0 || (len(is) > 0 && is[0] < was[0]):
-			c.Added = append(c.Added, is[0])
+			d.Added = append(d.Added, is[0])
 			is = is[1:]
 		case len(is) == 0 || was[0] < is[0]:
-			c.Removed = append(c.Removed, was[0])
+			d.Removed = append(d.Removed, was[0])
 			was = was[1:]
 		default:
 			was, is = was[1:], is[1:]
 		}
 	}
-	return c
+	return d
 }
 
-// apply returns the list that the change makes of was, which stays as it is.
-func (c *Diff) apply(was []uint32) []uint32 {
-	list := make([]uint32, 0, len(was)+len(c.Added))
+// apply returns the list that results from applying the diff to was, which is not modified.
+func (d *Diff) apply(was []uint32) []uint32 {
+	list := make([]uint32, 0, len(was)+len(d.Added))
 	for _, hash := range was {
-		if _, lost := slices.BinarySearch(c.Removed, hash); !lost {
+		if _, lost := slices.BinarySearch(d.Removed, hash); !lost {
 			list = append(list, hash)
 		}
 	}
-	list = append(list, c.Added...)
+	list = append(list, d.Added...)
 	slices.Sort(list)
 	return list
 }
--- a/magno/gate/loads.go
+++ b/magno/gate/loads.go
@@ -7,35 +7,34 @@
 	"magnoliastall.example/magno"
 )
 
-// rank is how many other adapters the engine held since it held this one,
-// mostKnown when it isn't known to have.
-func (s *shelf) rank(name string) int {
-	if rank, ok := s.ranks[name]; ok {
+// rank is the number of other adapters that the engine loaded since it last had this one,
+// maxRecentAdapters if that is not known.
+func (inv *inventory) rank(name string) int {
+	if rank, ok := inv.ranks[name]; ok {
 		return rank
 	}
-	return mostKnown
+	return maxRecentAdapters
 }
 
-// rankAll ranks what the engine held, once for each report: a wait looks at the ranks
-// of all that is waited for, several times for each request.
-func (s *shelf) rankAll() {
-	names := s.known.Keys() // the oldest first
-	s.ranks = make(map[string]int, len(names))
+// updateRanks computes all ranks once per report: estimating a wait looks up the ranks of
+// everything that is queued, several times per request.
+func (inv *inventory) updateRanks() {
+	names := inv.recent.Keys() // oldest first
+	inv.ranks = make(map[string]int, len(names))
 	for i, name := range names {
-		s.ranks[name] = len(names) - 1 - i
+		inv.ranks[name] = len(names) - 1 - i
 	}
 }
 
-// inMemory tells whether the engine has the adapter in its memory, as far as is
-// known.
-func (s *shelf) inMemory(name string) bool { return s.rank(name) < s.keeps }
+// inMemory reports whether the engine is estimated to have the adapter in its host memory.
+func (inv *inventory) inMemory(name string) bool { return inv.rank(name) < inv.cacheSize }
 
-// kept lists the hashes of what the engine has in its memory and doesn't hold, in
-// ascending order.
-func (s *shelf) kept() []uint32 {
+// keptHashes lists the hashes of adapters that are cached in the engine's host memory and not
+// loaded, in ascending order.
+func (inv *inventory) keptHashes() []uint32 {
 	var list []uint32
-	for name := range s.ranks {
-		if _, held := s.adapters[name]; !held && s.inMemory(name) && !s.moving(name) {
+	for name := range inv.ranks {
+		if _, held := inv.adapters[name]; !held && inv.inMemory(name) && !inv.changing(name) {
 			list = append(list, magno.Ref{Adapter: name}.Hash())
 		}
 	}
@@ -43,78 +42,79 @@
 	return list
 }
 
-// loaded takes how long a load took. The store's is many times an engine's own,
-// so the time tells which it was, and with it how many adapters the engine keeps:
-// taken for kept when they weren't, loads went to the store beyond its room.
-func (s *shelf) loaded(l loading, took magno.Millis) {
-	fromStore := float64(took) > math.Sqrt(float64(s.cold())*float64(s.warmLoad()))
+// recordLoad takes the duration of a load. A load from the weight store takes several times as
+// long as one from host memory, so the duration tells which it was, and thereby how many
+// adapters the engine caches. If that number were overestimated, more loads would go to the
+// store at once than it can serve.
+func (inv *inventory) recordLoad(l loadStart, took magno.Millis) {
+	fromStore := float64(took) > math.Sqrt(float64(inv.coldLoadTime())*float64(inv.warmLoadTime()))
 	if fromStore {
-		s.coldTime = mixed(s.coldTime, float64(took))
-		s.width.loaded(took)
-		if l.rank < s.keeps {
-			s.keeps -= (s.keeps - l.rank + keepPart - 1) / keepPart
+		inv.coldMean = smoothed(inv.coldMean, float64(took))
+		inv.limiter.recordLoad(took)
+		if l.rank < inv.cacheSize {
+			inv.cacheSize -= (inv.cacheSize - l.rank + cacheSizeDamping - 1) / cacheSizeDamping
 		}
 		return
 	}
-	s.warmTime = mixed(s.warmTime, float64(took))
-	if l.rank >= s.keeps && l.rank < mostKnown {
-		s.keeps += (l.rank - s.keeps + keepPart) / keepPart
+	inv.warmMean = smoothed(inv.warmMean, float64(took))
+	if l.rank >= inv.cacheSize && l.rank < maxRecentAdapters {
+		inv.cacheSize += (l.rank - inv.cacheSize + cacheSizeDamping) / cacheSizeDamping
 	}
 }
 
-// mixed weighs a further load in the time of loads.
-func mixed(was, took float64) float64 {
+// smoothed adds a sample to a moving average of load times.
+func smoothed(was, took float64) float64 {
 	if was == 0 {
 		return took
 	}
-	return was + loadGain*(took-was)
+	return was + loadTimeWeight*(took-was)
 }
 
-// cold is the time of a load from the store.
-func (s *shelf) cold() magno.Millis {
-	if s.coldTime == 0 {
-		return magno.Millis(priorCold)
+// coldLoadTime is the average time of a load from the weight store.
+func (inv *inventory) coldLoadTime() magno.Millis {
+	if inv.coldMean == 0 {
+		return magno.Millis(initialColdLoad)
 	}
-	return magno.Millis(s.coldTime)
+	return magno.Millis(inv.coldMean)
 }
 
-// idleLoad is the time of a load from the store while it isn't busy.
-func (s *shelf) idleLoad() magno.Millis {
-	if s.width.best == 0 {
-		return magno.Millis(priorCold)
+// minColdLoadTime is the time of a load from the weight store while it is not busy.
+func (inv *inventory) minColdLoadTime() magno.Millis {
+	if inv.limiter.minLoadTime == 0 {
+		return magno.Millis(initialColdLoad)
 	}
-	return s.width.best
+	return inv.limiter.minLoadTime
 }
 
-// warmLoad is the time of a load from the engine's own memory.
-func (s *shelf) warmLoad() magno.Millis {
-	if s.warmTime == 0 {
-		return magno.Millis(priorWarm)
+// warmLoadTime is the average time of a load from the engine's host memory.
+func (inv *inventory) warmLoadTime() magno.Millis {
+	if inv.warmMean == 0 {
+		return magno.Millis(initialWarmLoad)
 	}
-	return magno.Millis(max(s.warmTime, 1))
+	return magno.Millis(max(inv.warmMean, 1))
 }
 
-// loadTime is how long an adapter takes to load.
-func (s *shelf) loadTime(name string) magno.Millis {
-	if s.inMemory(name) {
-		return s.warmLoad()
+// loadTime is the expected time to load an adapter.
+func (inv *inventory) loadTime(name string) magno.Millis {
+	if inv.inMemory(name) {
+		return inv.warmLoadTime()
 	}
-	return s.cold()
+	return inv.coldLoadTime()
 }
 
-// onItsWay tells whether an adapter is being loaded, and how long still.
-func (s *shelf) onItsWay(name string, now magno.Millis) (magno.Millis, bool) {
-	o, taken := s.taken[name]
-	if !s.coming[name] && (!taken || !o.command.Load) {
+// loadRemaining reports whether an adapter is being loaded, and the expected time that is left.
+func (inv *inventory) loadRemaining(name string, now magno.Millis) (magno.Millis, bool) {
+	c, isPending := inv.pending[name]
+	if !inv.loading[name] && (!isPending || !c.command.Load) {
 		return 0, false
 	}
-	l, ok := s.began[name]
+	l, ok := inv.loadStarts[name]
 	if !ok {
-		return s.loadTime(name), true
+		return inv.loadTime(name), true
 	}
-	took := s.cold()
-	if l.rank < s.keeps {
-		took = s.warmLoad()
+	took := inv.coldLoadTime()
+	if l.rank < inv.cacheSize {
+		took = inv.warmLoadTime()
 	}
 	return max(took-(now-l.at), 0), true
 }
--- a/magno/gate/machine_test.go
+++ b/magno/gate/machine_test.go
@@ -11,101 +11,99 @@
 	"magnoliastall.example/magno"
 )
 
-// The fake engine of the state machine: small, so that every limit is met.
+// The fake engine of the state machine is small, so that every limit is reached.
 const (
 	machineSlots = 3
 	machineBatch = 4
-	// machineLoad and machineModel are its times of loading, machineOld the
-	// longest that an adapter may be given out after a newer version was
-	// declared, with two reports on top.
-	machineLoad  = 250 * magno.Millis(1)
-	machineModel = 400 * magno.Millis(1)
-	machineOld   = renewSpread + 100
-	// machineTick is the longest pause between two looks.
+	// machineLoad and machineModel are its load times. machineMaxOutdated is the longest time
+	// for which an outdated version may be used: updateSpread plus about two reports.
+	machineLoad        = 250 * magno.Millis(1)
+	machineModel       = 400 * magno.Millis(1)
+	machineMaxOutdated = updateSpread + 100
+	// machineTick is the longest time between two decisions.
 	machineTick = 120 * magno.Millis(1)
 )
 
-// machine plays a gate against the oracle.
-type machine struct {
+// gateMachine is a rapid state machine that runs a gate against the oracle.
+type gateMachine struct {
 	clock  *magno.Clock
 	gate   *Gate
 	engine *oracle
 	spec   Spec
-	// life counts restarts; told is the life that the gate was last told of.
-	life, told int
-	// open are requests that have no outcome yet, with the time by which they
-	// must; running were let through and have not ended. All end by their
-	// deadlines.
+	// epoch counts restarts of the engine; knownEpoch is the epoch of the last report that the
+	// gate has received.
+	epoch, knownEpoch int
+	// open are the requests without an outcome, and until the times by which they must have
+	// one. running are the admitted requests that have not ended; all end by their deadlines.
 	open     map[string]Request
 	until    map[string]magno.Millis
 	running  map[string]Request
 	deadline map[string]magno.Millis
-	// late is a report on its way, as of lateAt in lateLife.
-	late     *magno.Report
-	lateAt   magno.Millis
-	lateLife int
-	// declared is when the newest version of an adapter was told.
-	declared map[string]magno.Millis
-	n        int
+	// report is in transit. It was written at reportAt in reportEpoch.
+	report      *magno.Report
+	reportAt    magno.Millis
+	reportEpoch int
+	// declaredAt is when the newest version of an adapter was declared.
+	declaredAt map[string]magno.Millis
+	lastID     int
 }
 
-func newMachine() *machine {
+func newGateMachine() *gateMachine {
 	clock := magno.NewClock(magno.Hour)
-	m := &machine{
+	m := &gateMachine{
 		clock: clock, gate: &Gate{Clock: clock}, open: map[string]Request{}, until: map[string]magno.Millis{},
-		running: map[string]Request{}, deadline: map[string]magno.Millis{}, declared: map[string]magno.Millis{},
+		running: map[string]Request{}, deadline: map[string]magno.Millis{}, declaredAt: map[string]magno.Millis{},
 		spec: Spec{Replica: "r@1", ID: "r", Pins: map[string]int64{}, Engine: magno.Engine{
 			Models: []magno.Model{{Name: model, Size: 1000, Adapter: 10, Load: machineModel, Disk: machineModel}},
 			Slots:  machineSlots, Memory: 2000, Tokens: 20_000, Batch: machineBatch,
 		}},
 		engine: &oracle{born: 1, newest: map[string]int64{}},
 	}
-	m.engine.empty()
-	m.specify()
-	m.report()
+	m.engine.reset()
+	m.setSpec()
+	m.exchangeReport()
 	return m
 }
 
-func (m *machine) specify() {
+func (m *gateMachine) setSpec() {
 	spec := m.spec
 	spec.Pins = maps.Clone(spec.Pins)
 	m.gate.SetSpec(spec)
 }
 
-func (m *machine) report() {
-	m.asked()
-	m.answered()
+func (m *gateMachine) exchangeReport() {
+	m.takeReport()
+	m.deliverReport()
 }
 
-// asked has the engine write a report, which answered delivers: orders may be
-// given in between.
-func (m *machine) asked() {
-	r := m.engine.state(m.clock.Now())
+// takeReport has the engine write a report. deliverReport delivers it, possibly after further
+// commands were issued.
+func (m *gateMachine) takeReport() {
+	r := m.engine.report(m.clock.Now())
 	r.Running = len(m.running)
-	m.late, m.lateAt, m.lateLife = r, m.clock.Now(), m.life
+	m.report, m.reportAt, m.reportEpoch = r, m.clock.Now(), m.epoch
 }
 
-func (m *machine) answered() {
-	if m.late == nil || m.lateLife != m.life {
-		return // the connection broke with the engine
+func (m *gateMachine) deliverReport() {
+	if m.report == nil || m.reportEpoch != m.epoch {
+		return // the connection was lost with the engine
 	}
-	m.gate.ApplyReport(m.late, m.lateAt)
-	m.late, m.told = nil, m.lateLife
+	m.gate.ApplyReport(m.report, m.reportAt)
+	m.report, m.knownEpoch = nil, m.reportEpoch
 }
 
-// clump offers a few requests at once.
-func (m *machine) clump(t *rapid.T) {
+// offerBurst offers several requests at once.
+func (m *gateMachine) offerBurst(t *rapid.T) {
 	for range rapid.IntRange(1, 6).Draw(t, "clump") {
 		m.offer(t)
 	}
 }
 
-// offer draws a request; the gate either refuses it at once or owes it an
-// outcome.
-func (m *machine) offer(t *rapid.T) {
-	m.n++
+// offer draws a request. Unless the gate refuses it at once, it must get an outcome.
+func (m *gateMachine) offer(t *rapid.T) {
+	m.lastID++
 	a := Request{
-		ID: fmt.Sprint(m.n), Model: model, Adapter: fmt.Sprint("a", rapid.IntRange(0, 4).Draw(t, "adapter")),
+		ID: fmt.Sprint(m.lastID), Model: model, Adapter: fmt.Sprint("a", rapid.IntRange(0, 4).Draw(t, "adapter")),
 		Prompt: rapid.SampledFrom([]int{1, 1, 50, 50, 300, 2000, 9000}).Draw(t, "prompt"), MaxOutput: 100, Rank: rapid.IntRange(0, 3).Draw(t, "rank"), StartTarget: 500,
 		MaxGap:  rapid.SampledFrom([]magno.Millis{0, 150, 250, 600}).Draw(t, "gap"),
 		MaxWait: magno.Millis(rapid.IntRange(50, 3000).Draw(t, "patience")),
@@ -113,75 +111,75 @@
 	a.TimeLeft = a.MaxWait + 4000
 	if r := m.gate.Offer(a); r != nil {
 		if r.After <= 0 {
-			t.Fatalf("refused without a time to come back: %v", r)
+			t.Fatalf("refused without a retry time: %v", r)
 		}
 		return
 	}
-	m.take(a)
+	m.track(a)
 }
 
-func (m *machine) take(a Request) {
+func (m *gateMachine) track(a Request) {
 	now := m.clock.Now()
 	m.open[a.ID], m.until[a.ID], m.deadline[a.ID] = a, now+a.MaxWait, now+a.TimeLeft
 }
 
-// look lets the gate decide, and checks what it does.
-func (m *machine) look(t *rapid.T) {
+// decide calls the gate's Decide and checks the decisions.
+func (m *gateMachine) decide(t *rapid.T) {
 	now := m.clock.Now()
-	m.engine.settle(now)
+	m.engine.finishLoads(now)
 	for id := range m.running {
 		if now >= m.deadline[id] {
 			delete(m.running, id)
 		}
 	}
-	s := m.gate.Decide()
-	for _, g := range s.Grants {
+	decisions := m.gate.Decide()
+	for _, g := range decisions.Grants {
 		m.granted(t, g, now)
 	}
-	for _, turned := range s.Rejections {
-		if _, ok := m.open[turned.ID]; !ok {
-			t.Fatalf("%s is refused, which has its outcome already or never came", turned.ID)
+	for _, rejection := range decisions.Rejections {
+		if _, ok := m.open[rejection.ID]; !ok {
+			t.Fatalf("%s is refused, but it has an outcome already or was never queued", rejection.ID)
 		}
-		delete(m.open, turned.ID)
+		delete(m.open, rejection.ID)
 	}
 	for id := range m.open {
 		if m.spec.Leaving {
-			t.Fatalf("%s waits at an engine that leaves", id)
+			t.Fatalf("%s is queued at an engine that is leaving", id)
 		}
 		if now >= m.until[id] {
-			t.Fatalf("%s still waits %d ms after its patience", id, now-m.until[id])
+			t.Fatalf("%s is still queued %d ms after its MaxWait", id, now-m.until[id])
 		}
 	}
-	m.command(t, now)
+	m.executeCommands(t, now)
 }
 
-func (m *machine) granted(t *rapid.T, g Grant, now magno.Millis) {
+func (m *gateMachine) granted(t *rapid.T, g Grant, now magno.Millis) {
 	a, ok := m.open[g.ID]
 	switch {
 	case !ok:
-		t.Fatalf("%s begins, which has its outcome already or never came", g.ID)
+		t.Fatalf("%s is admitted, but it has an outcome already or was never queued", g.ID)
 	case m.spec.Leaving:
-		t.Fatalf("%s begins at an engine that leaves", g.ID)
+		t.Fatalf("%s is admitted at an engine that is leaving", g.ID)
 	}
 	delete(m.open, g.ID)
 	m.running[g.ID] = a
 	if len(m.running) > machineBatch {
-		t.Fatalf("%d requests run in %d places", len(m.running), machineBatch)
+		t.Fatalf("%d requests run in a batch of %d", len(m.running), machineBatch)
 	}
-	if m.told != m.life {
-		return // nobody could know yet that the engine is empty
+	if m.knownEpoch != m.epoch {
+		return // the gate cannot know yet that the engine is empty
 	}
 	held, ok := m.engine.held[a.Adapter]
 	if !ok {
-		t.Fatalf("%s begins without its adapter %s; held are %v", g.ID, a.Adapter, m.engine.held)
+		t.Fatalf("%s is admitted without its adapter %s; loaded are %v", g.ID, a.Adapter, m.engine.held)
 	}
-	if held < m.engine.newest[a.Adapter] && now > m.declared[a.Adapter]+machineOld {
-		t.Fatalf("%s begins on version %d of %s, %d ms after a newer one was declared", g.ID, held, a.Adapter, now-m.declared[a.Adapter])
+	if held < m.engine.newest[a.Adapter] && now > m.declaredAt[a.Adapter]+machineMaxOutdated {
+		t.Fatalf("%s is admitted on version %d of %s, %d ms after a newer one was declared", g.ID, held, a.Adapter, now-m.declaredAt[a.Adapter])
 	}
 }
 
-// command has the engine obey; orders and answers may be lost.
-func (m *machine) command(t *rapid.T, now magno.Millis) {
+// executeCommands has the engine execute the gate's commands; commands and replies may be lost.
+func (m *gateMachine) executeCommands(t *rapid.T, now magno.Millis) {
 	used := map[string]bool{}
 	for _, a := range m.running {
 		used[a.Adapter] = true
@@ -192,7 +190,7 @@
 			m.gate.ApplyOutcome(c, magno.OrderUnknown, now)
 			continue
 		}
-		outcome := m.engine.obey(t, c, used, now)
+		outcome := m.engine.execute(t, c, used, now)
 		if fate == "answer lost" {
 			outcome = magno.OrderUnknown
 		}
@@ -200,29 +198,28 @@
 	}
 }
 
-// tick lets time pass, with looks no further apart than the agent's.
-func (m *machine) tick(t *rapid.T) {
+// tick advances the clock, by no more than the agent's interval between decisions.
+func (m *gateMachine) tick(t *rapid.T) {
 	m.clock.Advance(magno.Millis(rapid.IntRange(1, int(machineTick)).Draw(t, "pause")))
-	m.look(t)
+	m.decide(t)
 }
 
-// run lets a second pass as it does in an agent, with a report before each look
-// but a few.
-func (m *machine) run(t *rapid.T) {
+// run advances the clock by up to 360 ms as in an agent, with a report before most decisions.
+func (m *gateMachine) run(t *rapid.T) {
 	for range rapid.IntRange(1, 12).Draw(t, "looks") {
-		m.asked()
+		m.takeReport()
 		m.clock.Advance(15)
-		m.look(t)
+		m.decide(t)
 		if rapid.IntRange(0, 4).Draw(t, "lost") > 0 {
-			m.answered()
+			m.deliverReport()
 		}
 		m.clock.Advance(15)
-		m.look(t)
+		m.decide(t)
 	}
 }
 
-// fault draws one of what is rare.
-func (m *machine) fault(t *rapid.T) {
+// fault draws a rare event.
+func (m *gateMachine) fault(t *rapid.T) {
 	switch rapid.IntRange(0, 9).Draw(t, "fault") {
 	case 0:
 		m.restart(t)
@@ -233,8 +230,8 @@
 	}
 }
 
-// end ends one of the requests that run.
-func (m *machine) end(t *rapid.T) {
+// end finishes one of the running requests.
+func (m *gateMachine) end(t *rapid.T) {
 	if len(m.running) == 0 {
 		m.tick(t)
 		return
@@ -244,8 +241,8 @@
 	m.gate.Done(id, rapid.Bool().Draw(t, "well"))
 }
 
-// give up: a caller leaves while its request waits.
-func (m *machine) giveUp(t *rapid.T) {
+// giveUp disconnects the caller of a queued request.
+func (m *gateMachine) giveUp(t *rapid.T) {
 	if len(m.open) == 0 {
 		m.tick(t)
 		return
@@ -255,68 +252,69 @@
 	m.gate.Done(id, false)
 }
 
-// restart empties the engine under the same name. Its runs are gone.
-func (m *machine) restart(t *rapid.T) {
-	m.life++
+// restart restarts the engine under the same name, without its adapters and requests.
+func (m *gateMachine) restart(t *rapid.T) {
+	m.epoch++
 	m.engine.born++
-	m.engine.empty()
+	m.engine.reset()
 	m.running = map[string]Request{}
-	m.report()
-	m.look(t)
+	m.exchangeReport()
+	m.decide(t)
 }
 
-// declare tells of a newer version of an adapter.
-func (m *machine) declare(t *rapid.T) {
+// declare declares a newer version of an adapter.
+func (m *gateMachine) declare(t *rapid.T) {
 	name := fmt.Sprint("a", rapid.IntRange(0, 4).Draw(t, "adapter"))
 	m.engine.newest[name] = max(m.engine.newest[name], 1) + 1
 	m.spec.Pins[QualifiedName(model, name)] = m.engine.newest[name]
-	m.declared[name] = m.clock.Now()
-	m.specify()
+	m.declaredAt[name] = m.clock.Now()
+	m.setSpec()
 }
 
-// leave has the engine leave, or another incarnation come in its place.
-func (m *machine) leave(t *rapid.T) {
+// leave has the engine leave, or replaces an engine that is leaving by another incarnation.
+func (m *gateMachine) leave(t *rapid.T) {
 	if !m.spec.Leaving {
 		m.spec.Leaving = true
-		m.specify()
-		m.look(t)
+		m.setSpec()
+		m.decide(t)
 		return
 	}
-	m.life++
+	m.epoch++
 	m.engine.born++
-	m.engine.empty()
+	m.engine.reset()
 	m.running = map[string]Request{}
 	m.spec.Leaving, m.spec.Replica = false, fmt.Sprintf("r@%d", m.engine.born)
-	m.specify()
-	m.report()
+	m.setSpec()
+	m.exchangeReport()
 }
 
-// Requests, losses of orders and answers, restarts, new versions, departures and
-// callers that leave come in any order. Whatever it is: the engine is never
-// ordered above its slots, or to drop what runs use; each request has one
-// outcome, and by the end of its patience; it begins only where its adapter is,
-// in a version that may still be given out; and nothing begins, or waits, at an
-// engine that leaves. Otherwise engines crash, and callers wait for nothing.
-func TestOrderBookAgainstAnEngine(t *testing.T) {
+// Requests, lost commands and replies, restarts, new versions, departures and disconnecting
+// callers occur in any order. In all cases:
+//   - the engine is never commanded to exceed its slots, which would crash it, or to unload an adapter in use;
+//   - each request has exactly one outcome, by the end of its MaxWait;
+//   - a request starts only where its adapter is loaded, in a version that may still be used;
+//   - nothing starts or waits at an engine that is leaving.
+func TestGateAgainstEngineModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := newMachine()
+		m := newGateMachine()
 		t.Repeat(map[string]func(*rapid.T){
-			"offer": m.offer, "clump": m.clump, "tick": m.tick, "run": m.run, "run on": m.run,
-			"asked": func(*rapid.T) { m.asked() }, "answered": func(*rapid.T) { m.answered() }, "end": m.end, "give up": m.giveUp, "fault": m.fault,
+			"offer": m.offer, "clump": m.offerBurst, "tick": m.tick, "run": m.run, "run on": m.run,
+			"asked": func(*rapid.T) { m.takeReport() }, "answered": func(*rapid.T) { m.deliverReport() }, "end": m.end, "give up": m.giveUp, "fault": m.fault,
 		})
-		m.calm(t)
+		m.checkRecovery(t)
 	})
 }
 
-// calm ends all faults: what is offered then is served, whatever came before.
-func (m *machine) calm(t *rapid.T) {
+// recover checks that a request is served once there are no further faults, whatever happened
+// before.
+func (m *gateMachine) checkRecovery(t *rapid.T) {
 	m.spec.Leaving = false
-	m.specify()
+	m.setSpec()
 	a := Request{ID: "last", Model: model, Adapter: "a0", Prompt: 100, MaxOutput: 10, StartTarget: 500, MaxWait: 8000, TimeLeft: 9000}
 	for range 300 {
 		m.clock.Advance(30)
-		m.report()
-		m.look(t)
+		m.exchangeReport()
+		m.decide(t)
 		for id := range m.running {
 			delete(m.running, id)
 			m.gate.Done(id, true)
@@ -325,8 +323,8 @@
 			}
 		}
 		if _, open := m.open[a.ID]; !open && m.gate.Offer(a) == nil {
-			m.take(a)
+			m.track(a)
 		}
 	}
-	t.Fatalf("after nine calm seconds a request was not served; open %v, held %v", m.open, m.engine.held)
+	t.Fatalf("a request was not served within 9 s without faults; open %v, loaded %v", m.open, m.engine.held)
 }
--- a/magno/gate/oracle_test.go
+++ b/magno/gate/oracle_test.go
@@ -8,29 +8,29 @@
 	"magnoliastall.example/magno"
 )
 
-// arriving is an adapter that an engine loads.
-type arriving struct {
+// pendingLoad is an adapter load in progress.
+type pendingLoad struct {
 	end     magno.Millis
 	version int64
 }
 
-// oracle is an engine with all that is true of it.
+// oracle is a model of the engine with its true state.
 type oracle struct {
 	born, orders int64
-	// ready is when the base model is there, zero when it wasn't ordered.
-	ready   magno.Millis
-	held    map[string]int64
-	loading map[string]arriving
-	newest  map[string]int64
+	// modelReadyAt is when the base model is loaded, zero if no load was commanded.
+	modelReadyAt magno.Millis
+	held         map[string]int64
+	loading      map[string]pendingLoad
+	newest       map[string]int64
 }
 
-func (o *oracle) empty() {
-	o.ready, o.orders = 0, 0
-	o.held, o.loading = map[string]int64{}, map[string]arriving{}
+func (o *oracle) reset() {
+	o.modelReadyAt, o.orders = 0, 0
+	o.held, o.loading = map[string]int64{}, map[string]pendingLoad{}
 }
 
-// settle ends the loads that are due.
-func (o *oracle) settle(now magno.Millis) {
+// finishLoads completes the loads that are due.
+func (o *oracle) finishLoads(now magno.Millis) {
 	for name, a := range o.loading {
 		if now >= a.end {
 			o.held[name] = a.version
@@ -39,33 +39,35 @@
 	}
 }
 
-func (o *oracle) there(now magno.Millis) bool { return o.ready > 0 && now >= o.ready }
+func (o *oracle) modelLoaded(now magno.Millis) bool {
+	return o.modelReadyAt > 0 && now >= o.modelReadyAt
+}
 
-// obey carries out a command as the sheets tell, and fails where it would crash
-// the engine.
-func (o *oracle) obey(t *rapid.T, c magno.Command, used map[string]bool, now magno.Millis) magno.Outcome {
-	o.settle(now)
+// execute carries out a command by the engine's specification, and fails the test where the
+// command would crash the engine.
+func (o *oracle) execute(t *rapid.T, c magno.Command, used map[string]bool, now magno.Millis) magno.Outcome {
+	o.finishLoads(now)
 	switch {
-	case o.ready > now:
+	case o.modelReadyAt > now:
 		return magno.OrderBusy
-	case c.Adapter == "" && o.ready > 0:
+	case c.Adapter == "" && o.modelReadyAt > 0:
 		return magno.OrderDone
 	case c.Adapter == "":
-		o.ready = now + machineModel
-	case !o.there(now):
+		o.modelReadyAt = now + machineModel
+	case !o.modelLoaded(now):
 		return magno.OrderElse
 	case c.Load:
 		version := max(o.newest[c.Adapter], 1)
-		o.loading[c.Adapter] = arriving{now + machineLoad, version}
+		o.loading[c.Adapter] = pendingLoad{now + machineLoad, version}
 		names := maps.Clone(o.held)
 		for name := range o.loading {
 			names[name] = 0
 		}
 		if len(names) > machineSlots {
-			t.Fatalf("ordered to hold %v in %d slots", names, machineSlots)
+			t.Fatalf("commanded to hold %v in %d slots", names, machineSlots)
 		}
 	case used[c.Adapter]:
-		t.Fatalf("ordered to drop %s, which runs use", c.Adapter)
+		t.Fatalf("commanded to unload %s, which is in use", c.Adapter)
 	default:
 		delete(o.held, c.Adapter)
 	}
@@ -73,11 +75,11 @@
 	return magno.OrderAccepted
 }
 
-// state is the engine's report.
-func (o *oracle) state(now magno.Millis) *magno.Report {
-	o.settle(now)
-	r := &magno.Report{Born: magno.Millis(o.born), Orders: o.orders, Busy: o.ready > now, Held: map[string]map[string]int64{}}
-	if o.there(now) {
+// report returns the engine's report.
+func (o *oracle) report(now magno.Millis) *magno.Report {
+	o.finishLoads(now)
+	r := &magno.Report{Born: magno.Millis(o.born), Orders: o.orders, Busy: o.modelReadyAt > now, Held: map[string]map[string]int64{}}
+	if o.modelLoaded(now) {
 		r.Held[model] = maps.Clone(o.held)
 	}
 	for name, a := range o.loading {
--- a/magno/gate/orders.go
+++ b/magno/gate/orders.go
@@ -8,43 +8,42 @@
 	"magnoliastall.example/magno"
 )
 
-// commands returns what to order for what waits, the most pressing first. At
-// most one model is loaded at a time, and nothing is ordered meanwhile: the
-// engine refuses it.
-func (s *shelf) commands(wanted []string, inUse map[string]bool, now magno.Millis) []magno.Command {
-	s.at = now
-	if !s.told || s.busy || s.modelMoving() {
+// commands returns the commands to issue for the given names, most urgent first. At most one
+// base model is loaded at a time, and nothing else is issued meanwhile: the engine would refuse
+// it.
+func (inv *inventory) commands(wanted []string, inUse map[string]bool, now magno.Millis) []magno.Command {
+	inv.now = now
+	if !inv.reported || inv.busy || inv.modelChanging() {
 		return nil
 	}
-	if s.spec == nil || s.spec.Replica == "" {
-		return s.untold(now)
+	if inv.spec == nil || inv.spec.Replica == "" {
+		return inv.commandsWithoutSpec(now)
 	}
-	if c, ok := s.model(wanted, inUse, now); ok {
+	if c, ok := inv.modelCommand(wanted, inUse, now); ok {
 		return []magno.Command{c}
 	}
 	var list []magno.Command
-	for _, name := range append(wanted, s.renewals(inUse, now)...) {
-		if c, ok := s.adapter(name, inUse, now); ok {
+	for _, name := range append(wanted, inv.dueUpdates(inUse, now)...) {
+		if c, ok := inv.adapterCommand(name, inUse, now); ok {
 			list = append(list, c)
 		}
 	}
 	return list
 }
 
-// untold returns what to order while nobody has told what the engine is to hold.
+// commandsWithoutSpec returns the commands to issue before any spec was received.
 //
-// Load pattern: all machines lose power while the platform's list is away. Agents and
-// entries then know of no configuration until it is back, and an engine that begins to
-// load its base model only then keeps callers waiting for seconds longer. The one model
-// whose copy is on its disk is the one that it held before; which of several it was
-// isn't known.
-func (s *shelf) untold(now magno.Millis) []magno.Command {
-	if len(s.models) > 0 {
+// After a power failure of all machines, agents and entries have no configuration until the
+// platform's instance list is available again. An engine that starts to load its base model
+// only then would keep callers waiting for seconds longer. If exactly one model has a copy on
+// the engine's disk, it is the one that was loaded before; of several, it is not known which.
+func (inv *inventory) commandsWithoutSpec(now magno.Millis) []magno.Command {
+	if len(inv.models) > 0 {
 		return nil
 	}
 	only := ""
-	for _, name := range s.disk {
-		if _, adapter := split(name); adapter != "" || name == only {
+	for _, name := range inv.onDisk {
+		if _, adapter := splitName(name); adapter != "" || name == only {
 			continue
 		}
 		if only != "" {
@@ -55,71 +54,71 @@
 	if only == "" {
 		return nil
 	}
-	s.modelAt = now
-	return []magno.Command{s.take(magno.Command{Load: true, Model: only}, now)}
+	inv.modelLoadAt = now
+	return []magno.Command{inv.markPending(magno.Command{Load: true, Model: only}, now)}
 }
 
-func (s *shelf) modelMoving() bool {
-	for _, o := range s.taken {
-		if o.command.Adapter == "" {
+func (inv *inventory) modelChanging() bool {
+	for _, c := range inv.pending {
+		if c.command.Adapter == "" {
 			return true
 		}
 	}
 	return false
 }
 
-// model returns the order that brings a base model that is asked for. An
-// engine that holds none is given one at once: after a loss of power nobody
-// holds any, and waiting for requests would only make the first ones late.
-func (s *shelf) model(wanted []string, inUse map[string]bool, now magno.Millis) (magno.Command, bool) {
-	models := s.spec.Engine.Models
+// modelCommand returns the command that makes a requested base model available. An engine
+// without any model loads one immediately: after a power failure no engine has one, and waiting
+// for requests would only delay the first of them.
+func (inv *inventory) modelCommand(wanted []string, inUse map[string]bool, now magno.Millis) (magno.Command, bool) {
+	models := inv.spec.Engine.Models
 	if len(models) == 0 {
 		return magno.Command{}, false
 	}
 	want := ""
 	for _, name := range wanted {
-		if model, _ := split(name); !s.models[model] && s.size(model) > 0 {
+		if model, _ := splitName(name); !inv.models[model] && inv.modelSize(model) > 0 {
 			want = model
 			break
 		}
 	}
-	if want == "" && len(s.models) == 0 {
-		want = models[xxhash.Sum64String(s.spec.Replica)%uint64(len(models))].Name
+	if want == "" && len(inv.models) == 0 {
+		want = models[xxhash.Sum64String(inv.spec.Replica)%uint64(len(models))].Name
 	}
 	if want == "" {
 		return magno.Command{}, false
 	}
-	if s.megabytes()+s.size(want) <= s.spec.Engine.Memory {
-		s.modelAt = now
-		return s.take(magno.Command{Load: true, Model: want}, now), true
+	if inv.memoryUsed()+inv.modelSize(want) <= inv.spec.Engine.Memory {
+		inv.modelLoadAt = now
+		return inv.markPending(magno.Command{Load: true, Model: want}, now), true
 	}
-	for model := range s.models {
-		if s.idle(model, inUse, now) {
-			return s.take(magno.Command{Model: model}, now), true
+	for model := range inv.models {
+		if inv.modelIdle(model, inUse, now) {
+			return inv.markPending(magno.Command{Model: model}, now), true
 		}
 	}
 	return magno.Command{}, false
 }
 
-// idle tells whether a base model may make way.
-func (s *shelf) idle(model string, inUse map[string]bool, now magno.Millis) bool {
+// modelIdle reports whether a base model may be unloaded for another one.
+func (inv *inventory) modelIdle(model string, inUse map[string]bool, now magno.Millis) bool {
 	for name := range inUse {
-		if m, _ := split(name); m == model {
+		if m, _ := splitName(name); m == model {
 			return false
 		}
 	}
-	for _, name := range s.demands.Keys() {
-		d, _ := s.demands.Peek(name)
-		if m, _ := split(name); m == model && now-d.at < idleModel {
+	for _, name := range inv.demand.Keys() {
+		d, _ := inv.demand.Peek(name)
+		if m, _ := splitName(name); m == model && now-d.at < modelIdleTime {
 			return false
 		}
 	}
 	return true
 }
 
-// size is a base model's in megabytes, zero for one that isn't configured.
-func (s *shelf) size(model string) float64 {
-	for _, m := range s.spec.Engine.Models {
+// modelSize is the size of a base model in megabytes, zero if it is not configured.
+func (inv *inventory) modelSize(model string) float64 {
+	for _, m := range inv.spec.Engine.Models {
 		if m.Name == model {
 			return m.Size
 		}
@@ -127,83 +126,83 @@
 	return 0
 }
 
-// adapter returns the order that brings an adapter nearer to being ready: its
-// load, or the eviction that makes room for it.
-func (s *shelf) adapter(name string, inUse map[string]bool, now magno.Millis) (magno.Command, bool) {
-	model, adapter := split(name)
-	if adapter == "" || !s.models[model] || s.moving(name) {
+// adapterCommand returns the next command towards making an adapter ready: its load, or the
+// eviction that makes room for it.
+func (inv *inventory) adapterCommand(name string, inUse map[string]bool, now magno.Millis) (magno.Command, bool) {
+	model, adapter := splitName(name)
+	if adapter == "" || !inv.models[model] || inv.changing(name) {
 		return magno.Command{}, false
 	}
-	_, held := s.adapters[name]
-	if held && !s.stale(name) {
+	_, held := inv.adapters[name]
+	if held && !inv.retired(name) {
 		return magno.Command{}, false
 	}
-	if !s.mayLoad(name) {
+	if !inv.mayLoad(name) {
 		return magno.Command{}, false
 	}
-	load := magno.Command{Load: true, Model: model, Adapter: adapter, Version: s.spec.Pins[name]}
-	if held || s.fits() {
-		if !held { // a newer version in its place comes from the store, however lately the old one was held
-			s.began[name] = loading{at: now, rank: s.rank(name)}
+	load := magno.Command{Load: true, Model: model, Adapter: adapter, Version: inv.spec.Pins[name]}
+	if held || inv.canFitAdapter() {
+		if !held { // an update in place always comes from the store, even if the old version is cached
+			inv.loadStarts[name] = loadStart{at: now, rank: inv.rank(name)}
 		}
-		return s.take(load, now), true
+		return inv.markPending(load, now), true
 	}
-	victim, ok := s.victim(inUse, now)
+	victim, ok := inv.victim(inUse, now)
 	if !ok {
 		return magno.Command{}, false
 	}
-	model, adapter = split(victim)
-	c := s.take(magno.Command{Model: model, Adapter: adapter}, now)
+	model, adapter = splitName(victim)
+	c := inv.markPending(magno.Command{Model: model, Adapter: adapter}, now)
 	return c, true
 }
 
-// take marks an order as given, so that the same pass doesn't use its room
-// twice.
-func (s *shelf) take(c magno.Command, now magno.Millis) magno.Command {
-	s.taken[QualifiedName(c.Model, c.Adapter)] = order{command: c, at: now}
+// markPending records a command as issued, so that the same pass does not use its room twice.
+func (inv *inventory) markPending(c magno.Command, now magno.Millis) magno.Command {
+	inv.pending[QualifiedName(c.Model, c.Adapter)] = pendingCommand{command: c, at: now}
 	return c
 }
 
-// mayLoad keeps the loads under way within what engine and store bear.
-func (s *shelf) mayLoad(name string) bool {
+// mayLoad limits the loads in progress to what the engine and the weight store can take.
+func (inv *inventory) mayLoad(name string) bool {
 	cold, all := 0, 0
 	count := func(other string) {
 		all++
-		if !s.inMemory(other) {
+		if !inv.inMemory(other) {
 			cold++
 		}
 	}
-	for other := range s.coming {
+	for other := range inv.loading {
 		count(other)
 	}
-	for other, o := range s.taken {
-		if !s.coming[other] && o.command.Load {
-			if _, held := s.adapters[other]; !held {
+	for other, c := range inv.pending {
+		if !inv.loading[other] && c.command.Load {
+			if _, held := inv.adapters[other]; !held {
 				count(other)
 			}
 		}
 	}
-	return all < mostLoads && (s.inMemory(name) || cold < s.width.limit())
+	return all < maxPendingLoads && (inv.inMemory(name) || cold < inv.limiter.limit())
 }
 
-// fits tells whether one more adapter has a slot and memory.
-func (s *shelf) fits() bool {
+// canFitAdapter reports whether there is a free slot and memory for one more adapter.
+func (inv *inventory) canFitAdapter() bool {
 	adapter := 0.0
-	for _, m := range s.spec.Engine.Models {
+	for _, m := range inv.spec.Engine.Models {
 		adapter = max(adapter, m.Adapter)
 	}
-	return s.used() < s.spec.Engine.Slots && s.megabytes()+adapter <= s.spec.Engine.Memory
+	return inv.slotsUsed() < inv.spec.Engine.Slots && inv.memoryUsed()+adapter <= inv.spec.Engine.Memory
 }
 
-// victim is the adapter with the least recent demand that nobody uses.
-func (s *shelf) victim(inUse map[string]bool, now magno.Millis) (string, bool) {
+// victim returns the adapter to evict: the one with the least recent demand that no request
+// uses. Outdated versions go first.
+func (inv *inventory) victim(inUse map[string]bool, now magno.Millis) (string, bool) {
 	best, least := "", 0.0
-	for name := range s.adapters {
-		if inUse[name] || s.moving(name) {
+	for name := range inv.adapters {
+		if inUse[name] || inv.changing(name) {
 			continue
 		}
-		score := s.score(name, now)
-		if s.old(name) {
+		score := inv.demandScore(name, now)
+		if inv.outdated(name) {
 			score = -1
 		}
 		if best == "" || score < least || (score == least && name < best) {
@@ -213,12 +212,12 @@
 	return best, best != ""
 }
 
-// renewals lists adapters in use whose new version is due.
-func (s *shelf) renewals(inUse map[string]bool, now magno.Millis) []string {
+// dueUpdates lists the adapters in use whose outdated version must be replaced now.
+func (inv *inventory) dueUpdates(inUse map[string]bool, now magno.Millis) []string {
 	var list []string
-	for name := range s.adapters {
-		d, _ := s.demands.Peek(name)
-		if s.stale(name) && (inUse[name] || now-d.at < renewAfter) {
+	for name := range inv.adapters {
+		d, _ := inv.demand.Peek(name)
+		if inv.retired(name) && (inUse[name] || now-d.at < updateIdleTime) {
 			list = append(list, name)
 		}
 	}
--- a/magno/gate/orders_test.go
+++ b/magno/gate/orders_test.go
@@ -7,107 +7,107 @@
 	"magnoliastall.example/magno"
 )
 
-// All slots are in use and a request comes for another adapter. Its load needs
-// room first. Callers saw such requests wait for over a second, for the order
-// that made room also barred the load.
+// All slots are in use when a request for another adapter arrives, so its load needs an
+// eviction first. The load must follow at once; with the pending eviction blocking it, such
+// requests waited for over a second.
 func TestLoadFollowsTheEvictionAtOnce(t *testing.T) {
-	w := newWorld(t, 2)
-	w.offer(w.ask("1", "a", 100))
-	w.offer(w.ask("2", "b", 100))
-	w.run(1000, nil)
-	w.gate.Done("1", true)
-	w.gate.Done("2", true)
-	w.offer(w.ask("3", "c", 100))
-	w.run(400, nil)
-	if !w.granted["3"] {
-		t.Error("a request still waits 400 ms after an idle adapter could make room")
+	h := newHarness(t, 2)
+	h.offer(h.request("1", "a", 100))
+	h.offer(h.request("2", "b", 100))
+	h.run(1000, nil)
+	h.gate.Done("1", true)
+	h.gate.Done("2", true)
+	h.offer(h.request("3", "c", 100))
+	h.run(400, nil)
+	if !h.granted["3"] {
+		t.Error("the request was not admitted within 400 ms of an adapter becoming idle")
 	}
 }
 
-// Answers to orders are lost, so nobody knows which were carried out. Whatever
-// the engine then holds, it is never ordered to hold more than it has slots
-// for; more would crash it, and with it every stream that runs there.
+// Replies to commands are lost, so it is unknown which were executed. The engine must still
+// never be commanded to hold more adapters than it has slots: that would crash it, and end
+// every stream that it runs.
 func TestNeverMoreAdaptersThanSlots(t *testing.T) {
 	for seed := range 20 {
-		w := newWorld(t, 3)
+		h := newHarness(t, 3)
 		n := seed
 		lost := func() bool { n++; return n%3 == 0 }
 		for i := range 60 {
-			w.offer(w.ask(fmt.Sprint(i), fmt.Sprintf("a%d", (i*7+seed)%11), 100))
-			w.run(90, lost)
+			h.offer(h.request(fmt.Sprint(i), fmt.Sprintf("a%d", (i*7+seed)%11), 100))
+			h.run(90, lost)
 			if i >= 3 {
-				w.gate.Done(fmt.Sprint(i-3), true)
+				h.gate.Done(fmt.Sprint(i-3), true)
 			}
 		}
 	}
 }
 
-// An engine refuses an order, for another incarnation is there by now. The
-// order isn't given again with each look: that took the processor of the agent
-// just when it was needed to find out.
+// An engine refuses a command because it is another incarnation. The command is not repeated at
+// each decision, which used up the agent's CPU time while it had to find out about the new
+// incarnation.
 func TestRefusedOrderIsNotGivenAtOnceAgain(t *testing.T) {
-	w := newWorld(t, 2)
-	w.offer(w.ask("1", "a", 100))
-	given := 0
+	h := newHarness(t, 2)
+	h.offer(h.request("1", "a", 100))
+	issued := 0
 	for range 30 {
-		w.gate.Decide()
-		for _, c := range w.gate.Commands() {
-			given++
-			w.gate.ApplyOutcome(c, magno.OrderElse, w.clock.Now())
+		h.gate.Decide()
+		for _, c := range h.gate.Commands() {
+			issued++
+			h.gate.ApplyOutcome(c, magno.OrderElse, h.clock.Now())
 		}
-		w.clock.Advance(10)
-		w.report()
+		h.clock.Advance(10)
+		h.report()
 	}
-	if given != 2 {
-		t.Errorf("the order was given %d times in 300 ms, want 2", given)
+	if issued != 2 {
+		t.Errorf("the command was issued %d times in 300 ms, want 2", issued)
 	}
 }
 
-// A new version of an adapter is declared while streams of the old one run. New
-// requests wait for it or go elsewhere; none begins on the old one for long.
+// A new version of an adapter is declared while streams of the old one run. After updateSpread
+// no new request may start on the old version.
 func TestOldVersionIsGivenOutForAWhileOnly(t *testing.T) {
-	w := newWorld(t, 2)
-	w.offer(w.ask("1", "a", 100))
-	w.run(600, nil)
-	spec := w.spec()
+	h := newHarness(t, 2)
+	h.offer(h.request("1", "a", 100))
+	h.run(600, nil)
+	spec := h.spec()
 	spec.Pins = map[string]int64{"m/a": 2}
-	w.gate.SetSpec(spec)
-	w.clock.Advance(renewSpread)
-	w.offer(w.ask("2", "a", 100))
-	s := w.gate.Decide()
+	h.gate.SetSpec(spec)
+	h.clock.Advance(updateSpread)
+	h.offer(h.request("2", "a", 100))
+	s := h.gate.Decide()
 	if len(s.Grants) > 0 {
-		t.Error("a request began on a version that was replaced long ago")
+		t.Error("a request was admitted on a retired version")
 	}
-	c := w.gate.Commands()
+	c := h.gate.Commands()
 	if len(c) != 1 || !c[0].Load || c[0].Version != 2 {
-		t.Errorf("ordered %v, want the load of version 2", c)
+		t.Errorf("commands are %v, want the load of version 2", c)
 	}
 }
 
-// After a restart every engine loads at once, and each load takes longer than
-// usual; on a calm day the store has room. The loads under way at one engine
-// follow that.
+// After a restart all engines load at once, and each load takes longer than usual; at other
+// times the store has spare bandwidth. The number of concurrent loads of an engine follows the
+// load times.
 func TestLoadsAtOnceFollowTheStore(t *testing.T) {
-	var w width
+	var l loadLimiter
 	for range 20 {
-		w.loaded(250)
+		l.recordLoad(250)
 	}
-	if w.limit() != mostWidth {
-		t.Errorf("%d loads at once though the store has room", w.limit())
+	if l.limit() != maxParallelLoads {
+		t.Errorf("limit is %d concurrent loads with a fast store", l.limit())
 	}
 	for range 5 {
-		w.loaded(700)
+		l.recordLoad(700)
 	}
-	if w.limit() != leastWidth {
-		t.Errorf("%d loads at once though the store is slow", w.limit())
+	if l.limit() != minParallelLoads {
+		t.Errorf("limit is %d concurrent loads with a slow store", l.limit())
 	}
 }
 
-// All machines lose power while the platform's list is away for some seconds more.
-// The engines are empty, and nobody knows which models they are to hold, but the
-// copy of one is on their disks. Loaded only once the list is back, it would keep all
-// callers waiting for a second or three after that.
-func TestModelOnDiskIsLoadedBeforeAnyoneTells(t *testing.T) {
+// All machines lose power, and the platform's instance list is unavailable for some seconds
+// more. The engines are empty and no spec is known, but the disks have a copy of one model.
+// Unless it is loaded before the list is back, callers wait for a second to three seconds
+// longer.
+func TestModelOnDiskIsLoadedWithoutSpec(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		disk []string
@@ -130,28 +130,28 @@
 			got = list[0].Model
 		}
 		if got != c.want {
-			t.Errorf("%s: ordered %q, want %q", c.name, got, c.want)
+			t.Errorf("%s: loaded model %q, want %q", c.name, got, c.want)
 		}
 		if more := g.Commands(); len(more) > 0 {
-			t.Errorf("%s: ordered again: %v", c.name, more)
+			t.Errorf("%s: further commands: %v", c.name, more)
 		}
 	}
 }
 
-// The list is back, and the agent is told what stands beside it while the base model
-// is being loaded. The load goes on, and what is left of it is what callers are told.
-func TestModelThatIsBeingLoadedStaysWhenAgentIsTold(t *testing.T) {
+// The spec arrives while the base model is being loaded. The load must continue, and the
+// reported wait must be what is left of it.
+func TestModelLoadContinuesWhenSpecArrives(t *testing.T) {
 	clock := magno.NewClock(magno.Hour)
 	g := &Gate{Clock: clock}
 	g.ApplyReport(&magno.Report{Warm: []string{model}}, clock.Now())
 	g.ApplyOutcome(g.Commands()[0], magno.OrderAccepted, clock.Now())
 	clock.Advance(1000)
-	g.SetSpec((&world{slots: 2}).spec())
+	g.SetSpec((&harness{slots: 2}).spec())
 	g.ApplyReport(&magno.Report{Warm: []string{model}, Busy: true}, clock.Now())
 	if list := g.Commands(); len(list) > 0 {
-		t.Errorf("ordered %v while the model is on its way", list)
+		t.Errorf("commands are %v while the model is being loaded", list)
 	}
 	if wait := g.Backlog().LoadWait; wait < 300 || wait > 800 {
-		t.Errorf("a wait of %d ms, want what is left of 1,300 and an adapter's load", wait)
+		t.Errorf("load wait is %d ms, want the rest of 1300 ms and the load of an adapter", wait)
 	}
 }
--- a/magno/gate/prefix.go
+++ b/magno/gate/prefix.go
@@ -2,31 +2,31 @@
 
 import "github.com/hashicorp/golang-lru/v2/simplelru"
 
-// mostPrefixes bounds the prompt parts that are remembered: an engine's memory
-// holds about as many shared parts of a few hundred tokens.
-const mostPrefixes = 256
+// maxPrefixes bounds the remembered prefixes. An engine's memory holds about that many shared
+// prefixes of a few hundred tokens.
+const maxPrefixes = 256
 
-// prefixes remembers which shared parts of prompts the engine has read.
-type prefixes struct {
-	lru *simplelru.LRU[prefix, struct{}]
+// prefixCache tracks which shared prompt prefixes the engine has processed.
+type prefixCache struct {
+	lru *simplelru.LRU[prefixKey, struct{}]
 }
 
-type prefix struct {
+type prefixKey struct {
 	name string
 	hash uint64
 }
 
-func newPrefixes() *prefixes {
-	lru, _ := simplelru.NewLRU[prefix, struct{}](mostPrefixes, nil) // fails for sizes under 1 only
-	return &prefixes{lru}
+func newPrefixCache() *prefixCache {
+	lru, _ := simplelru.NewLRU[prefixKey, struct{}](maxPrefixes, nil) // fails only for sizes under 1
+	return &prefixCache{lru}
 }
 
-func (p *prefixes) has(name string, hash uint64) bool {
-	return p.lru.Contains(prefix{name, hash})
+func (p *prefixCache) has(name string, hash uint64) bool {
+	return p.lru.Contains(prefixKey{name, hash})
 }
 
-func (p *prefixes) add(name string, hash uint64) {
+func (p *prefixCache) add(name string, hash uint64) {
 	if hash != 0 {
-		p.lru.Add(prefix{name, hash}, struct{}{})
+		p.lru.Add(prefixKey{name, hash}, struct{}{})
 	}
 }
--- a/magno/gate/queue.go
+++ b/magno/gate/queue.go
@@ -6,48 +6,47 @@
 	"magnoliastall.example/magno"
 )
 
-// leaving sends a request elsewhere: an engine that leaves cuts off what begins
-// there too late.
-func leaving() *magno.Refusal {
-	return magno.Refuse(magno.KindLeaving, "the engine leaves").Later(leastAfter)
+// refuseLeaving refuses a request at an engine that is leaving: what starts too late is cut off
+// when it stops.
+func refuseLeaving() *magno.Refusal {
+	return magno.Refuse(magno.KindLeaving, "the engine leaves").Later(minRetryAfter)
 }
 
-// expire gives up what waited for too long, and what would: a request for an
-// adapter that can't be there in time is refused now, while its caller may
-// still find another way.
-func (g *Gate) expire(s *Decisions, now magno.Millis) {
+// expire rejects requests that have waited too long, and those that would: if an adapter cannot
+// be ready in time, the request is refused now, while its caller may still be served elsewhere.
+func (g *Gate) expire(d *Decisions, now magno.Millis) {
 	eta := g.forecast(now).eta
-	g.queue = slices.DeleteFunc(g.queue, func(w *waiting) bool {
-		r := g.hopeless(w, eta[w.name()], now)
+	g.queue = slices.DeleteFunc(g.queue, func(w *queuedRequest) bool {
+		r := g.queueRefusal(w, eta[w.qualifiedName()], now)
 		if r != nil {
-			w.passed(now)
-			s.Rejections = append(s.Rejections, Rejection{ID: w.ID, Refusal: r, Waits: w.waits})
+			w.accountWait(now)
+			d.Rejections = append(d.Rejections, Rejection{ID: w.ID, Refusal: r, Waits: w.waits})
 		}
 		return r != nil
 	})
 }
 
-// hopeless returns why a request is given up, nil while it may still begin.
-func (g *Gate) hopeless(w *waiting, eta, now magno.Millis) *magno.Refusal {
+// queueRefusal returns why a queued request is given up, nil if it may still start.
+func (g *Gate) queueRefusal(w *queuedRequest, eta, now magno.Millis) *magno.Refusal {
 	switch {
 	case g.spec.Leaving:
-		return leaving()
-	case now+eta >= w.until && eta > 0:
-		return magno.Refuse(magno.KindLoading, "its adapter is expected in %d ms, and it waited for %d", eta, now-w.came).
-			Later(min(max(now+eta-w.until, leastAfter), mostAfter))
-	case now >= w.until:
-		return magno.Refuse(magno.KindBusy, "it waited for %d ms", now-w.came).Later(leastAfter)
+		return refuseLeaving()
+	case now+eta >= w.giveUpAt && eta > 0:
+		return magno.Refuse(magno.KindLoading, "its adapter is expected in %d ms, and it waited for %d", eta, now-w.queuedAt).
+			Later(min(max(now+eta-w.giveUpAt, minRetryAfter), maxRetryAfter))
+	case now >= w.giveUpAt:
+		return magno.Refuse(magno.KindBusy, "it waited for %d ms", now-w.queuedAt).Later(minRetryAfter)
 	}
 	return nil
 }
 
-// order sorts the queue: first what can still begin in time, the more urgent
-// and the sooner due before the others, then what is late already. An engine
-// that is full gives its time to answers that are worth most, and a late one
-// is worth a third.
-func (g *Gate) order(now magno.Millis) {
-	slices.SortStableFunc(g.queue, func(a, b *waiting) int {
-		if lateA, lateB := now > a.due, now > b.due; lateA != lateB {
+// sortQueue orders the queue: first the requests that can still start in time, by rank and then
+// by the time at which they should start, then the late ones in the same order. A saturated
+// engine thereby spends its time on the answers that are worth most; a late one is worth about
+// a third.
+func (g *Gate) sortQueue(now magno.Millis) {
+	slices.SortStableFunc(g.queue, func(a, b *queuedRequest) int {
+		if lateA, lateB := now > a.startBy, now > b.startBy; lateA != lateB {
 			if lateA {
 				return 1
 			}
@@ -56,55 +55,56 @@
 		if a.Rank != b.Rank {
 			return a.Rank - b.Rank
 		}
-		return int(a.due - b.due)
+		return int(a.startBy - b.startBy)
 	})
 }
 
-// grant lets through what the engine can begin now. A request whose adapter
-// isn't there doesn't hold up those behind it; one that waits for its turn to
-// be read does, or long prompts would never get one.
-func (g *Gate) grant(s *Decisions, now magno.Millis) {
+// admit starts the requests that the engine can take now. A request whose adapter is not loaded
+// does not block those behind it. One that waits for capacity or prefill does, or long prompts
+// would starve.
+func (g *Gate) admit(d *Decisions, now magno.Millis) {
 	blocked := false
-	g.queue = slices.DeleteFunc(g.queue, func(w *waiting) bool {
-		if blocked || !g.held.ready(&w.Request) {
+	g.queue = slices.DeleteFunc(g.queue, func(w *queuedRequest) bool {
+		if blocked || !g.inventory.ready(&w.Request) {
 			return false
 		}
-		tokens := g.unread(&w.Request)
-		if !g.room(&w.Request) || !g.pace.allows(tokens, now) {
+		tokens := g.prefillTokens(&w.Request)
+		if !g.hasCapacity(&w.Request) || !g.pacer.allows(tokens, now) {
 			blocked = true
 			return false
 		}
-		readBy := g.pace.take(tokens, now)
-		g.read.add(w.name(), w.PrefixHash)
-		g.runs[w.ID] = &granted{ask: w.Request, at: now, until: w.end + grantSlack, unread: tokens, readBy: readBy}
-		w.passed(now)
-		s.Grants = append(s.Grants, Grant{ID: w.ID, Version: g.held.version(&w.Request), Waited: now - w.came, Waits: w.waits})
+		prefillBy := g.pacer.start(tokens, now)
+		g.prefixes.add(w.qualifiedName(), w.PrefixHash)
+		g.active[w.ID] = &activeRequest{request: w.Request, grantedAt: now, expiresAt: w.deadline + grantExpirySlack, prefillTokens: tokens, prefillBy: prefillBy}
+		w.accountWait(now)
+		d.Grants = append(d.Grants, Grant{ID: w.ID, Version: g.inventory.version(&w.Request), Waited: now - w.queuedAt, Waits: w.waits})
 		return true
 	})
 }
 
-// unread is how many prompt tokens the engine has to read: parts that it read
-// for the same adapter lately are still there.
-func (g *Gate) unread(a *Request) int {
-	if a.PrefixTokens > 0 && g.read.has(a.name(), a.PrefixHash) {
-		return a.Prompt - a.PrefixTokens
+// prefillTokens is the number of prompt tokens that the engine has to prefill. A prefix that it
+// processed recently for the same adapter is still cached.
+func (g *Gate) prefillTokens(req *Request) int {
+	if req.PrefixTokens > 0 && g.prefixes.has(req.qualifiedName(), req.PrefixHash) {
+		return req.Prompt - req.PrefixTokens
 	}
-	return a.Prompt
+	return req.Prompt
 }
 
-// room tells whether the engine has a place and memory for one more.
-func (g *Gate) room(a *Request) bool {
-	if g.running() >= g.spec.Engine.Batch {
+// hasCapacity reports whether the engine has a place in the batch and token memory for one more
+// request.
+func (g *Gate) hasCapacity(req *Request) bool {
+	if g.runningCount() >= g.spec.Engine.Batch {
 		return false
 	}
-	if len(g.runs) == 0 {
+	if len(g.active) == 0 {
 		return true
 	}
-	used := need(a)
-	for _, r := range g.runs {
-		used += need(&r.ask)
+	used := memoryTokens(req)
+	for _, r := range g.active {
+		used += memoryTokens(&r.request)
 	}
-	return float64(used) <= roomPart*float64(g.spec.Engine.Tokens)
+	return float64(used) <= tokenMemoryShare*float64(g.spec.Engine.Tokens)
 }
 
-func need(a *Request) int { return a.Prompt + min(a.MaxOutput, mostMade) }
+func memoryTokens(req *Request) int { return req.Prompt + min(req.MaxOutput, maxReservedOutput) }
--- a/magno/gate/seen.go
+++ b/magno/gate/seen.go
@@ -7,45 +7,44 @@
 	"magnoliastall.example/magno/learn"
 )
 
-// seen takes which requests the engine shows to make events: their prompts are
-// read. Others may run there that never asked for a permit; they tell about its
-// steps all the same.
-func (g *Gate) seen(r *magno.Report, asked magno.Millis) {
+// updateProgress takes the requests that the engine reports as producing events: their prompts
+// have been prefilled. Requests that reached the engine without a permit are included, since
+// they also show its step times.
+func (g *Gate) updateProgress(r *magno.Report, asked magno.Millis) {
 	runs := make([]learn.Run, 0, len(r.Runs))
-	making := make(map[string]int, len(r.Runs))
+	eventsByID := make(map[string]int, len(r.Runs))
 	for _, run := range r.Runs {
 		runs = append(runs, learn.Run{ID: run.ID, Events: run.Events})
-		making[run.ID] = run.Events
+		eventsByID[run.ID] = run.Events
 	}
-	for id, run := range g.runs {
-		run.events = max(run.events, making[attempt(id)])
+	for id, run := range g.active {
+		run.events = max(run.events, eventsByID[attemptID(id)])
 		switch {
-		case run.unread == 0:
+		case run.prefillTokens == 0:
 		case run.events > 0:
-			g.pace.read(run.unread)
-			run.unread = 0
-		case asked > run.readBy:
-			g.pace.gave(run.unread)
-			run.unread = 0
+			g.pacer.finish(run.prefillTokens)
+			run.prefillTokens = 0
+		case asked > run.prefillBy:
+			g.pacer.discard(run.prefillTokens)
+			run.prefillTokens = 0
 		}
 	}
-	g.pace.look(runs, asked)
+	g.pacer.observe(runs, asked)
 }
 
-// attempt is the caller's own ID, which ends that of each permit.
-func attempt(id string) string { return id[strings.LastIndexByte(id, '/')+1:] }
+// attemptID returns the caller's ID of an attempt, which is the last part of a permit's ID.
+func attemptID(id string) string { return id[strings.LastIndexByte(id, '/')+1:] }
 
-// tightest is the shortest pause that any stream here is allowed, zero when none
-// says.
-func (g *Gate) tightest() magno.Millis {
+// minGap is the shortest pause allowed to any running or queued stream, zero if none sets one.
+func (g *Gate) minGap() magno.Millis {
 	least := magno.Millis(0)
 	take := func(gap magno.Millis) {
 		if gap > 0 && (least == 0 || gap < least) {
 			least = gap
 		}
 	}
-	for _, r := range g.runs {
-		take(r.ask.MaxGap)
+	for _, r := range g.active {
+		take(r.request.MaxGap)
 	}
 	for _, w := range g.queue {
 		take(w.MaxGap)
--- a/magno/gate/shelf.go
+++ b/magno/gate/shelf.go
@@ -12,94 +12,92 @@
 )
 
 const (
-	// mostLoads is how many adapters may be on their way to an engine at once;
-	// it takes no more.
-	mostLoads = 4
-	// priorCold is the time of a load from the store in ms, priorWarm of one that
-	// the engine held lately, until loads show.
-	priorCold = 250.0
-	priorWarm = 25.0
-	// keepPart is by what part of the difference one load corrects how many
-	// adapters an engine keeps: a report that comes late makes one load look slow.
-	keepPart = 4
-	// loadGain weighs a further load in either.
-	loadGain = 0.2
-	// orderedLife is how long an order without a clear outcome counts as taken.
-	orderedLife = magno.Second
-	// orderPause is how long an order that was refused isn't given again.
-	orderPause = 200 * magno.Millis(1)
-	// mostKnown bounds the adapters that may count as held lately. How many an
-	// engine keeps in its memory shows by the times of loads.
-	mostKnown = 128
-	// mostDemand bounds the adapters whose demand is known.
-	mostDemand = 4096
-	// demandHalf is the time in which demand counts half. Popularity moves
-	// within tens of seconds.
-	demandHalf = 10 * magno.Second
-	// renewSpread is the time over which the engines of a pool replace an
-	// adapter by a new version. A replacement waits for its runs, and if all
-	// engines began at once no one could take new requests meanwhile.
-	renewSpread = 2500 * magno.Millis(1)
-	// renewAfter is how long an adapter must be without requests to be replaced
-	// only when it is asked for again.
-	renewAfter = 2 * magno.Second
-	// idleModel is how long a base model must be without requests to make way
-	// for another.
-	idleModel = 5 * magno.Second
+	// maxPendingLoads bounds the adapter loads in progress; the engine accepts no more.
+	maxPendingLoads = 4
+	// initialColdLoad is the assumed time, in ms, of a load from the weight store, and
+	// initialWarmLoad of one from the engine's host memory, until a load has been measured.
+	initialColdLoad = 250.0
+	initialWarmLoad = 25.0
+	// cacheSizeDamping divides the correction that one load makes to the estimated cache size:
+	// a late report makes a single load look slow.
+	cacheSizeDamping = 4
+	// loadTimeWeight is the weight of a new sample in the average load times.
+	loadTimeWeight = 0.2
+	// commandTTL is how long a command without a known outcome counts as carried out.
+	commandTTL = magno.Second
+	// refusedRetryDelay is the time before a refused command is issued again.
+	refusedRetryDelay = 200 * magno.Millis(1)
+	// maxRecentAdapters bounds the adapters that may count as cached in the engine's memory.
+	// How many it really caches is learned from load times.
+	maxRecentAdapters = 128
+	// maxDemandEntries bounds the names whose demand is tracked.
+	maxDemandEntries = 4096
+	// demandHalfLife is the half-life of demand. Popularity shifts within tens of seconds.
+	demandHalfLife = 10 * magno.Second
+	// updateSpread is the time over which the engines of a pool replace an adapter by a new
+	// version. The replacement waits for the adapter's running requests; if all engines started
+	// at once, none could take new requests meanwhile.
+	updateSpread = 2500 * magno.Millis(1)
+	// updateIdleTime is how long an adapter must have had no requests for its update to be
+	// deferred until the next request.
+	updateIdleTime = 2 * magno.Second
+	// modelIdleTime is how long a base model must have had no requests before it may be
+	// unloaded for another one.
+	modelIdleTime = 5 * magno.Second
 )
 
-// shelf is what an engine holds and what is on its way.
-type shelf struct {
+// inventory tracks what an engine has loaded and is loading, and decides what it loads next.
+type inventory struct {
 	spec *Spec
-	// told is true once a report came. born and orders are the last one's.
-	told   bool
-	born   magno.Millis
-	orders int64
-	// at is the time of the last look.
-	at magno.Millis
-	// running counts the engine's requests, busy is true while it loads a
-	// model.
+	// reported is true after the first report. engineStart and commandCount are from the last
+	// one.
+	reported     bool
+	engineStart  magno.Millis
+	commandCount int64
+	// now is the time of the current evaluation.
+	now magno.Millis
+	// running counts the engine's requests; busy is true while it loads a model.
 	running int
 	busy    bool
-	// modelAt is when the last order to load a base model was given.
-	modelAt magno.Millis
-	// adapters maps names to the versions that are held, models tells which
-	// base models are, coming which adapters are on their way.
+	// modelLoadAt is when the last command to load a base model was issued.
+	modelLoadAt magno.Millis
+	// adapters maps the loaded adapters to their versions, models holds the loaded base models,
+	// and loading the adapters being loaded.
 	adapters map[string]int64
 	models   map[string]bool
-	coming   map[string]bool
-	disk     []string
-	// taken maps the names of orders to when they were answered; the report
-	// may not show them yet.
-	taken map[string]order
-	// width bounds loads from the store; began is when those under way were
-	// ordered.
-	width width
-	began map[string]loading
-	// known are adapters that the engine held lately, ranks their places by the
-	// last report, the newest first; it keeps the first keeps of them.
-	known *simplelru.LRU[string, struct{}]
-	ranks map[string]int
-	keeps int
-	// coldTime and warmTime are what loads took, zero before the first.
-	coldTime, warmTime float64
-	// demands counts requests, decayed.
-	demands *simplelru.LRU[string, demand]
-	// renew maps a name to when its old version is no longer given out.
-	renew map[string]magno.Millis
-	seen  map[string]int64
+	loading  map[string]bool
+	onDisk   []string
+	// pending maps names to commands whose effect the report may not show yet.
+	pending map[string]pendingCommand
+	// limiter bounds concurrent loads from the weight store; loadStarts are the loads in
+	// progress.
+	limiter    loadLimiter
+	loadStarts map[string]loadStart
+	// recent holds adapters that the engine had loaded recently, and ranks their positions as
+	// of the last report, most recent first. The engine is taken to cache the first cacheSize
+	// of them.
+	recent    *simplelru.LRU[string, struct{}]
+	ranks     map[string]int
+	cacheSize int
+	// coldMean and warmMean are average load times, zero before the first load.
+	coldMean, warmMean float64
+	// demand counts requests with exponential decay.
+	demand *simplelru.LRU[string, demand]
+	// switchAt maps a name to the time after which its outdated version takes no new requests.
+	switchAt map[string]magno.Millis
+	pinned   map[string]int64
 }
 
-type order struct {
+type pendingCommand struct {
 	command magno.Command
 	at      magno.Millis
-	// sure is false when no answer came.
-	sure bool
+	// confirmed is false if no reply came.
+	confirmed bool
 }
 
-// loading is a load that was ordered. Rank is how many other adapters the engine
-// held since it held this one, mostKnown when it isn't known to have.
-type loading struct {
+// loadStart is a load in progress. rank is the number of other adapters loaded since this one
+// was last loaded, maxRecentAdapters if that is not known.
+type loadStart struct {
 	at   magno.Millis
 	rank int
 }
@@ -109,134 +107,136 @@
 	at    magno.Millis
 }
 
-func (s *shelf) setup() {
-	s.keeps = mostKnown
-	s.demands, _ = simplelru.NewLRU[string, demand](mostDemand, nil) // fails for sizes under 1 only
-	s.renew, s.seen = map[string]magno.Millis{}, map[string]int64{}
-	s.forget()
+func (inv *inventory) setup() {
+	inv.cacheSize = maxRecentAdapters
+	inv.demand, _ = simplelru.NewLRU[string, demand](maxDemandEntries, nil) // fails only for sizes under 1
+	inv.switchAt, inv.pinned = map[string]magno.Millis{}, map[string]int64{}
+	inv.reset()
 }
 
-// forget drops what only this incarnation of the engine held.
-func (s *shelf) forget() {
-	s.adapters, s.models, s.coming = map[string]int64{}, map[string]bool{}, map[string]bool{}
-	s.taken, s.began = map[string]order{}, map[string]loading{}
-	s.known, _ = simplelru.NewLRU[string, struct{}](mostKnown, nil)
-	s.ranks = nil
-	s.busy, s.running, s.disk, s.modelAt = false, 0, nil, 0
+// reset drops the state of the engine's current incarnation.
+func (inv *inventory) reset() {
+	inv.adapters, inv.models, inv.loading = map[string]int64{}, map[string]bool{}, map[string]bool{}
+	inv.pending, inv.loadStarts = map[string]pendingCommand{}, map[string]loadStart{}
+	inv.recent, _ = simplelru.NewLRU[string, struct{}](maxRecentAdapters, nil)
+	inv.ranks = nil
+	inv.busy, inv.running, inv.onDisk, inv.modelLoadAt = false, 0, nil, 0
 }
 
-// restarted tells whether the report is of another start of the engine: it
-// says so, or counts its orders anew.
-func (s *shelf) restarted(r *magno.Report) bool {
-	return s.told && (r.Born != s.born || r.Orders < s.orders)
+// restarted reports whether the report comes from a new start of the engine: its start time
+// differs, or its command count fell.
+func (inv *inventory) restarted(r *magno.Report) bool {
+	return inv.reported && (r.Born != inv.engineStart || r.Orders < inv.commandCount)
 }
 
-func (s *shelf) report(r *magno.Report, asked magno.Millis) {
-	s.told, s.born, s.orders = true, r.Born, r.Orders
-	s.busy, s.running, s.disk = r.Busy, r.Running+r.Queued, r.Warm
-	s.adapters, s.models, s.coming = map[string]int64{}, map[string]bool{}, map[string]bool{}
+func (inv *inventory) applyReport(r *magno.Report, asked magno.Millis) {
+	inv.reported, inv.engineStart, inv.commandCount = true, r.Born, r.Orders
+	inv.busy, inv.running, inv.onDisk = r.Busy, r.Running+r.Queued, r.Warm
+	inv.adapters, inv.models, inv.loading = map[string]int64{}, map[string]bool{}, map[string]bool{}
 	for model, held := range r.Held {
-		s.models[model] = true
+		inv.models[model] = true
 		for adapter, version := range held {
 			name := QualifiedName(model, adapter)
-			s.adapters[name] = version
-			if l, ok := s.began[name]; ok {
-				delete(s.began, name)
-				s.loaded(l, asked-l.at)
+			inv.adapters[name] = version
+			if l, ok := inv.loadStarts[name]; ok {
+				delete(inv.loadStarts, name)
+				inv.recordLoad(l, asked-l.at)
 			}
-			s.known.Add(name, struct{}{})
+			inv.recent.Add(name, struct{}{})
 		}
 	}
-	s.rankAll()
+	inv.updateRanks()
 	for _, p := range r.Coming {
-		s.coming[QualifiedName(p.Model, p.Adapter)] = true
+		inv.loading[QualifiedName(p.Model, p.Adapter)] = true
 	}
-	for name, o := range s.taken {
-		if (o.sure && asked >= o.at) || asked > o.at+orderedLife {
-			delete(s.taken, name)
+	for name, c := range inv.pending {
+		if (c.confirmed && asked >= c.at) || asked > c.at+commandTTL {
+			delete(inv.pending, name)
 		}
 	}
 }
 
-// setSpec notes newer versions. An adapter that is held in an old one is still
-// given out for a time of its own within renewSpread.
-func (s *shelf) setSpec(spec *Spec, now magno.Millis) {
-	s.spec = spec
+// setSpec takes the spec and notes new versions. This engine admits requests to the outdated
+// version until a time of its own within updateSpread.
+func (inv *inventory) setSpec(spec *Spec, now magno.Millis) {
+	inv.spec = spec
 	for name, version := range spec.Pins {
-		if s.seen[name] == version {
+		if inv.pinned[name] == version {
 			continue
 		}
-		s.seen[name] = version
-		part := magno.Millis(xxhash.Sum64String(spec.Replica+name) % uint64(renewSpread))
-		s.renew[name] = now + part
+		inv.pinned[name] = version
+		delay := magno.Millis(xxhash.Sum64String(spec.Replica+name) % uint64(updateSpread))
+		inv.switchAt[name] = now + delay
 	}
 }
 
-// old tells whether an adapter is held in a version that was replaced.
-func (s *shelf) old(name string) bool {
-	held, ok := s.adapters[name]
-	return ok && held != 0 && s.spec != nil && held < s.spec.Pins[name]
+// outdated reports whether an adapter is loaded in a version older than the pinned one.
+func (inv *inventory) outdated(name string) bool {
+	held, ok := inv.adapters[name]
+	return ok && held != 0 && inv.spec != nil && held < inv.spec.Pins[name]
 }
 
-// ready tells whether a request may begin: its adapter is there, in a version
-// that may still be given out, and isn't being replaced.
-func (s *shelf) ready(a *Request) bool {
-	if !s.models[a.Model] || s.stale(a.name()) {
+// ready reports whether a request may start: its model and adapter are loaded, in a version
+// that may still be used, and are not being replaced.
+func (inv *inventory) ready(req *Request) bool {
+	if !inv.models[req.Model] || inv.retired(req.qualifiedName()) {
 		return false
 	}
-	if a.Adapter == "" {
+	if req.Adapter == "" {
 		return true
 	}
-	_, ok := s.adapters[a.name()]
-	return ok && !s.moving(a.name())
+	_, ok := inv.adapters[req.qualifiedName()]
+	return ok && !inv.changing(req.qualifiedName())
 }
 
-// moving tells whether an order for the adapter is under way.
-func (s *shelf) moving(name string) bool {
-	_, taken := s.taken[name]
-	return taken || s.coming[name]
+// changing reports whether a load or unload of the adapter is in progress.
+func (inv *inventory) changing(name string) bool {
+	_, isPending := inv.pending[name]
+	return isPending || inv.loading[name]
 }
 
-// stale tells whether an old version is no longer given out.
-func (s *shelf) stale(name string) bool { return s.old(name) && s.at >= s.renew[name] }
+// retired reports whether an adapter's loaded version takes no new requests.
+func (inv *inventory) retired(name string) bool {
+	return inv.outdated(name) && inv.now >= inv.switchAt[name]
+}
 
-func (s *shelf) version(a *Request) int64 { return s.adapters[a.name()] }
+func (inv *inventory) version(req *Request) int64 { return inv.adapters[req.qualifiedName()] }
 
-// wanted counts a request for an adapter.
-func (s *shelf) wanted(name string, now magno.Millis) {
-	s.demands.Add(name, demand{score: s.score(name, now) + 1, at: now})
+// recordDemand counts a request for a model or adapter.
+func (inv *inventory) recordDemand(name string, now magno.Millis) {
+	inv.demand.Add(name, demand{score: inv.demandScore(name, now) + 1, at: now})
 }
 
-func (s *shelf) score(name string, now magno.Millis) float64 {
-	d, ok := s.demands.Peek(name)
+func (inv *inventory) demandScore(name string, now magno.Millis) float64 {
+	d, ok := inv.demand.Peek(name)
 	if !ok {
 		return 0
 	}
-	return d.score * math.Exp2(-float64(now-d.at)/float64(demandHalf))
+	return d.score * math.Exp2(-float64(now-d.at)/float64(demandHalfLife))
 }
 
-// ordered takes what became of a command.
-func (s *shelf) ordered(c magno.Command, o magno.Outcome, now magno.Millis) {
+// applyOutcome takes the outcome of a command.
+func (inv *inventory) applyOutcome(c magno.Command, o magno.Outcome, now magno.Millis) {
 	name := QualifiedName(c.Model, c.Adapter)
 	switch o {
 	case magno.OrderAccepted, magno.OrderDone:
-		s.taken[name] = order{command: c, at: now, sure: true}
+		inv.pending[name] = pendingCommand{command: c, at: now, confirmed: true}
 	case magno.OrderUnknown:
-		s.taken[name] = order{command: c, at: now}
+		inv.pending[name] = pendingCommand{command: c, at: now}
 	default:
-		// Refused. Given again at once, an order that can't be obeyed is given
-		// a hundred times a second.
-		s.taken[name] = order{command: c, at: now - orderedLife + orderPause}
+		// Refused. Without the delay, a command that cannot be carried out is issued a hundred
+		// times a second.
+		inv.pending[name] = pendingCommand{command: c, at: now - commandTTL + refusedRetryDelay}
 	}
 }
 
-// modelWait is how long a base model takes to load.
-func (s *shelf) modelWait(model string) magno.Millis {
-	for _, m := range s.spec.Engine.Models {
+// modelLoadTime is how long a base model takes to load.
+func (inv *inventory) modelLoadTime(model string) magno.Millis {
+	for _, m := range inv.spec.Engine.Models {
 		if m.Name != model {
 			continue
 		}
-		if slices.Contains(s.disk, model) {
+		if slices.Contains(inv.onDisk, model) {
 			return m.Disk
 		}
 		return m.Load
@@ -244,64 +244,63 @@
 	return 0
 }
 
-// baseWait is how long the base model takes to load where none is held.
-func (s *shelf) baseWait() magno.Millis {
-	if s.spec == nil || len(s.models) > 0 || len(s.spec.Engine.Models) == 0 {
+// baseModelWait is how long until the base model is loaded, zero if one is loaded.
+func (inv *inventory) baseModelWait() magno.Millis {
+	if inv.spec == nil || len(inv.models) > 0 || len(inv.spec.Engine.Models) == 0 {
 		return 0
 	}
-	wait := s.modelWait(s.spec.Engine.Models[0].Name)
-	if s.modelAt > 0 {
-		wait = max(wait-(s.at-s.modelAt), 0)
+	wait := inv.modelLoadTime(inv.spec.Engine.Models[0].Name)
+	if inv.modelLoadAt > 0 {
+		wait = max(wait-(inv.now-inv.modelLoadAt), 0)
 	}
 	return wait
 }
 
-// warm lists the hashes of what is held and may be given out, in ascending
-// order.
-func (s *shelf) warm() []uint32 {
-	list := make([]uint32, 0, len(s.adapters)+len(s.models))
-	for name := range s.adapters {
-		if !s.stale(name) && !s.moving(name) {
+// warmHashes lists the hashes of what is loaded and may be used, in ascending order.
+func (inv *inventory) warmHashes() []uint32 {
+	list := make([]uint32, 0, len(inv.adapters)+len(inv.models))
+	for name := range inv.adapters {
+		if !inv.retired(name) && !inv.changing(name) {
 			list = append(list, magno.Ref{Adapter: name}.Hash())
 		}
 	}
-	for name := range s.models {
+	for name := range inv.models {
 		list = append(list, magno.Ref{Adapter: name}.Hash())
 	}
 	slices.Sort(list)
 	return list
 }
 
-// used counts the adapters that take a slot or will.
-func (s *shelf) used() int {
-	n := len(s.adapters)
-	for name := range s.coming {
-		if _, held := s.adapters[name]; !held {
+// slotsUsed counts the adapters that occupy a slot, loads in progress included.
+func (inv *inventory) slotsUsed() int {
+	n := len(inv.adapters)
+	for name := range inv.loading {
+		if _, held := inv.adapters[name]; !held {
 			n++
 		}
 	}
-	for name, o := range s.taken {
-		if _, held := s.adapters[name]; !held && !s.coming[name] && o.command.Adapter != "" && o.command.Load {
+	for name, c := range inv.pending {
+		if _, held := inv.adapters[name]; !held && !inv.loading[name] && c.command.Adapter != "" && c.command.Load {
 			n++
 		}
 	}
 	return n
 }
 
-// megabytes is the memory of all that is held or will be.
-func (s *shelf) megabytes() float64 {
+// memoryUsed is the memory, in megabytes, of what is loaded or being loaded.
+func (inv *inventory) memoryUsed() float64 {
 	sum, adapter := 0.0, 0.0
-	for _, m := range s.spec.Engine.Models {
-		if _, taken := s.taken[m.Name]; taken || s.models[m.Name] {
+	for _, m := range inv.spec.Engine.Models {
+		if _, isPending := inv.pending[m.Name]; isPending || inv.models[m.Name] {
 			sum += m.Size
 		}
 		adapter = max(adapter, m.Adapter)
 	}
-	return sum + float64(s.used())*adapter
+	return sum + float64(inv.slotsUsed())*adapter
 }
 
-// split parts a name into model and adapter.
-func split(name string) (model, adapter string) {
+// splitName splits a qualified name into model and adapter.
+func splitName(name string) (model, adapter string) {
 	model, adapter, _ = strings.Cut(name, "/")
 	return model, adapter
 }
--- a/magno/gate/slots.go
+++ b/magno/gate/slots.go
@@ -6,53 +6,51 @@
 	"magnoliastall.example/magno"
 )
 
-// usualPart is how many times as long as a usual answer the longest may be, where its
-// caller doesn't say: callers state a maximum that leaves room.
-const usualPart = 3
+// outputEstimateDivisor is the ratio of the stated maximum to the usual output, for callers
+// that give no estimate: they leave ample room.
+const outputEstimateDivisor = 3
 
-// forecast tells when what is waited for will be there.
+// forecast tells when the adapters that requests wait for will be ready.
 //
-// Load pattern: an engine of six slots runs up to sixty requests, and each
-// request of another adapter keeps a slot for its whole run. While all are in
-// use nothing can be loaded, however idle the store is. Counted by loads only, a
-// wait of seconds looks like that of one load: entries send more to engines
-// without a free slot beside engines that have some.
+// An engine with six adapter slots runs up to sixty requests, and each of them keeps its
+// adapter's slot until it ends. While all slots are in use nothing can be loaded, however idle
+// the weight store is. An estimate from load times alone would take a wait of seconds for that
+// of one load, and entries would prefer engines without a free slot to engines that have one.
 type forecast struct {
-	// eta is when each adapter that is waited for will be ready, from now; next
-	// is that of one more that isn't waited for yet.
-	eta  map[string]magno.Millis
-	next magno.Millis
+	// eta is the time from now until each awaited adapter is ready. nextLoad is that time for
+	// one more adapter that nothing waits for yet.
+	eta      map[string]magno.Millis
+	nextLoad magno.Millis
 }
 
-// forecast plays the loads of what waits, in their order, on the slots as they
-// come free.
+// forecast simulates the outstanding loads, in their order, on the slots as they become free.
 func (g *Gate) forecast(now magno.Millis) forecast {
 	f := forecast{eta: map[string]magno.Millis{}}
-	base := g.held.baseWait()
-	holds := g.holds()
-	slots := g.releases(now, holds)
-	lanes := slices.Repeat([]magno.Millis{base}, g.held.width.limit())
+	base := g.inventory.baseModelWait()
+	holds := g.holdTimes()
+	slots := g.slotReleases(now, holds)
+	lanes := slices.Repeat([]magno.Millis{base}, g.inventory.limiter.limit())
 	load := func(took, hold magno.Millis) magno.Millis {
-		slot, lane := least(slots), least(lanes)
+		slot, lane := minIndex(slots), minIndex(lanes)
 		at := took + max(slots[slot], lanes[lane])
 		lanes[lane], slots[slot] = at, at+hold
 		return at
 	}
-	for _, name := range g.missing() {
-		if left, ok := g.held.onItsWay(name, now); ok {
+	for _, name := range g.missingNames() {
+		if left, ok := g.inventory.loadRemaining(name, now); ok {
 			f.eta[name] = left
-			lane := least(lanes)
+			lane := minIndex(lanes)
 			lanes[lane] = max(lanes[lane], left)
 			continue
 		}
-		f.eta[name] = load(g.held.loadTime(name), holds[name])
+		f.eta[name] = load(g.inventory.loadTime(name), holds[name])
 	}
-	f.next = load(g.held.cold(), 0)
+	f.nextLoad = load(g.inventory.coldLoadTime(), 0)
 	return f
 }
 
-// least is the place of the smallest value; list has one at least.
-func least(list []magno.Millis) int {
+// minIndex returns the index of the smallest element; list must not be empty.
+func minIndex(list []magno.Millis) int {
 	best := 0
 	for i, v := range list {
 		if v < list[best] {
@@ -62,29 +60,29 @@
 	return best
 }
 
-// holds is how long what waits for each adapter will use it.
-func (g *Gate) holds() map[string]magno.Millis {
+// holdTimes returns how long the queued requests will use each adapter.
+func (g *Gate) holdTimes() map[string]magno.Millis {
 	holds := make(map[string]magno.Millis, len(g.queue))
 	for _, w := range g.queue {
-		name := w.name()
-		holds[name] = max(holds[name], g.hold(&w.Request))
+		name := w.qualifiedName()
+		holds[name] = max(holds[name], g.holdTime(&w.Request))
 	}
 	return holds
 }
 
-// releases is when each slot may be used for another adapter, from now. It has
-// one element at least.
-func (g *Gate) releases(now magno.Millis, holds map[string]magno.Millis) []magno.Millis {
+// slotReleases returns the times from now at which the slots can be reused for other adapters,
+// in ascending order. The result has at least one element.
+func (g *Gate) slotReleases(now magno.Millis, holds map[string]magno.Millis) []magno.Millis {
 	busy := map[string]magno.Millis{}
-	for _, r := range g.runs {
-		if r.ask.Adapter != "" {
-			name := r.ask.name()
-			busy[name] = max(busy[name], g.left(r, now))
+	for _, r := range g.active {
+		if r.request.Adapter != "" {
+			name := r.request.qualifiedName()
+			busy[name] = max(busy[name], g.remainingTime(r, now))
 		}
 	}
 	for name, hold := range holds {
-		left, coming := g.held.onItsWay(name, now)
-		if _, held := g.held.adapters[name]; held || coming {
+		left, coming := g.inventory.loadRemaining(name, now)
+		if _, held := g.inventory.adapters[name]; held || coming {
 			busy[name] = max(busy[name], left+hold)
 		}
 	}
@@ -100,32 +98,33 @@
 	return times
 }
 
-// hold is how long a request will use its adapter once it begins.
-func (g *Gate) hold(a *Request) magno.Millis {
-	return g.pace.time(g.unread(a)) + g.making(a.length())
+// holdTime is how long a request uses its adapter once it has started.
+func (g *Gate) holdTime(req *Request) magno.Millis {
+	return g.pacer.prefillTime(g.prefillTokens(req)) + g.decodeTime(req.outputEstimate())
 }
 
-// making is how long so many tokens of an answer take.
-func (g *Gate) making(tokens int) magno.Millis {
-	e := &g.pace.engine
+// decodeTime is the time to generate the given number of output tokens.
+func (g *Gate) decodeTime(tokens int) magno.Millis {
+	e := &g.pacer.engine
 	return magno.Millis(float64(tokens) / float64(max(e.Stride, 1)) * float64(e.Usual()))
 }
 
-// left is how long a run still uses its adapter. Callers' estimates are often far
-// off: one that made more than was expected is taken to make half as much again.
-func (g *Gate) left(r *granted, now magno.Millis) magno.Millis {
-	made := r.events * max(g.pace.engine.Stride, 1)
-	rest := g.making(max(r.ask.length()-made, made/2))
+// remainingTime is how long a running request still uses its adapter. Callers' estimates are
+// often far off: a request that exceeded its estimate is expected to generate half as much
+// again.
+func (g *Gate) remainingTime(r *activeRequest, now magno.Millis) magno.Millis {
+	made := r.events * max(g.pacer.engine.Stride, 1)
+	rest := g.decodeTime(max(r.request.outputEstimate()-made, made/2))
 	if r.events == 0 {
-		rest += max(g.pace.time(r.unread)-(now-r.at), 0)
+		rest += max(g.pacer.prefillTime(r.prefillTokens)-(now-r.grantedAt), 0)
 	}
 	return rest
 }
 
-// length is how many tokens the answer is expected to have.
-func (a *Request) length() int {
-	if a.ExpectedOutput > 0 {
-		return min(a.ExpectedOutput, max(a.MaxOutput, 1))
+// outputEstimate is the expected number of output tokens.
+func (req *Request) outputEstimate() int {
+	if req.ExpectedOutput > 0 {
+		return min(req.ExpectedOutput, max(req.MaxOutput, 1))
 	}
-	return a.MaxOutput / usualPart
+	return req.MaxOutput / outputEstimateDivisor
 }
--- a/magno/gate/slots_test.go
+++ b/magno/gate/slots_test.go
@@ -8,72 +8,72 @@
 	"magnoliastall.example/magno"
 )
 
-// All slots are in use by streams that go on for seconds, and a request comes for
-// another adapter. Counted by loads only, its wait was told as a quarter of a
-// second; entries sent it and more of its kind here, beside engines with free
-// slots, and callers were refused after waiting for over a second.
-func TestWaitForASlotIsTold(t *testing.T) {
-	w := newWorld(t, 2)
+// All slots are in use by streams that run for seconds when a request for another adapter
+// arrives. Its wait must include that for a slot. Counted as 250 ms, the time of a load, it
+// attracted further requests while other engines had free slots, and callers were refused after
+// waiting for over a second.
+func TestBacklogCountsWaitForSlot(t *testing.T) {
+	h := newHarness(t, 2)
 	for i := range 2 {
-		a := w.ask(fmt.Sprint(i), fmt.Sprint("a", i), 100)
-		a.ExpectedOutput, a.MaxOutput = 600, 1200 // a hundred events of 42 ms and more
-		w.offer(a)
+		a := h.request(fmt.Sprint(i), fmt.Sprint("a", i), 100)
+		a.ExpectedOutput, a.MaxOutput = 600, 1200 // a hundred events of at least 42 ms
+		h.offer(a)
 	}
-	w.run(1500, nil)
-	if !w.granted["0"] || !w.granted["1"] {
-		t.Fatal("the first two didn't begin")
+	h.run(1500, nil)
+	if !h.granted["0"] || !h.granted["1"] {
+		t.Fatal("the first two requests were not admitted")
 	}
-	if wait := w.gate.Backlog().LoadWait; wait < 2*magno.Second {
-		t.Errorf("entries are told %d ms while both slots are in use for seconds", wait)
+	if wait := h.gate.Backlog().LoadWait; wait < 2*magno.Second {
+		t.Errorf("the load wait is %d ms while both slots are in use for seconds", wait)
 	}
-	a := w.ask("x", "x", 100)
+	a := h.request("x", "x", 100)
 	a.MaxWait = 1000
-	if r := w.gate.Offer(a); r == nil || r.After <= 0 {
-		t.Errorf("got %v, want a refusal at once with a time to come back", r)
+	if r := h.gate.Offer(a); r == nil || r.After <= 0 {
+		t.Errorf("got %v, want a refusal with a retry time", r)
 	}
-	w.gate.Done("0", true)
-	if wait := w.gate.Backlog().LoadWait; wait > 500 {
-		t.Errorf("entries are told %d ms while a slot can be had at once", wait)
+	h.gate.Done("0", true)
+	if wait := h.gate.Backlog().LoadWait; wait > 500 {
+		t.Errorf("the load wait is %d ms while a slot can be freed at once", wait)
 	}
 }
 
-// All power was lost, and the engine loads its base model from its disk. Each of
-// the requests that come meanwhile can wait for that; told as twice as long, all
-// were refused, and their callers came back late.
-func TestWaitForABaseModelIsToldOnce(t *testing.T) {
-	w := newWorld(t, 6)
+// After a power failure the engine loads its base model from disk. Requests that can wait for
+// it must be accepted: with the load counted twice, all were refused and their callers retried
+// late.
+func TestBaseModelWaitIsCountedOnce(t *testing.T) {
+	h := newHarness(t, 6)
 	empty := &magno.Report{Born: 2, Held: map[string]map[string]int64{}, Warm: []string{model}}
-	w.gate.ApplyReport(empty, w.clock.Now())
-	w.gate.Decide()
-	for _, c := range w.gate.Commands() {
-		w.gate.ApplyOutcome(c, magno.OrderAccepted, w.clock.Now())
+	h.gate.ApplyReport(empty, h.clock.Now())
+	h.gate.Decide()
+	for _, c := range h.gate.Commands() {
+		h.gate.ApplyOutcome(c, magno.OrderAccepted, h.clock.Now())
 	}
 	for i := range 4 {
-		a := w.ask(fmt.Sprint(i), fmt.Sprint("a", i), 100)
+		a := h.request(fmt.Sprint(i), fmt.Sprint("a", i), 100)
 		a.MaxWait = 2700
-		if r := w.gate.Offer(a); r != nil {
+		if r := h.gate.Offer(a); r != nil {
 			t.Errorf("refused: %s", r.Detail)
 		}
 	}
-	before := w.gate.Backlog().LoadWait
-	w.clock.Advance(1000)
-	if after := w.gate.Backlog().LoadWait; after > before-900 {
-		t.Errorf("entries are told %d ms, and a second later %d", before, after)
+	before := h.gate.Backlog().LoadWait
+	h.clock.Advance(1000)
+	if after := h.gate.Backlog().LoadWait; after > before-900 {
+		t.Errorf("the load wait is %d ms, and %d ms a second later", before, after)
 	}
 }
 
-// An engine has few slots and keeps some adapters in its memory. How many shows
-// by the times of its loads only. Taken for kept when they weren't, loads went to
-// the store beyond its room, and callers were told a tenth of their wait.
-func TestWhatAnEngineKeepsIsLearned(t *testing.T) {
+// An engine caches some adapters in its memory, and how many shows only in load times. If the
+// number is overestimated, more loads go to the store than it can serve at once, and callers
+// are told a tenth of their wait.
+func TestEngineCacheSizeIsLearned(t *testing.T) {
 	const keeps = 12
-	var s shelf
-	s.setup()
-	s.spec = &Spec{}
-	var order []string                  // the newest last
-	draw := rand.New(rand.NewPCG(1, 2)) //nolint:gosec // no secret
+	var inv inventory
+	inv.setup()
+	inv.spec = &Spec{}
+	var order []string                 // most recently used last
+	rng := rand.New(rand.NewPCG(1, 2)) //nolint:gosec // no secret
 	for range 3000 {
-		name := fmt.Sprint("m/a", draw.IntN(40))
+		name := fmt.Sprint("m/a", rng.IntN(40))
 		at := -1
 		for j, other := range order {
 			if other == name {
@@ -84,9 +84,9 @@
 		if at >= 0 && at < keeps {
 			took = 25
 		}
-		s.loaded(loading{rank: s.rank(name)}, took)
-		s.known.Add(name, struct{}{})
-		s.rankAll()
+		inv.recordLoad(loadStart{rank: inv.rank(name)}, took)
+		inv.recent.Add(name, struct{}{})
+		inv.updateRanks()
 		for j, other := range order {
 			if other == name {
 				order = append(order[:j], order[j+1:]...)
@@ -95,62 +95,61 @@
 		}
 		order = append(order, name)
 	}
-	if s.keeps < keeps-2 || s.keeps > keeps+2 {
-		t.Errorf("%d adapters count as kept, want %d or so", s.keeps, keeps)
+	if inv.cacheSize < keeps-2 || inv.cacheSize > keeps+2 {
+		t.Errorf("estimated cache size is %d, want about %d", inv.cacheSize, keeps)
 	}
-	if cold := s.cold(); cold < 240 || cold > 260 {
-		t.Errorf("a load from the store is taken for %d ms, want 250", cold)
+	if cold := inv.coldLoadTime(); cold < 240 || cold > 260 {
+		t.Errorf("estimated time of a cold load is %d ms, want about 250", cold)
 	}
 }
 
-// BenchmarkDeclines measures the first answer to an entry, with 60 requests under
-// way and 40 more that wait for as many adapters.
+// BenchmarkDeclines measures the decision to decline, with 60 running requests and 40 queued
+// ones that wait for as many adapters.
 func BenchmarkDeclines(b *testing.B) {
 	clock := magno.NewClock(magno.Hour)
-	w := &world{clock: clock, slots: 6, held: map[string]int64{}, loading: map[string]magno.Millis{}, gate: &Gate{Clock: clock}}
-	w.gate.SetSpec(w.spec())
+	h := &harness{clock: clock, slots: 6, held: map[string]int64{}, loading: map[string]magno.Millis{}, gate: &Gate{Clock: clock}}
+	h.gate.SetSpec(h.spec())
 	for i := range 6 {
-		w.held[fmt.Sprint("a", i)] = 1
+		h.held[fmt.Sprint("a", i)] = 1
 	}
-	w.report()
+	h.report()
 	for i := range 100 {
-		a := w.ask(fmt.Sprint(i), fmt.Sprint("a", i%6), 1)
+		a := h.request(fmt.Sprint(i), fmt.Sprint("a", i%6), 1)
 		if i >= 60 {
 			a.Adapter = fmt.Sprint("b", i)
 		}
 		a.MaxWait = magno.Hour
-		_ = w.gate.Offer(a)
-		w.gate.Decide()
+		_ = h.gate.Offer(a)
+		h.gate.Decide()
 	}
-	a := w.ask("x", "x", 100)
+	a := h.request("x", "x", 100)
 	a.DeclineAbove = 100
 	b.ReportAllocs()
 	for b.Loop() {
-		w.gate.Declines(&a)
+		h.gate.Declines(&a)
 	}
 }
 
-// An entry's word of an engine is a quarter of a second old, and a clump came
-// since. Where the wait is longer than the entry thought another engine worth, it
-// is told so at once; where it is not, the request is taken.
+// An entry's state of an engine is 250 ms old, and a burst has arrived since. The engine must
+// decline a request if its wait exceeds DeclineAbove, and only then.
 func TestEngineDeclinesWhenItsWaitHasGrown(t *testing.T) {
-	w := newWorld(t, 2)
-	w.held["a"] = 1
-	w.report()
-	a := w.ask("x", "a", 100)
+	h := newHarness(t, 2)
+	h.held["a"] = 1
+	h.report()
+	a := h.request("x", "a", 100)
 	a.DeclineAbove = 60
-	if w.gate.Declines(&a) {
+	if h.gate.Declines(&a) {
 		t.Error("an idle engine declined")
 	}
 	for i := range 8 {
-		w.offer(w.ask(fmt.Sprint(i), "a", 2400))
+		h.offer(h.request(fmt.Sprint(i), "a", 2400))
 	}
-	w.gate.Decide()
-	if !w.gate.Declines(&a) {
-		t.Error("an engine behind 8 long prompts didn't decline")
+	h.gate.Decide()
+	if !h.gate.Declines(&a) {
+		t.Error("an engine with 8 long prompts queued did not decline")
 	}
 	a.DeclineAbove = 0
-	if w.gate.Declines(&a) {
-		t.Error("a request that any wait is right for was declined")
+	if h.gate.Declines(&a) {
+		t.Error("a request without DeclineAbove was declined")
 	}
 }
--- a/magno/gate/waits.go
+++ b/magno/gate/waits.go
@@ -7,86 +7,85 @@
 	"magnoliastall.example/magno"
 )
 
-// expect estimates how long a request that came now would wait.
-func (g *Gate) expect(a *Request, now magno.Millis) magno.Millis {
+// expectedWait estimates how long a request that arrives now would wait.
+func (g *Gate) expectedWait(req *Request, now magno.Millis) magno.Millis {
 	tokens := 0
 	for _, w := range g.queue {
-		if w.Rank <= a.Rank && now <= w.due {
-			tokens += g.unread(&w.Request)
+		if w.Rank <= req.Rank && now <= w.startBy {
+			tokens += g.prefillTokens(&w.Request)
 		}
 	}
-	wait := max(g.pace.wait(tokens, now), g.placeWait())
-	if g.held.ready(a) {
+	wait := max(g.pacer.expectedWait(tokens, now), g.capacityWait())
+	if g.inventory.ready(req) {
 		return wait
 	}
 	f := g.forecast(now)
-	if !g.held.models[a.Model] && g.held.baseWait() == 0 {
-		return max(wait, g.held.modelWait(a.Model)+f.next)
+	if !g.inventory.models[req.Model] && g.inventory.baseModelWait() == 0 {
+		return max(wait, g.inventory.modelLoadTime(req.Model)+f.nextLoad)
 	}
-	if eta, ok := f.eta[a.name()]; ok {
+	if eta, ok := f.eta[req.qualifiedName()]; ok {
 		return max(wait, eta)
 	}
-	return max(wait, f.next-g.held.cold()+g.held.loadTime(a.name()))
+	return max(wait, f.nextLoad-g.inventory.coldLoadTime()+g.inventory.loadTime(req.qualifiedName()))
 }
 
-// placeWait is the wait for a place among the running requests.
-func (g *Gate) placeWait() magno.Millis {
+// capacityWait is the expected wait for capacity in the running batch.
+func (g *Gate) capacityWait() magno.Millis {
 	batch := max(g.spec.Engine.Batch, 1)
-	over := g.running() + len(g.queue) - batch
+	over := g.runningCount() + len(g.queue) - batch
 	if over < 0 {
 		return 0
 	}
-	return magno.Millis(g.run * float64(over+1) / float64(batch))
+	return magno.Millis(g.meanRunTime * float64(over+1) / float64(batch))
 }
 
-// congestionPower is how steeply an engine gets dearer as its places fill: half full it is
-// hardly dearer than an idle one.
+// congestionPower is how steeply the cost of an engine rises with its load: at half load it is
+// hardly above that of an idle one.
 const congestionPower = 4
 
-// congestion is what one more request costs those that come after it.
+// congestion is the cost of one more request to those that come after it.
 //
-// Load pattern: a few adapters take a large part of all requests. The engines that
-// hold them fill before a wait shows there, and then whatever else they hold waits as
-// well, beside engines with free places. The last place of an engine costs as much as
-// a load from an idle store, so that a hot adapter gets a further replica before its
-// engines are full. A busy store makes replicas dearer, and places not.
+// A few adapters receive a large part of all requests. The engines that hold them fill up
+// before a wait shows there, and requests for their other adapters then wait as well, while
+// other engines have capacity. The last free place in the batch costs as much as a load from an
+// idle weight store, so that a hot adapter gets a further replica before its engines are full.
+// A busy store makes replicas more expensive, but not places in the batch.
 func (g *Gate) congestion() magno.Millis {
-	part := float64(g.running()+len(g.queue)) / float64(max(g.spec.Engine.Batch, 1))
-	return magno.Millis(float64(g.held.idleLoad()) * math.Pow(min(part, 1), congestionPower))
+	part := float64(g.runningCount()+len(g.queue)) / float64(max(g.spec.Engine.Batch, 1))
+	return magno.Millis(float64(g.inventory.minColdLoadTime()) * math.Pow(min(part, 1), congestionPower))
 }
 
-// Backlog describes the state for whoever chooses among engines.
+// Backlog describes the state of the engine to those that choose among engines.
 func (g *Gate) Backlog() magno.Backlog {
 	g.setup()
 	now := g.now()
 	queued := 0
 	for _, w := range g.queue {
-		queued += g.unread(&w.Request)
+		queued += g.prefillTokens(&w.Request)
 	}
-	missing := g.missing()
-	next := g.forecast(now).next
+	missing := g.missingNames()
+	next := g.forecast(now).nextLoad
 	return magno.Backlog{
-		Queued: len(g.queue), Running: g.running(), Held: len(g.held.adapters),
-		Wait:     max(g.pace.wait(queued, now), g.placeWait()) + g.congestion(),
+		Queued: len(g.queue), Running: g.runningCount(), Held: len(g.inventory.adapters),
+		Wait:     max(g.pacer.expectedWait(queued, now), g.capacityWait()) + g.congestion(),
 		LoadWait: next,
-		BaseWait: g.held.baseWait(),
-		Warm:     g.held.warm(),
-		Kept:     g.held.kept(),
-		KeptWait: next - g.held.cold() + g.held.warmLoad(),
-		Coming:   g.coming(missing),
-		Rate:     math.Round(g.pace.engine.Rate()),
-		Pause:    g.pace.longest(now),
+		BaseWait: g.inventory.baseModelWait(),
+		Warm:     g.inventory.warmHashes(),
+		Kept:     g.inventory.keptHashes(),
+		KeptWait: next - g.inventory.coldLoadTime() + g.inventory.warmLoadTime(),
+		Coming:   g.pendingHashes(missing),
+		Rate:     math.Round(g.pacer.engine.Rate()),
+		Pause:    g.pacer.longestPause(now),
 	}
 }
 
-// coming lists the hashes of what is on its way here or waited for, in
-// ascending order.
-func (g *Gate) coming(missing []string) []uint32 {
-	list := make([]uint32, 0, len(missing)+len(g.held.coming))
+// pendingHashes lists the hashes of what is being loaded or waited for, in ascending order.
+func (g *Gate) pendingHashes(missing []string) []uint32 {
+	list := make([]uint32, 0, len(missing)+len(g.inventory.loading))
 	for _, name := range missing {
 		list = append(list, magno.Ref{Adapter: name}.Hash())
 	}
-	for name := range g.held.coming {
+	for name := range g.inventory.loading {
 		list = append(list, magno.Ref{Adapter: name}.Hash())
 	}
 	slices.Sort(list)
--- a/magno/gate/width.go
+++ b/magno/gate/width.go
@@ -3,44 +3,43 @@
 import "magnoliastall.example/magno"
 
 const (
-	// leastWidth and mostWidth bound the cold loads under way at one engine; it
-	// takes four at most.
-	leastWidth = 1
-	mostWidth  = 4
-	// widthStep is what a load in good time adds, widthCut what a slow one
-	// leaves.
-	widthStep = 0.25
-	widthCut  = 0.6
-	// slowLoad is how many times the shortest load one may take that was not
-	// slowed by others; reports come every 30 ms or so.
-	slowLoad = 1.5
+	// minParallelLoads and maxParallelLoads bound the cold loads in progress at one engine,
+	// which accepts four at most.
+	minParallelLoads = 1
+	maxParallelLoads = 4
+	// parallelLoadsIncrease is added after a load of normal duration; parallelLoadsDecrease is
+	// the factor after a slow one.
+	parallelLoadsIncrease = 0.25
+	parallelLoadsDecrease = 0.6
+	// slowLoadFactor is the duration, relative to the shortest load, above which a load counts
+	// as slowed down by others. It leaves room for the 30 ms between reports.
+	slowLoadFactor = 1.5
 )
 
-// width decides how many adapters one engine loads from the weight store at
-// once.
+// loadLimiter bounds the concurrent loads of one engine from the weight store, by additive
+// increase and multiplicative decrease.
 //
-// Load pattern: most of the time few engines load, and the store has room for
-// more; after a restart all load at once, and beyond its room every load takes
-// longer in proportion. With one load at a time an engine to which several new
-// adapters move at once serves the last of them a second late, though the store
-// is idle. The store tells nobody how busy it is, but its loads do: the width
-// grows while they take their usual time, and falls when they don't.
-type width struct {
-	now float64
-	// best is the shortest load seen, zero before the first.
-	best magno.Millis
+// Usually few engines load and the store has spare bandwidth; after a restart all load at once,
+// and above the store's capacity each load takes proportionally longer. With one load at a
+// time, an engine that receives several new adapters at once would serve the last of them a
+// second late, though the store is idle. The store does not report its utilization, but load
+// times show it.
+type loadLimiter struct {
+	current float64
+	// minLoadTime is the shortest load seen, zero before the first.
+	minLoadTime magno.Millis
 }
 
-func (w *width) limit() int { return int(max(w.now, leastWidth)) }
+func (l *loadLimiter) limit() int { return int(max(l.current, minParallelLoads)) }
 
-// loaded takes how long a load from the store took.
-func (w *width) loaded(took magno.Millis) {
-	if w.best == 0 || took < w.best {
-		w.best = max(took, 1)
+// recordLoad takes the duration of a load from the store.
+func (l *loadLimiter) recordLoad(took magno.Millis) {
+	if l.minLoadTime == 0 || took < l.minLoadTime {
+		l.minLoadTime = max(took, 1)
 	}
-	if float64(took) > slowLoad*float64(w.best) {
-		w.now = max(w.now*widthCut, leastWidth)
+	if float64(took) > slowLoadFactor*float64(l.minLoadTime) {
+		l.current = max(l.current*parallelLoadsDecrease, minParallelLoads)
 		return
 	}
-	w.now = min(max(w.now, leastWidth)+widthStep, mostWidth)
+	l.current = min(max(l.current, minParallelLoads)+parallelLoadsIncrease, maxParallelLoads)
 }
