--- a/agent/daemon/daemon.go
+++ b/agent/daemon/daemon.go
@@ -167,14 +167,14 @@
 // one home, so a witness holds as many times the keys of a ledger.
 func (a *agent) keys() {
 	retention, skew := magno.Millis(a.opts.Retention), magno.Millis(a.opts.Skew)
-	a.witness = &witns.Witness{Self: a.opts.Name, Clock: a.Clock, Retention: retention, Skew: skew,
-		Max: roster.Width * a.opts.Ledger}
+	a.witness = &witns.Witness{Self: a.opts.Name, Clock: a.Clock, Retention: retention, MaxSkew: skew,
+		MaxKeys: roster.SetSize * a.opts.Ledger}
 	a.witness.Open()
 	a.began = a.Clock.Now()
 	a.ledger = &once.Ledger{
 		Clock: a.Clock, Self: a.opts.Name, Incarnation: uuid.NewString(),
-		Rosters: a.Store.Rosters, Retention: retention, Skew: skew,
-		Limit: grantLimit, Max: a.opts.Ledger, Bytes: ledgerBytes,
+		Rosters: a.Store.Rosters, Retention: retention, MaxSkew: skew,
+		RoundTimeout: grantLimit, MaxKeys: a.opts.Ledger, MaxBytes: ledgerBytes,
 	}
 }
 
--- a/agent/daemon/status.go
+++ b/agent/daemon/status.go
@@ -38,7 +38,7 @@
 		Upstream: a.opts.Upstream, Up: a.probe.Up(), Ready: a.ready(), Leaving: a.server.Leaving(),
 		Drained: a.server.Drained(), Config: a.Store.Status(), Backlog: a.loop.Backlog(),
 		Held: []string{}, Pinned: []string{},
-		Busy: a.server.Busy(), Keys: a.ledger.Held(), Grants: a.witness.Held(), Suspects: len(a.Suspects.List()), Probe: a.probe.Last(),
+		Busy: a.server.Busy(), Keys: a.ledger.Len(), Grants: a.witness.Len(), Suspects: len(a.Suspects.List()), Probe: a.probe.Last(),
 	}
 	for ref, pinned := range a.loop.Holds() {
 		s.Held = append(s.Held, ref.String())
--- a/agent/loop/loop.go
+++ b/agent/loop/loop.go
@@ -289,7 +289,7 @@
 		return
 	}
 	if l.Suspects != nil {
-		l.Suspects.Crashed(l.cut)
+		l.Suspects.RecordCrash(l.cut)
 	}
 	l.Events.Add("suspect", "", fmt.Sprintf("streams=%d", len(l.cut)))
 	l.cut = nil
--- a/agent/loop/loop_test.go
+++ b/agent/loop/loop_test.go
@@ -306,10 +306,10 @@
 	close(both)
 	expect(t, <-one, magno.KindInterrupted, magno.RunUnknown)
 	expect(t, <-two, magno.KindInterrupted, magno.RunUnknown)
-	until(t, "suspects", func() bool { return b.Suspects.Alone(1) && b.Suspects.Alone(2) })
+	until(t, "suspects", func() bool { return b.Suspects.MustRunAlone(1) && b.Suspects.MustRunAlone(2) })
 	expect(t, <-b.do(context.Background(), "x"), magno.KindInterrupted, magno.RunUnknown)
-	until(t, "the one that was alone", func() bool { return b.Suspects.Refused(1) })
-	if b.Suspects.Refused(2) {
+	until(t, "the one that was alone", func() bool { return b.Suspects.MustRefuse(1) })
+	if b.Suspects.MustRefuse(2) {
 		t.Error("a stream beside the crash is refused")
 	}
 }
--- a/agent/serve/serve.go
+++ b/agent/serve/serve.go
@@ -150,7 +150,7 @@
 	if call.Crashes == 0 || print == 0 {
 		return
 	}
-	s.Suspects.Merge([]crash.Record{{Print: print, Crashes: call.Crashes, At: s.Clock.Now()}})
+	s.Suspects.Merge([]crash.Record{{Fingerprint: print, Crashes: call.Crashes, UpdatedAt: s.Clock.Now()}})
 }
 
 // keyed runs a call that may not be repeated. Its context is not the
@@ -161,11 +161,11 @@
 // copies.
 func (s *Server) keyed(ctx context.Context, peer *wire.Peer, call *magno.RunCall) magno.RunReply {
 	keyed := once.Call{
-		Key:   call.Key,
-		Scope: call.Work.Job.Customer,
-		Body:  xxhash.Sum64String(call.Work.Job.Profile + "\x00" + call.Work.Path + "\x00" + call.Work.Body),
+		Key:      call.Key,
+		Scope:    call.Work.Job.Customer,
+		BodyHash: xxhash.Sum64String(call.Work.Job.Profile + "\x00" + call.Work.Path + "\x00" + call.Work.Body),
 	}
-	if refusal := s.refusal(call); refusal != nil && !s.Ledger.Knows(keyed) {
+	if refusal := s.refusal(call); refusal != nil && !s.Ledger.Has(keyed) {
 		return refuse(refusal.Ran(magno.RunUnknown))
 	}
 	s.arrive(call)
@@ -212,7 +212,7 @@
 	if s.Leaving() || !s.Ready() {
 		return nil, magno.Refuse(magno.KindLeaving, "the instance takes no new work").Later(retryLeaving)
 	}
-	key, err := ticket.New()
+	key, err := ticket.NewKey()
 	if err != nil {
 		return nil, err
 	}
--- a/drive/limit/fleet.go
+++ b/drive/limit/fleet.go
@@ -21,13 +21,13 @@
 type fleet struct {
 	*World
 	quotas []*quota.Quota
-	grants []*grant.Grants
+	grants []*grant.Granter
 	lines  []map[string]*line
 }
 
 func newFleet(w *World) *fleet {
 	f := &fleet{
-		World: w, quotas: make([]*quota.Quota, w.Entries), grants: make([]*grant.Grants, w.Entries),
+		World: w, quotas: make([]*quota.Quota, w.Entries), grants: make([]*grant.Granter, w.Entries),
 		lines: make([]map[string]*line, w.Entries),
 	}
 	for i := range w.Entries {
@@ -49,7 +49,7 @@
 
 // start has an entry begin, or begin anew with nothing known.
 func (f *fleet) start(i int) {
-	f.quotas[i], f.grants[i], f.lines[i] = &quota.Quota{Clock: f.Clock}, &grant.Grants{Clock: f.Clock, Window: window}, map[string]*line{}
+	f.quotas[i], f.grants[i], f.lines[i] = &quota.Quota{Clock: f.Clock}, &grant.Granter{Clock: f.Clock, Window: window}, map[string]*line{}
 }
 
 func (f *fleet) ask(i int, customer string, cost float64, decided func(bool)) {
--- a/entry/daemon/homes.go
+++ b/entry/daemon/homes.go
@@ -28,7 +28,7 @@
 
 // of lists a customer's homes, the first one first: the same wherever the list is.
 func (h *homes) of(customer string) []string {
-	return grant.Homes(customer, h.entries())
+	return grant.SortHomes(customer, h.entries())
 }
 
 // count tells how many entries there are. The list doesn't say which of them are cut off.
--- a/entry/daemon/status.go
+++ b/entry/daemon/status.go
@@ -69,7 +69,7 @@
 // keyed are the keys of one version; keys is nil where callers need none.
 type keyed struct {
 	version int64
-	keys    *keys.Keys
+	keys    *keys.Table
 }
 
 // Customer implements front.Catalogue.
--- a/entry/lease/lease.go
+++ b/entry/lease/lease.go
@@ -24,7 +24,7 @@
 	"magnoliastall.example/magno/wire"
 )
 
-// MethodLease is asked of a customer's home: grant.Ask, answered by grant.Reply.
+// MethodLease is asked of a customer's home: grant.Request, answered by grant.Reply.
 const MethodLease = "lease"
 
 const (
@@ -65,7 +65,7 @@
 
 	mu     sync.Mutex
 	quota  quota.Quota
-	grants grant.Grants
+	grants grant.Granter
 	queues map[string]*queue
 	// retry maps homes that didn't answer to when they may be asked again.
 	retry        map[string]magno.Millis
@@ -219,7 +219,7 @@
 		l.mu.Lock()
 		if err != nil {
 			c.failed = true
-			l.quota.Give(c.customer, c.limit, ask.Back)
+			l.quota.Give(c.customer, c.limit, ask.Returned)
 		} else {
 			l.quota.Granted(ask, reply, c.limit)
 		}
@@ -229,7 +229,7 @@
 }
 
 // call asks the customer's home.
-func (l *Lease) call(ask grant.Ask) (grant.Reply, error) {
+func (l *Lease) call(ask grant.Request) (grant.Reply, error) {
 	homes := l.Homes(ask.Customer)
 	for _, addr := range homes[:min(len(homes), mostHomes)] {
 		if addr == l.Self {
@@ -269,7 +269,7 @@
 }
 
 // grant answers as the customer's home.
-func (l *Lease) grant(ask grant.Ask) (grant.Reply, error) {
+func (l *Lease) grant(ask grant.Request) (grant.Reply, error) {
 	limit := l.Limit(ask.Customer)
 	if limit == nil {
 		return grant.Reply{}, magno.Refuse(magno.KindStarting, "no limit of customer %q is known here", ask.Customer)
@@ -281,7 +281,7 @@
 }
 
 func (l *Lease) onLease(_ context.Context, _ *wire.Peer, params json.RawMessage) (any, error) {
-	var ask grant.Ask
+	var ask grant.Request
 	if err := json.Unmarshal(params, &ask); err != nil {
 		return nil, magno.Refuse(magno.KindMalformed, "%v", err)
 	}
--- a/entry/peers/peers.go
+++ b/entry/peers/peers.go
@@ -325,7 +325,7 @@
 	snap := p.Book.Now()
 	h := Hello{
 		Name: p.Self, Addr: p.Addr, Link: p.Link, DataCentre: p.DataCentre, Revision: snap.Revision, Age: p.Book.Age(),
-		Suspects: p.Suspects.Since(p.Suspects.Clock.Now()-suspectsFor, mostSuspects),
+		Suspects: p.Suspects.UpdatedSince(p.Suspects.Clock.Now()-suspectsFor, mostSuspects),
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/entry/peers/peers_test.go
+++ b/entry/peers/peers_test.go
@@ -104,9 +104,9 @@
 func TestSuspectsAreShared(t *testing.T) {
 	a := start(t, "a")
 	b := start(t, "b", a.Addr)
-	a.Suspects.Failed(77)
-	a.Suspects.Failed(77)
-	until(t, "the suspect", func() bool { return b.Suspects.Refused(77) })
+	a.Suspects.RecordFailure(77)
+	a.Suspects.RecordFailure(77)
+	until(t, "the suspect", func() bool { return b.Suspects.MustRefuse(77) })
 }
 
 // Upstreams crash one after the other, and all that ran there becomes suspect.
@@ -115,7 +115,7 @@
 func TestHelloStaysSmallAfterManyCrashes(t *testing.T) {
 	a := start(t, "a")
 	for i := range 3000 {
-		a.Suspects.Failed(uint64(i + 1))
+		a.Suspects.RecordFailure(uint64(i + 1))
 	}
 	if n := len(a.self(0, 0).Suspects); n != mostSuspects {
 		t.Errorf("a hello has %d suspects, want %d", n, mostSuspects)
--- a/entry/peers/role.go
+++ b/entry/peers/role.go
@@ -157,7 +157,7 @@
 // with the widest links, which change least.
 func (p *Peers) Homes(customer string) []string {
 	addrs := p.ordered(anyone)
-	return grant.Homes(customer, addrs[:min(len(addrs), mostHomes)])
+	return grant.SortHomes(customer, addrs[:min(len(addrs), mostHomes)])
 }
 
 // Count tells how many entries are alive, this one included, and how many may be: those
--- a/entry/relay/job.go
+++ b/entry/relay/job.go
@@ -107,7 +107,7 @@
 		j.refuse(magno.Refuse(magno.KindNoUpstream, "the route's service isn't configured").Later(goneAfter))
 		return
 	}
-	if j.Suspects.Refused(j.print) {
+	if j.Suspects.MustRefuse(j.print) {
 		j.refuse(magno.Refuse(magno.KindSuspect, "requests like it crashed upstreams"))
 		return
 	}
--- a/entry/relay/relay.go
+++ b/entry/relay/relay.go
@@ -116,7 +116,7 @@
 type tabled struct {
 	plan  *magno.Plan
 	paths *paths.Table
-	keys  *keys.Keys
+	keys  *keys.Table
 }
 
 // Active counts requests that are being answered.
--- a/entry/relay/suspect.go
+++ b/entry/relay/suspect.go
@@ -22,7 +22,7 @@
 		if !h.Permits.Down(key) {
 			return
 		}
-		h.Suspects.Failed(print)
-		h.Log.Warn("suspect", "request", id, "replica", key, "crashes", h.Suspects.Count(print))
+		h.Suspects.RecordFailure(print)
+		h.Log.Warn("suspect", "request", id, "replica", key, "crashes", h.Suspects.CrashCount(print))
 	})
 }
--- a/entry/send/send.go
+++ b/entry/send/send.go
@@ -117,7 +117,7 @@
 // knows no upstream that was not tried.
 func (s *Sender) routed(ctx context.Context, r Request, n int, tried []string, j *joiner) (string, outcome) {
 	job := r.Work.Job
-	if s.Suspects.Refused(job.Print) {
+	if s.Suspects.MustRefuse(job.Print) {
 		return "", outcome{refusal: magno.Refuse(magno.KindSuspect, "requests like it crashed upstreams")}
 	}
 	router := s.Router(r.Pool)
@@ -249,7 +249,7 @@
 	id := r.Work.Job.ID
 	call := magno.RunCall{
 		Call: fmt.Sprintf("%s/%d", id, n), Key: r.Key, Work: r.Work, Stream: r.Stream,
-		Config: r.Config, Left: r.Deadline - s.Clock.Now(), Crashes: s.Suspects.Count(r.Work.Job.Print),
+		Config: r.Config, Left: r.Deadline - s.Clock.Now(), Crashes: s.Suspects.CrashCount(r.Work.Job.Print),
 	}
 	call.Work.Job.ID = fmt.Sprintf("%s.%d", id, n)
 	if call.Left <= 0 {
@@ -266,7 +266,7 @@
 	}
 	if kind == string(magno.KindInterrupted) && out.refusal.Run == magno.RunUnknown {
 		// Its next attempt runs alone; if that fails as well there is none.
-		s.Suspects.Failed(r.Work.Job.Print)
+		s.Suspects.RecordFailure(r.Work.Job.Print)
 	}
 	metrics.GetOrCreateCounter(fmt.Sprintf(`magno_attempts_total{outcome=%q}`, kind)).Inc()
 	s.Events.Add("answer", id, fmt.Sprintf("from=%s n=%d outcome=%s", name, n, kind))
--- a/entry/site/pools.go
+++ b/entry/site/pools.go
@@ -27,7 +27,7 @@
 
 type pool struct {
 	router *route.Route
-	allow  *allow.Window
+	allow  *allow.Budget
 }
 
 // get returns a service's pool, made on first use. The caller holds mu.
@@ -39,7 +39,7 @@
 		router: &route.Route{
 			Clock: p.clock, Seed: xxhash.Sum64String(p.set.Name), DataCentre: p.set.DataCentre,
 		},
-		allow: &allow.Window{Clock: p.clock, Ratio: p.set.RetryRatio, Slack: p.set.RetrySlack, Span: p.set.RetryWindow, Since: p.since},
+		allow: &allow.Budget{Clock: p.clock, Ratio: p.set.RetryRatio, Slack: p.set.RetrySlack, WindowLength: p.set.RetryWindow, StartedAt: p.since},
 	}
 	if s := p.book.Now().Plan.Service(service); s != nil && s.Engine != nil {
 		made.router.Tuning = route.Permitted()
@@ -96,7 +96,7 @@
 	p.mu.Lock()
 	one := p.get(service)
 	p.mu.Unlock()
-	one.allow.Taken()
+	one.allow.RecordRequest()
 }
 
 // Again implements relay.Pools.
@@ -104,5 +104,5 @@
 	p.mu.Lock()
 	one := p.get(service)
 	p.mu.Unlock()
-	return one.allow.Again(p.peers.Processes())
+	return one.allow.TakeRetry(p.peers.Processes())
 }
--- a/magno/alert/alert.go
+++ b/magno/alert/alert.go
@@ -1,8 +1,8 @@
 // Package alert lets processes share what they know of requests that crash
 // upstreams.
 //
-//	crash.Suspects --Changed--> Sharer --Mark--> spread.Node --gossip--> peers
-//	               <--Merge---- Sharer <-Marked-- spread.Node
+//	crash.Suspects --OnChange--> Sharer --Mark--> spread.Node --gossip--> peers
+//	               <--Merge----- Sharer <-Marked-- spread.Node
 //
 // Without it each process finds out by itself, at the price of two crashes
 // each, while the caller sends the request again through one entry after
@@ -30,8 +30,8 @@
 // Changed spreads a record of this process.
 func (s *Sharer) Changed(rec crash.Record) {
 	s.Mark(gossip.Mark{
-		Key: prefix + strconv.FormatUint(rec.Print, 16), Seq: int64(rec.At),
-		Data: strconv.Itoa(rec.Crashes), Left: crash.Keep,
+		Key: prefix + strconv.FormatUint(rec.Fingerprint, 16), Seq: int64(rec.UpdatedAt),
+		Data: strconv.Itoa(rec.Crashes), Left: crash.Retention,
 	})
 }
 
@@ -49,5 +49,5 @@
 	if err != nil || crashes < 0 {
 		return
 	}
-	s.Suspects.Merge([]crash.Record{{Print: print, Crashes: crashes, At: s.Suspects.Clock.Now()}})
+	s.Suspects.Merge([]crash.Record{{Fingerprint: print, Crashes: crashes, UpdatedAt: s.Suspects.Clock.Now()}})
 }
--- a/magno/allow/allow.go
+++ b/magno/allow/allow.go
@@ -18,44 +18,44 @@
 	"magnoliastall.example/magno/slide"
 )
 
-// Keep is the part of the bound that is used: processes that just started aren't counted
+// SafetyFactor is the part of the bound that is used: processes that just started aren't counted
 // by the others for up to two seconds.
-const Keep = 0.8
+const SafetyFactor = 0.8
 
-// Window is the allowance for sends to one service. It is safe for concurrent
+// Budget is the allowance for sends to one service. It is safe for concurrent
 // use; exported fields are set before.
-type Window struct {
+type Budget struct {
 	Clock *magno.Clock
 	Ratio float64
 	Slack float64
-	// Span is the window's length.
-	Span magno.Millis
-	// Since is when this process started. Its part of the slack grows with its age up to
+	// WindowLength is the window's length.
+	WindowLength magno.Millis
+	// StartedAt is when this process started. Its part of the slack grows with its age up to
 	// Span: all processes may have started anew, and those before have used theirs.
-	Since magno.Millis
+	StartedAt magno.Millis
 
 	mu sync.Mutex
 	// taken are requests that came in, again further sends, of the last Span.
 	taken, again slide.Sum
 }
 
-// Taken counts a request that came in.
-func (w *Window) Taken() {
+// RecordRequest counts a request that came in.
+func (w *Budget) RecordRequest() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.setup()
 	w.taken.Add(1, w.Clock.Now())
 }
 
-// Again takes one further send from the allowance; false when it is used up.
+// TakeRetry takes one further send from the allowance; false when it is used up.
 // Processes is how many share the slack, this one included.
-func (w *Window) Again(processes int) bool {
+func (w *Budget) TakeRetry(processes int) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.setup()
 	now := w.Clock.Now()
-	age := min(float64(now-w.Since)/float64(max(w.Span, 1)), 1)
-	limit := Keep * (w.Ratio*w.taken.Now(now) + age*w.Slack/float64(max(processes, 1)))
+	age := min(float64(now-w.StartedAt)/float64(max(w.WindowLength, 1)), 1)
+	limit := SafetyFactor * (w.Ratio*w.taken.Now(now) + age*w.Slack/float64(max(processes, 1)))
 	if w.again.Now(now)+1 > limit {
 		return false
 	}
@@ -63,4 +63,4 @@
 	return true
 }
 
-func (w *Window) setup() { w.taken.Window, w.again.Window = w.Span, w.Span }
+func (w *Budget) setup() { w.taken.Window, w.again.Window = w.WindowLength, w.WindowLength }
--- a/magno/allow/allow_test.go
+++ b/magno/allow/allow_test.go
@@ -16,9 +16,9 @@
 	rapid.Check(t, func(t *rapid.T) {
 		const processes, span = 4, 10 * magno.Second
 		clock := magno.NewClock(magno.Hour)
-		var windows [processes]*Window
+		var windows [processes]*Budget
 		for i := range windows {
-			windows[i] = &Window{Clock: clock, Ratio: 0.2, Slack: 52, Span: span}
+			windows[i] = &Budget{Clock: clock, Ratio: 0.2, Slack: 52, WindowLength: span}
 		}
 		type event struct {
 			at    magno.Millis
@@ -28,9 +28,9 @@
 		for range rapid.IntRange(1, 400).Draw(t, "steps") {
 			clock.Advance(magno.Millis(rapid.IntRange(0, 200).Draw(t, "pause")))
 			w := windows[rapid.IntRange(0, processes-1).Draw(t, "process")]
-			w.Taken()
+			w.RecordRequest()
 			events = append(events, event{clock.Now(), false})
-			if w.Again(processes) {
+			if w.TakeRetry(processes) {
 				events = append(events, event{clock.Now(), true})
 			}
 		}
@@ -55,16 +55,16 @@
 // A burst of failures is followed by calm: the allowance comes back.
 func TestComesBackAfterTheWindow(t *testing.T) {
 	clock := magno.NewClock(magno.Hour)
-	w := &Window{Clock: clock, Ratio: 0.2, Slack: 10, Span: 10 * magno.Second}
+	w := &Budget{Clock: clock, Ratio: 0.2, Slack: 10, WindowLength: 10 * magno.Second}
 	given := 0
-	for given <= 100 && w.Again(1) {
+	for given <= 100 && w.TakeRetry(1) {
 		given++
 	}
 	if float64(given) > w.Slack {
 		t.Fatalf("%d sends again were given, of %.0f at most", given, w.Slack)
 	}
 	clock.Advance(11 * magno.Second)
-	if !w.Again(1) {
+	if !w.TakeRetry(1) {
 		t.Error("nothing is allowed though the window has passed")
 	}
 }
@@ -75,11 +75,11 @@
 	const entries, met = 29, 16
 	const ratio, slack, span = 0.2, 98.0, 10 * magno.Second
 	clock := magno.NewClock(magno.Hour)
-	var all []*Window
+	var all []*Budget
 	fresh := func() {
 		all = nil
 		for range entries {
-			all = append(all, &Window{Clock: clock, Ratio: ratio, Slack: slack, Span: span, Since: clock.Now()})
+			all = append(all, &Budget{Clock: clock, Ratio: ratio, Slack: slack, WindowLength: span, StartedAt: clock.Now()})
 		}
 	}
 	fresh()
@@ -100,10 +100,10 @@
 		}
 		for range 2 { // 200 requests a second
 			w := all[int(taken.Now(now))%entries]
-			w.Taken()
+			w.RecordRequest()
 			taken.Add(1, now)
 			for range 3 {
-				if w.Again(processes) {
+				if w.TakeRetry(processes) {
 					again.Add(1, now)
 				}
 			}
--- a/magno/check/rules.go
+++ b/magno/check/rules.go
@@ -83,7 +83,7 @@
 	if c.Past != nil {
 		past = c.Past()
 	}
-	if err := roster.Follows(old, next, past); err != nil {
+	if err := roster.ValidateSuccessor(old, next, past); err != nil {
 		return []fault{{list: listRosters, what: err.Error()}}
 	}
 	return nil
--- a/magno/crash/count.go
+++ b/magno/crash/count.go
@@ -2,17 +2,17 @@
 
 import "magnoliastall.example/magno"
 
-// Count returns how many crashes the request is known for: 0 for none, 1 for
+// CrashCount returns how many crashes the request is known for: 0 for none, 1 for
 // a suspect, 2 and more for one that is refused.
-func (s *Suspects) Count(print uint64) int { return s.crashes(print) }
+func (s *Suspects) CrashCount(print uint64) int { return s.crashes(print) }
 
-// Since returns the records with news after a time, the latest last and at most
+// UpdatedSince returns the records with news after a time, the latest last and at most
 // so many of them.
-func (s *Suspects) Since(after magno.Millis, most int) []Record {
+func (s *Suspects) UpdatedSince(after magno.Millis, most int) []Record {
 	all := s.List()
 	recent := all[:0]
 	for _, rec := range all {
-		if rec.At > after {
+		if rec.UpdatedAt > after {
 			recent = append(recent, rec)
 		}
 	}
--- a/magno/crash/crash.go
+++ b/magno/crash/crash.go
@@ -21,31 +21,31 @@
 )
 
 const (
-	// Keep is how long a record holds after the last news of it: longer than
+	// Retention is how long a record holds after the last news of it: longer than
 	// callers go on sending the same request again.
-	Keep = 30 * magno.Minute
-	// Most bounds the records: 64 full batches of 64 at 24 bytes each.
-	Most = 4096
+	Retention = 30 * magno.Minute
+	// MaxRecords bounds the records: 64 full batches of 64 at 24 bytes each.
+	MaxRecords = 4096
 	// refuseAt is the number of crashes from which on a request is refused.
 	refuseAt = 2
 )
 
 // Record is what is known of one fingerprint.
 type Record struct {
-	Print uint64 `json:"print"`
+	Fingerprint uint64 `json:"print"`
 	// Crashes is 0 for a cleared one, 1 for a suspect, 2 and more for one
 	// that is refused.
 	Crashes int `json:"crashes"`
-	// At is the time of the last news; the later news wins a merge.
-	At magno.Millis `json:"at"`
+	// UpdatedAt is the time of the last news; the later news wins a merge.
+	UpdatedAt magno.Millis `json:"at"`
 }
 
 // Suspects is safe for concurrent use. Its exported fields are set before use.
 type Suspects struct {
 	Clock *magno.Clock
-	// Changed is told of each record that this process itself made. It may be
+	// OnChange is told of each record that this process itself made. It may be
 	// nil.
-	Changed func(Record)
+	OnChange func(Record)
 
 	mu      sync.Mutex
 	records *simplelru.LRU[uint64, Record]
@@ -53,20 +53,20 @@
 
 func (s *Suspects) get(print uint64) (Record, bool) {
 	if s.records == nil {
-		s.records, _ = simplelru.NewLRU[uint64, Record](Most, nil)
+		s.records, _ = simplelru.NewLRU[uint64, Record](MaxRecords, nil)
 	}
 	rec, ok := s.records.Get(print)
-	if ok && s.Clock.Now()-rec.At > Keep {
+	if ok && s.Clock.Now()-rec.UpdatedAt > Retention {
 		s.records.Remove(print)
 		return Record{}, false
 	}
 	return rec, ok
 }
 
-// Crashed takes the fingerprints that ran when the upstream crashed; a zero
+// RecordCrash takes the fingerprints that ran when the upstream crashed; a zero
 // one is ignored. Only a crash of a request that ran alone counts up, for
 // beside others it may be innocent.
-func (s *Suspects) Crashed(prints []uint64) {
+func (s *Suspects) RecordCrash(prints []uint64) {
 	for _, print := range prints {
 		if print == 0 {
 			continue
@@ -84,34 +84,34 @@
 func (s *Suspects) change(print uint64, count func(crashes int) int) {
 	s.mu.Lock()
 	rec, _ := s.get(print)
-	rec = Record{Print: print, Crashes: count(rec.Crashes), At: s.Clock.Now()}
+	rec = Record{Fingerprint: print, Crashes: count(rec.Crashes), UpdatedAt: s.Clock.Now()}
 	s.records.Add(print, rec)
 	s.mu.Unlock()
-	if s.Changed != nil {
-		s.Changed(rec)
+	if s.OnChange != nil {
+		s.OnChange(rec)
 	}
 }
 
-// Ended clears a suspect that ran to its end.
-func (s *Suspects) Ended(print uint64) {
+// Clear clears a suspect that ran to its end.
+func (s *Suspects) Clear(print uint64) {
 	if s.crashes(print) > 0 {
 		s.change(print, func(int) int { return 0 })
 	}
 }
 
-// Failed counts one failure of an upstream under a request; the caller knows
+// RecordFailure counts one failure of an upstream under a request; the caller knows
 // no more than that.
-func (s *Suspects) Failed(print uint64) {
+func (s *Suspects) RecordFailure(print uint64) {
 	if print != 0 {
 		s.change(print, func(crashes int) int { return crashes + 1 })
 	}
 }
 
-// Alone tells that the request must run alone, Refused that it must not run.
-func (s *Suspects) Alone(print uint64) bool { return s.crashes(print) > 0 }
+// MustRunAlone tells that the request must run alone, Refused that it must not run.
+func (s *Suspects) MustRunAlone(print uint64) bool { return s.crashes(print) > 0 }
 
-// Refused tells that the request crashed upstreams and must not run.
-func (s *Suspects) Refused(print uint64) bool { return s.crashes(print) >= refuseAt }
+// MustRefuse tells that the request crashed upstreams and must not run.
+func (s *Suspects) MustRefuse(print uint64) bool { return s.crashes(print) >= refuseAt }
 
 func (s *Suspects) crashes(print uint64) int {
 	if s == nil || print == 0 {
@@ -130,14 +130,14 @@
 	defer s.mu.Unlock()
 	now := s.Clock.Now()
 	for _, rec := range records {
-		if rec.Print == 0 || now-rec.At > Keep {
+		if rec.Fingerprint == 0 || now-rec.UpdatedAt > Retention {
 			continue
 		}
 		// A peer's clock may be ahead; a time to come would win all merges.
-		rec.At = min(rec.At, now)
-		old, ok := s.get(rec.Print)
-		if !ok || rec.At > old.At || (rec.At == old.At && rec.Crashes > old.Crashes) {
-			s.records.Add(rec.Print, rec)
+		rec.UpdatedAt = min(rec.UpdatedAt, now)
+		old, ok := s.get(rec.Fingerprint)
+		if !ok || rec.UpdatedAt > old.UpdatedAt || (rec.UpdatedAt == old.UpdatedAt && rec.Crashes > old.Crashes) {
+			s.records.Add(rec.Fingerprint, rec)
 		}
 	}
 }
@@ -152,7 +152,7 @@
 	now := s.Clock.Now()
 	list := make([]Record, 0, s.records.Len())
 	for _, rec := range s.records.Values() {
-		if now-rec.At <= Keep {
+		if now-rec.UpdatedAt <= Retention {
 			list = append(list, rec)
 		}
 	}
--- a/magno/grant/grant.go
+++ b/magno/grant/grant.go
@@ -37,41 +37,41 @@
 	mostAfter = 10 * magno.Second
 )
 
-// Ask is what a process asks its customer's home for.
-type Ask struct {
+// Request is what a process asks its customer's home for.
+type Request struct {
 	Customer string `json:"customer"`
 	// Need is what its waiting requests cost, Least the smallest of them; both are zero
 	// when none waits. Want is Need and what it expects to need soon.
 	Need  float64 `json:"need"`
 	Least float64 `json:"least"`
 	Want  float64 `json:"want"`
-	// Back is what it was granted and doesn't need.
-	Back float64 `json:"back,omitempty"`
+	// Returned is what it was granted and doesn't need.
+	Returned float64 `json:"back,omitempty"`
 }
 
 // Reply is what a home grants.
 type Reply struct {
 	// Granted may be less than Need; it is zero or at least Least.
 	Granted float64 `json:"granted"`
-	// After is when the rest of Need will be there, from now; zero when it was granted.
-	After magno.Millis `json:"after,omitempty"`
+	// RetryAfter is when the rest of Need will be there, from now; zero when it was granted.
+	RetryAfter magno.Millis `json:"after,omitempty"`
 }
 
-// Homes puts addresses into the order in which they are a customer's homes, the same
+// SortHomes puts addresses into the order in which they are a customer's homes, the same
 // wherever the addresses are the same. Where one goes, only its own customers move.
-func Homes(customer string, addrs []string) []string {
+func SortHomes(customer string, addrs []string) []string {
 	slices.SortFunc(addrs, func(a, b string) int {
 		return cmp.Compare(xxhash.Sum64String(customer+a), xxhash.Sum64String(customer+b))
 	})
 	return addrs
 }
 
-// Grants is what one process grants. One goroutine uses it; exported fields are set
+// Granter is what one process grants. One goroutine uses it; exported fields are set
 // before.
 //
 // In any Window a customer has its rate and its burst once. What comes at a steady pace
 // so has both together, evenly; what comes at once has the burst.
-type Grants struct {
+type Granter struct {
 	Clock  *magno.Clock
 	Window magno.Millis
 
@@ -93,10 +93,10 @@
 
 // Grant answers an ask. Limit is the customer's, alive and known count the processes
 // that this one sees and has seen of late, itself included.
-func (g *Grants) Grant(a Ask, limit magno.Limit, alive, known int) Reply {
+func (g *Granter) Grant(a Request, limit magno.Limit, alive, known int) Reply {
 	now := g.Clock.Now()
 	h := g.home(a.Customer, limit, part(alive, known), now)
-	h.grant(-max(a.Back, 0), now)
+	h.grant(-max(a.Returned, 0), now)
 	if free := h.free(now); free >= a.Need {
 		granted := a.Need + min(max(a.Want-a.Need, 0), (free-a.Need)/shareOut)
 		h.grant(granted, now)
@@ -107,12 +107,12 @@
 		r.Granted = max(a.Least, h.free(now))
 		h.grant(r.Granted, now)
 	}
-	r.After = h.later(a.Need-r.Granted, now)
+	r.RetryAfter = h.later(a.Need-r.Granted, now)
 	return r
 }
 
 // home returns a customer's allowance, made or changed as the limit says.
-func (g *Grants) home(customer string, limit magno.Limit, share float64, now magno.Millis) *home {
+func (g *Granter) home(customer string, limit magno.Limit, share float64, now magno.Millis) *home {
 	if g.homes == nil {
 		g.homes = map[string]*home{}
 	}
--- a/magno/keys/keys.go
+++ b/magno/keys/keys.go
@@ -16,14 +16,14 @@
 // Scheme is the authentication scheme of callers.
 const Scheme = "Bearer"
 
-// Keys maps the keys of a configuration to their customers. It isn't changed once made.
-type Keys struct {
+// Table maps the keys of a configuration to their customers. It isn't changed once made.
+type Table struct {
 	owners map[magno.Digest]*magno.Customer
 }
 
 // New builds the table of a configuration's customers.
-func New(customers []magno.Customer) *Keys {
-	k := &Keys{owners: map[magno.Digest]*magno.Customer{}}
+func New(customers []magno.Customer) *Table {
+	k := &Table{owners: map[magno.Digest]*magno.Customer{}}
 	for i := range customers {
 		for _, d := range customers[i].Keys {
 			k.owners[d] = &customers[i]
@@ -34,7 +34,7 @@
 
 // Find returns the customer that an Authorization header's key belongs to, nil when
 // there is none.
-func (k *Keys) Find(authorization string) *magno.Customer {
+func (k *Table) Find(authorization string) *magno.Customer {
 	scheme, key, _ := strings.Cut(strings.TrimSpace(authorization), " ")
 	key = strings.TrimSpace(key)
 	if key == "" || !strings.EqualFold(scheme, Scheme) {
--- a/magno/keys/keys_test.go
+++ b/magno/keys/keys_test.go
@@ -6,7 +6,7 @@
 	"magnoliastall.example/magno"
 )
 
-func table() *Keys {
+func table() *Table {
 	return New([]magno.Customer{
 		{Name: "a", Keys: []magno.Digest{magno.Digested("one"), magno.Digested("two")}},
 		{Name: "b", Keys: []magno.Digest{magno.Digested("three")}},
--- a/magno/once/book.go
+++ b/magno/once/book.go
@@ -20,12 +20,12 @@
 	skew                      magno.Millis
 	// bytes is the most memory for answers, used what they take now.
 	bytes, used int
-	records     recall.Memory[*record]
+	records     recall.Store[*record]
 }
 
 func newBook(self, incarnation string, skew, retention magno.Millis, most, bytes int) *book {
 	b := &book{self: self, incarnation: incarnation, holder: holderOf(self, incarnation), skew: skew, bytes: bytes}
-	b.records = recall.Memory[*record]{Retention: retention, Max: most, OnDrop: func(r *record) { b.used -= r.size() }}
+	b.records = recall.Store[*record]{Retention: retention, Max: most, OnExpire: func(r *record) { b.used -= r.size() }}
 	return b
 }
 
@@ -51,14 +51,14 @@
 	if ticketed && (tk.Agent != b.self || tk.Incarnation != b.incarnation) {
 		return opening{refusal: refuse(magno.KindUnknown, "the ticket names another process").At("key")}
 	}
-	at, ok := ticket.Time(key)
+	at, ok := ticket.IssueTime(key)
 	if ticketed {
-		at, ok = ticket.Time(tk.Key)
+		at, ok = ticket.IssueTime(tk.Key)
 	}
 	if refusal := b.admit(now, at, ok); refusal != nil {
 		return opening{refusal: refusal}
 	}
-	r := &record{key: key, at: at, body: call.Body}
+	r := &record{key: key, at: at, body: call.BodyHash}
 	if ticketed {
 		b.records.Put(key, at, r)
 		r.state, r.ended = running, newAttempt()
@@ -95,7 +95,7 @@
 
 // join answers a call whose key is known.
 func (b *book) join(r *record, rosters []magno.Roster, call Call) opening {
-	if r.body != call.Body {
+	if r.body != call.BodyHash {
 		refusal := magno.Refuse(magno.KindMismatch, "the key was used for another request").At("key")
 		if !r.held() {
 			refusal = refusal.Ran(magno.RunUnknown)
@@ -113,7 +113,7 @@
 
 // begin starts an attempt to get the key granted.
 func (b *book) begin(r *record, rosters []magno.Roster) *magno.Refusal {
-	set, ok := roster.For(rosters, r.key, r.at)
+	set, ok := roster.WitnessesFor(rosters, r.key, r.at)
 	if !ok {
 		return refuse(magno.KindLater, "no published roster covers the key's time; send the same key again")
 	}
--- a/magno/once/cost_test.go
+++ b/magno/once/cost_test.go
@@ -122,7 +122,7 @@
 			b := f.bench()
 			tt.with(b)
 			l := b.ledger("home")
-			l.Max = keys
+			l.MaxKeys = keys
 			refused := 0
 			for n := range keys {
 				var runs int
@@ -149,7 +149,7 @@
 				bn.lose(func(_ int, p string) bool { return p == lost })
 				l := bn.ledger("home")
 				l.Asker = &distant{"dc0", f, bn.roster.Places, bn.wire.witnesses}
-				l.Max = b.N
+				l.MaxKeys = b.N
 				waits := make([]time.Duration, b.N)
 				for n := range b.N {
 					from := time.Now()
@@ -171,12 +171,12 @@
 func BenchmarkDo(b *testing.B) {
 	bn := fleets[1].bench()
 	for _, w := range bn.wire.witnesses {
-		w.Max = b.N
+		w.MaxKeys = b.N
 	}
 	l := bn.ledger("reading-agent-07")
 	l.Incarnation = key(begin, 1)
 	l.Asker = &distant{"", fleet{}, bn.roster.Places, bn.wire.witnesses}
-	l.Max = b.N
+	l.MaxKeys = b.N
 	for _, w := range bn.wire.witnesses {
 		w.Open()
 	}
@@ -189,7 +189,7 @@
 	b.StopTimer()
 	held := 0
 	for _, w := range bn.wire.witnesses {
-		held += w.Held()
+		held += w.Len()
 	}
 	all := heap() - before
 	clear(bn.wire.witnesses)
--- a/magno/once/history_test.go
+++ b/magno/once/history_test.go
@@ -86,7 +86,7 @@
 
 // start puts a new process into a slot; the old one is gone.
 func (b *bench) start(name string) {
-	w := &witns.Witness{Self: name, Clock: b.clock, Retention: retention, Skew: skew, Max: 10000}
+	w := &witns.Witness{Self: name, Clock: b.clock, Retention: retention, MaxSkew: skew, MaxKeys: 10000}
 	w.Open()
 	b.wire.mu.Lock()
 	defer b.wire.mu.Unlock()
@@ -98,7 +98,7 @@
 	return &Ledger{
 		Clock: b.clock, Self: name, Incarnation: fmt.Sprint(b.made), Asker: b.wire,
 		Rosters:   func() []magno.Roster { return []magno.Roster{b.roster} },
-		Retention: retention, Skew: skew, Limit: magno.Minute, Max: 100, Bytes: 1 << 20,
+		Retention: retention, MaxSkew: skew, RoundTimeout: magno.Minute, MaxKeys: 100, MaxBytes: 1 << 20,
 	}
 }
 
@@ -199,7 +199,7 @@
 	ledgers := make([]*Ledger, 3)
 	for i := range ledgers {
 		ledgers[i] = b.ledger(fmt.Sprint("h", i))
-		ledgers[i].Limit = 20
+		ledgers[i].RoundTimeout = 20
 	}
 	var mu sync.Mutex
 	var wg sync.WaitGroup
@@ -214,7 +214,7 @@
 				switch b.wire.draw(40) {
 				case 0:
 					ledgers[i] = b.ledger(l.Self)
-					ledgers[i].Limit = 20
+					ledgers[i].RoundTimeout = 20
 				case 1:
 					b.start(fmt.Sprint("w", b.wire.draw(9)))
 				}
@@ -229,7 +229,7 @@
 // send sends a key once and notes the run, if it comes to one, and the answer.
 func send(b *bench, j *journal, l *Ledger, caller, n int, at magno.Millis) {
 	from := time.Now()
-	reply := l.Do(context.Background(), Call{Key: key(at, n), Body: 7}, func(context.Context) magno.RunReply {
+	reply := l.Do(context.Background(), Call{Key: key(at, n), BodyHash: 7}, func(context.Context) magno.RunReply {
 		began := time.Now()
 		time.Sleep(time.Duration(b.wire.draw(2000)) * time.Microsecond)
 		if b.wire.draw(5) == 0 {
--- a/magno/once/knows.go
+++ b/magno/once/knows.go
@@ -1,8 +1,8 @@
 package once
 
-// Knows tells whether the call's key is recorded here. An agent that leaves
+// Has tells whether the call's key is recorded here. An agent that leaves
 // takes no new keys, yet must answer for those it ran: nobody else can.
-func (l *Ledger) Knows(call Call) bool {
+func (l *Ledger) Has(call Call) bool {
 	l.open()
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -10,8 +10,8 @@
 	return ok
 }
 
-// Held returns how many keys are recorded.
-func (l *Ledger) Held() int {
+// Len returns how many keys are recorded.
+func (l *Ledger) Len() int {
 	l.open()
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/magno/once/ledger.go
+++ b/magno/once/ledger.go
@@ -43,8 +43,8 @@
 	// Scope is whom the key belongs to, such as the customer; the same key of
 	// another scope is another key.
 	Scope string
-	// Body is a hash of all that the request asks for.
-	Body uint64
+	// BodyHash is a hash of all that the request asks for.
+	BodyHash uint64
 }
 
 // name returns the key as witnesses and ledger know it.
@@ -69,13 +69,13 @@
 	// Retention is how long answers are replayed, counted from the key's own
 	// time. Older keys are refused.
 	Retention magno.Millis
-	// Skew is the most by which two clocks of callers and instances differ.
-	Skew magno.Millis
-	// Limit is how long a round of asking may take.
-	Limit magno.Millis
-	// Max is the most keys held, Bytes the most text of answers. Beyond
+	// MaxSkew is the most by which two clocks of callers and instances differ.
+	MaxSkew magno.Millis
+	// RoundTimeout is how long a round of asking may take.
+	RoundTimeout magno.Millis
+	// MaxKeys is the most keys held, MaxBytes the most text of answers. Beyond
 	// either, new keys are refused with kind later.
-	Max, Bytes int
+	MaxKeys, MaxBytes int
 
 	once sync.Once
 	mu   sync.Mutex
@@ -84,7 +84,7 @@
 
 func (l *Ledger) open() {
 	l.once.Do(func() {
-		l.book = newBook(l.Self, l.Incarnation, l.Skew, l.Retention, l.Max, l.Bytes)
+		l.book = newBook(l.Self, l.Incarnation, l.MaxSkew, l.Retention, l.MaxKeys, l.MaxBytes)
 	})
 }
 
@@ -153,7 +153,7 @@
 
 // round asks all witnesses at once and returns as soon as the answers decide.
 func (l *Ledger) round(ctx context.Context, r *record) verdict {
-	ctx, cancel := context.WithTimeout(ctx, l.Limit.Span())
+	ctx, cancel := context.WithTimeout(ctx, l.RoundTimeout.Span())
 	defer cancel()
 	l.mu.Lock()
 	questions := l.book.ask(r)
@@ -196,7 +196,7 @@
 // cede passes this process's grants on to a rival. A message that gets lost
 // only leaves the rival waiting.
 func (l *Ledger) cede(ctx context.Context, questions []question) {
-	ctx, cancel := context.WithTimeout(ctx, l.Limit.Span())
+	ctx, cancel := context.WithTimeout(ctx, l.RoundTimeout.Span())
 	defer cancel()
 	answers := l.send(ctx, questions)
 	for range questions {
--- a/magno/once/ledger_test.go
+++ b/magno/once/ledger_test.go
@@ -22,7 +22,7 @@
 func TestCopiesGetOneAnswer(t *testing.T) {
 	b := newBench(1)
 	first, second := b.ledger("a"), b.ledger("b")
-	call := Call{Key: key(b.clock.Now(), 1), Scope: "delta", Body: 5}
+	call := Call{Key: key(b.clock.Now(), 1), Scope: "delta", BodyHash: 5}
 	var runs int
 	for i := range 3 {
 		reply := first.Do(context.Background(), call, counted(&runs, "x"))
@@ -43,7 +43,7 @@
 func TestCopyJoinsTheRun(t *testing.T) {
 	b := newBench(1)
 	l := b.ledger("a")
-	call := Call{Key: key(b.clock.Now(), 1), Body: 5}
+	call := Call{Key: key(b.clock.Now(), 1), BodyHash: 5}
 	started, finish := make(chan struct{}), make(chan struct{})
 	var wg sync.WaitGroup
 	replies := make([]magno.RunReply, 2)
@@ -104,7 +104,7 @@
 		return magno.RunReply{Refusal: magno.Refuse(magno.KindBusy, "full")}
 	}
 	now := newBench(1).clock.Now()
-	fresh := Call{Key: key(now, 1), Body: 1}
+	fresh := Call{Key: key(now, 1), BodyHash: 1}
 	tests := []struct {
 		name string
 		call Call
@@ -119,11 +119,11 @@
 		{"issued before the witnesses started", Call{Key: key(now-1, 1)}, nil, magno.KindUnknown, magno.RunUnknown},
 		{"a ticket of another process", Call{Key: key(now, 1) + ".9.a"}, nil, magno.KindUnknown, magno.RunUnknown},
 		{"another body under the key", fresh, func(_ *bench, l *Ledger) {
-			l.Do(context.Background(), Call{Key: fresh.Key, Body: 2}, busy)
+			l.Do(context.Background(), Call{Key: fresh.Key, BodyHash: 2}, busy)
 		}, magno.KindMismatch, magno.RunNo},
 		{"another body, and nobody granted the key", fresh, func(b *bench, l *Ledger) {
 			clear(b.wire.witnesses)
-			l.Do(context.Background(), Call{Key: fresh.Key, Body: 2}, busy)
+			l.Do(context.Background(), Call{Key: fresh.Key, BodyHash: 2}, busy)
 		}, magno.KindMismatch, magno.RunUnknown},
 		{"three witnesses out of reach", fresh, func(b *bench, _ *Ledger) {
 			b.roster.Members = b.roster.Members[:7]
@@ -133,12 +133,12 @@
 		}, magno.KindLater, magno.RunUnknown},
 		{"no roster for the key's time", fresh, func(b *bench, _ *Ledger) { b.roster.Until = now }, magno.KindLater, magno.RunUnknown},
 		{"the ledger is full", fresh, func(_ *bench, l *Ledger) {
-			l.Max = 1
+			l.MaxKeys = 1
 			l.Do(context.Background(), Call{Key: key(now, 2)}, busy)
 		}, magno.KindLater, magno.RunUnknown},
 		{"answers fill the memory", fresh, func(_ *bench, l *Ledger) {
 			var n int
-			l.Bytes = 1
+			l.MaxBytes = 1
 			l.Do(context.Background(), Call{Key: key(now, 2)}, counted(&n, "text"))
 		}, magno.KindLater, magno.RunUnknown},
 	}
--- a/magno/once/live_test.go
+++ b/magno/once/live_test.go
@@ -59,7 +59,7 @@
 // arrive.
 func TestHolderThatGaveWayNeverAsksAgain(t *testing.T) {
 	b := newBench(1)
-	call := Call{Key: key(b.clock.Now(), 1), Body: 1}
+	call := Call{Key: key(b.clock.Now(), 1), BodyHash: 1}
 	rosters := []magno.Roster{b.roster}
 	book := newBook("b", "1", skew, retention, 10, 1<<20)
 	o := book.open(b.clock.Now(), rosters, call)
--- a/magno/once/world_test.go
+++ b/magno/once/world_test.go
@@ -160,7 +160,7 @@
 
 func (w *world) startWitness(t *rapid.T, s *slot) {
 	c := w.startClock(t)
-	p := &witness{&witns.Witness{Self: s.name, Clock: c, Retention: retention, Skew: skew, Max: 100}, c}
+	p := &witness{&witns.Witness{Self: s.name, Clock: c, Retention: retention, MaxSkew: skew, MaxKeys: 100}, c}
 	if late := w.backdate(c.Now()); late > 0 {
 		p.Clock = magno.NewClock(c.Now() - late)
 		p.Open()
@@ -243,7 +243,7 @@
 
 // send gives a key to one home, for a request with the body.
 func (w *world) send(h *home, key int, body uint64) {
-	o := h.book.open(h.clock.Now(), w.rosters(h), Call{Key: w.keys[key], Body: body})
+	o := h.book.open(h.clock.Now(), w.rosters(h), Call{Key: w.keys[key], BodyHash: body})
 	w.note("send key %d body %d to %s: %+v", key, body, h.book.holder, o.refusal)
 	if o.refusal != nil {
 		w.told(asked{key: key, body: body}, magno.RunReply{Refusal: o.refusal})
--- a/magno/proc/proc.go
+++ b/magno/proc/proc.go
@@ -70,7 +70,7 @@
 		Reader: &watch.Reader{URL: p.Config, Store: p.Store, Clock: p.Clock, Log: p.Log, Metrics: set},
 		Clock:  p.Clock, Log: p.Log, Metrics: set,
 	}
-	sharer.Mark, p.Suspects.Changed = p.Node.Mark, sharer.Changed
+	sharer.Mark, p.Suspects.OnChange = p.Node.Mark, sharer.Changed
 	p.Node.Open()
 	return nil
 }
--- a/magno/quota/quota.go
+++ b/magno/quota/quota.go
@@ -109,24 +109,24 @@
 
 // Ask is what to ask the home for: need is the cost of all waiting requests, least that
 // of the smallest. Surplus tokens leave the account and go back with it.
-func (q *Quota) Ask(customer string, limit magno.Limit, need, least float64) grant.Ask {
+func (q *Quota) Ask(customer string, limit magno.Limit, need, least float64) grant.Request {
 	acc := q.account(customer, limit)
 	acc.asked(0, q.Clock.Now())
-	a := grant.Ask{Customer: customer, Need: max(need-acc.tokens, 0), Least: max(least-acc.tokens, 0)}
+	a := grant.Request{Customer: customer, Need: max(need-acc.tokens, 0), Least: max(least-acc.tokens, 0)}
 	a.Want = max(need+acc.reserve()-acc.tokens, a.Need)
 	if extra := acc.tokens - need - 2*acc.reserve(); extra > 0 {
 		acc.tokens -= extra
-		a.Back = extra
+		a.Returned = extra
 	}
 	return a
 }
 
 // Granted takes the home's answer.
-func (q *Quota) Granted(a grant.Ask, r grant.Reply, limit magno.Limit) {
+func (q *Quota) Granted(a grant.Request, r grant.Reply, limit magno.Limit) {
 	acc := q.account(a.Customer, limit)
 	acc.tokens += r.Granted
-	if r.After > 0 {
-		acc.until = q.Clock.Now() + r.After
+	if r.RetryAfter > 0 {
+		acc.until = q.Clock.Now() + r.RetryAfter
 		acc.next = min(acc.until, q.Clock.Now()+askAgain)
 	}
 }
--- a/magno/quota/quota_test.go
+++ b/magno/quota/quota_test.go
@@ -38,7 +38,7 @@
 // against refusing for long what may soon be allowed.
 func TestOverTheLimitIsRefusedWithoutAnAnswer(t *testing.T) {
 	q, clock := newQuota()
-	q.Granted(q.Ask("a", limit, 100, 100), grant.Reply{After: 4000}, limit)
+	q.Granted(q.Ask("a", limit, 100, 100), grant.Reply{RetryAfter: 4000}, limit)
 	if v, after := q.Take("a", limit, 100); v != Refused || after != 4000 {
 		t.Errorf("verdict %d, after %d ms", v, after)
 	}
@@ -57,8 +57,8 @@
 		t.Fatal("400 tokens that nobody needs aren't idle")
 	}
 	clock.Advance(10 * magno.Second)
-	if ask := q.Ask("a", limit, 0, 0); ask.Back < 390 || ask.Need != 0 || ask.Want > 10 {
-		t.Errorf("gives back %v, wants %v", ask.Back, ask.Want)
+	if ask := q.Ask("a", limit, 0, 0); ask.Returned < 390 || ask.Need != 0 || ask.Want > 10 {
+		t.Errorf("gives back %v, wants %v", ask.Returned, ask.Want)
 	}
 	if len(q.Idle()) != 0 {
 		t.Error("they are idle still")
--- a/magno/recall/recall.go
+++ b/magno/recall/recall.go
@@ -17,19 +17,19 @@
 
 // The verdicts.
 const (
-	Fits  Verdict = iota // the key may be put
-	Stale                // the key is so old that it may have been forgotten
-	Full                 // no room before older keys pass the retention
+	Accepted Verdict = iota // the key may be put
+	Stale                   // the key is so old that it may have been forgotten
+	Full                    // no room before older keys pass the retention
 )
 
-// Memory maps keys to values. It is not safe for concurrent use.
-type Memory[V any] struct {
+// Store maps keys to values. It is not safe for concurrent use.
+type Store[V any] struct {
 	// Retention is how long after its time a key is remembered.
 	Retention magno.Millis
 	// Max is the most keys held.
 	Max int
-	// OnDrop is called for each key forgotten. It may be nil.
-	OnDrop func(V)
+	// OnExpire is called for each key forgotten. It may be nil.
+	OnExpire func(V)
 
 	// floor only grows: keys issued at or before it are refused, and only
 	// such keys are forgotten. A clock that is set back doesn't lower it.
@@ -40,17 +40,17 @@
 }
 
 // Get returns the value of a key.
-func (m *Memory[V]) Get(key string) (V, bool) {
+func (m *Store[V]) Get(key string) (V, bool) {
 	v, ok := m.values[key]
 	return v, ok
 }
 
 // Len returns how many keys are held.
-func (m *Memory[V]) Len() int { return len(m.values) }
+func (m *Store[V]) Len() int { return len(m.values) }
 
 // Check forgets what is past the retention and says whether a key issued at
 // the time at may be put.
-func (m *Memory[V]) Check(now, at magno.Millis) Verdict {
+func (m *Store[V]) Check(now, at magno.Millis) Verdict {
 	m.floor = max(m.floor, now-m.Retention)
 	for len(m.ages) > 0 && m.ages[0].at <= m.floor {
 		m.drop(heap.Pop(&m.ages).(age).key)
@@ -61,11 +61,11 @@
 	case len(m.values) >= m.Max:
 		return Full
 	}
-	return Fits
+	return Accepted
 }
 
 // Put takes in or replaces a key. A new one must have passed Check.
-func (m *Memory[V]) Put(key string, at magno.Millis, value V) {
+func (m *Store[V]) Put(key string, at magno.Millis, value V) {
 	if m.values == nil {
 		m.values = map[string]V{}
 	}
@@ -75,9 +75,9 @@
 	m.values[key] = value
 }
 
-func (m *Memory[V]) drop(key string) {
-	if m.OnDrop != nil {
-		m.OnDrop(m.values[key])
+func (m *Store[V]) drop(key string) {
+	if m.OnExpire != nil {
+		m.OnExpire(m.values[key])
 	}
 	delete(m.values, key)
 }
--- a/magno/roster/roster.go
+++ b/magno/roster/roster.go
@@ -25,8 +25,8 @@
 	"magnoliastall.example/magno"
 )
 
-// Width is the number of witnesses of a key where the roster has so many.
-const Width = 7
+// SetSize is the number of witnesses of a key where the roster has so many.
+const SetSize = 7
 
 // Set is the witnesses of one key.
 type Set struct {
@@ -41,9 +41,9 @@
 // over one, so one doubled slot is survived at any size.
 func Quorum(n int) int { return min(n, (n+3)/2) }
 
-// For returns the witnesses of a key that was issued at the time at; false
+// WitnessesFor returns the witnesses of a key that was issued at the time at; false
 // means that no roster known here covers it.
-func For(rosters []magno.Roster, key string, at magno.Millis) (Set, bool) {
+func WitnessesFor(rosters []magno.Roster, key string, at magno.Millis) (Set, bool) {
 	for _, r := range rosters {
 		if r.Since <= at && at < r.Until && len(r.Members) > 0 {
 			members := pick(r, key)
@@ -71,12 +71,12 @@
 // one data centre where others can take their place.
 func pick(r magno.Roster, key string) []string {
 	tops := tops(r, key)
-	all := make([]ranked, 0, len(tops)*Width)
+	all := make([]ranked, 0, len(tops)*SetSize)
 	for _, top := range tops {
 		all = append(all, top...)
 	}
 	sort.Slice(all, func(i, j int) bool { return all[i].before(all[j]) })
-	n := min(Width, len(all))
+	n := min(SetSize, len(all))
 	limit := max(n-Quorum(n), (n+len(tops)-1)/len(tops))
 	members := make([]string, 0, n)
 	taken := make(map[string]int, len(tops))
@@ -103,10 +103,10 @@
 	for _, name := range r.Members {
 		m := ranked{name, r.Places[name], mix(xxhash.Sum64String(name) ^ seed)}
 		top := tops[m.place]
-		if len(top) == Width && !m.before(top[Width-1]) {
+		if len(top) == SetSize && !m.before(top[SetSize-1]) {
 			continue
 		}
-		if len(top) < Width {
+		if len(top) < SetSize {
 			top = append(top, m)
 		}
 		i := len(top) - 1
@@ -126,9 +126,9 @@
 	return x ^ x>>31
 }
 
-// Check returns what is wrong with a configuration's rosters, nil when they
+// Validate returns what is wrong with a configuration's rosters, nil when they
 // are sound.
-func Check(rosters []magno.Roster) error {
+func Validate(rosters []magno.Roster) error {
 	for i, r := range rosters {
 		if len(r.Members) == 0 {
 			return errors.Newf("rosters[%d].members is empty", i)
@@ -150,12 +150,12 @@
 	return nil
 }
 
-// Follows returns why next may not be put in force after old, nil when it may.
+// ValidateSuccessor returns why next may not be put in force after old, nil when it may.
 // A process may hold old for days, so a time that it covers must keep its
 // members; only an Until may move ahead. Rosters that ended before the time
 // past are free to go.
-func Follows(old, next []magno.Roster, past magno.Millis) error {
-	if err := Check(next); err != nil {
+func ValidateSuccessor(old, next []magno.Roster, past magno.Millis) error {
+	if err := Validate(next); err != nil {
 		return err
 	}
 	for _, o := range old {
--- a/magno/roster/roster_test.go
+++ b/magno/roster/roster_test.go
@@ -25,7 +25,7 @@
 	for _, n := range []int{8, 13, 22, 40} {
 		for k := range 300 {
 			r := spread(n, 4)
-			set, ok := For([]magno.Roster{r}, fmt.Sprint("key", k), 150)
+			set, ok := WitnessesFor([]magno.Roster{r}, fmt.Sprint("key", k), 150)
 			if !ok || len(set.Members) != 7 || set.Quorum != 5 {
 				t.Fatalf("%+v", set)
 			}
@@ -44,13 +44,13 @@
 	quorums := []int{1, 2, 3, 3, 4, 4, 5, 5}
 	for i, want := range quorums {
 		n := i + 1
-		set, _ := For([]magno.Roster{spread(n, 4)}, "key", 150)
-		if len(set.Members) != min(n, Width) || set.Quorum != want {
+		set, _ := WitnessesFor([]magno.Roster{spread(n, 4)}, "key", 150)
+		if len(set.Members) != min(n, SetSize) || set.Quorum != want {
 			t.Errorf("of %d: %+v", n, set)
 		}
 	}
 	crowded := spread(9, 1)
-	if set, _ := For([]magno.Roster{crowded}, "key", 150); len(set.Members) != 7 {
+	if set, _ := WitnessesFor([]magno.Roster{crowded}, "key", 150); len(set.Members) != 7 {
 		t.Errorf("in one data centre: %+v", set)
 	}
 }
@@ -60,13 +60,13 @@
 func TestOneSetForAKey(t *testing.T) {
 	r, other := spread(13, 4), spread(13, 4)
 	slices.Reverse(other.Members)
-	a, _ := For([]magno.Roster{r}, "key", 150)
-	b, _ := For([]magno.Roster{other}, "key", 150)
+	a, _ := WitnessesFor([]magno.Roster{r}, "key", 150)
+	b, _ := WitnessesFor([]magno.Roster{other}, "key", 150)
 	if !slices.Equal(a.Members, b.Members) {
 		t.Errorf("%v and %v", a.Members, b.Members)
 	}
 	for at, want := range map[magno.Millis]bool{99: false, 100: true, 199: true, 200: false} {
-		if _, ok := For([]magno.Roster{r}, "key", at); ok != want {
+		if _, ok := WitnessesFor([]magno.Roster{r}, "key", at); ok != want {
 			t.Errorf("at %d: %v", at, ok)
 		}
 	}
@@ -104,7 +104,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			if err := Follows(old, tt.next, tt.past); (err == nil) != tt.ok {
+			if err := ValidateSuccessor(old, tt.next, tt.past); (err == nil) != tt.ok {
 				t.Fatalf("got %v", err)
 			}
 		})
@@ -116,7 +116,7 @@
 		rosters := []magno.Roster{spread(n, 4)}
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			for i := range b.N {
-				For(rosters, fmt.Sprint("key", i), 150)
+				WitnessesFor(rosters, fmt.Sprint("key", i), 150)
 			}
 		})
 	}
--- a/magno/sched/report.go
+++ b/magno/sched/report.go
@@ -18,7 +18,7 @@
 		prints = append(prints, r.job.Print)
 	}
 	sort.Strings(ids)
-	s.Suspects.Crashed(prints)
+	s.Suspects.RecordCrash(prints)
 	clear(s.runs)
 	s.long, s.reading, s.alone, s.turn = 0, 0, "", 0
 	for ref := range s.slots.Holds() {
--- a/magno/sched/sched.go
+++ b/magno/sched/sched.go
@@ -152,7 +152,7 @@
 	if s.runs[job.ID] != nil || s.queue.Has(job.ID) {
 		return magno.Refuse(magno.KindInternal, "attempt %s is here already", job.ID)
 	}
-	if s.Suspects.Refused(job.Print) {
+	if s.Suspects.MustRefuse(job.Print) {
 		return magno.Refuse(magno.KindSuspect, "requests like it crashed upstreams")
 	}
 	now := s.Clock.Now()
@@ -161,7 +161,7 @@
 	if r := s.gate.Offer(now, &job, s.view(&job, run, now)); r != nil {
 		return r
 	}
-	it := &share.Item{Job: job, Run: run, Patience: s.gate.Patience(now, &job), Long: s.isLong(run), Alone: s.Suspects.Alone(job.Print)}
+	it := &share.Item{Job: job, Run: run, Patience: s.gate.Patience(now, &job), Long: s.isLong(run), Alone: s.Suspects.MustRunAlone(job.Print)}
 	s.queue.Add(it, s.slots.Ready(job.Ref), job.Deadline-run)
 	return nil
 }
@@ -228,7 +228,7 @@
 	}
 	s.gate.Ran(&r.job, now-r.started)
 	s.gate.Ended(r.job.Customer, now <= r.job.Deadline)
-	s.Suspects.Ended(r.job.Print)
+	s.Suspects.Clear(r.job.Print)
 }
 
 func (s *Sched) forget(id string, r *run) {
--- a/magno/ticket/ticket.go
+++ b/magno/ticket/ticket.go
@@ -49,22 +49,22 @@
 	if len(parts) != 3 || parts[1] == "" || parts[2] == "" {
 		return Ticket{}, false
 	}
-	if _, ok := Time(parts[0]); !ok {
+	if _, ok := IssueTime(parts[0]); !ok {
 		return Ticket{}, false
 	}
 	return Ticket{Key: parts[0], Incarnation: parts[1], Agent: parts[2]}, true
 }
 
-// New returns a fresh plain key.
-func New() (string, error) {
+// NewKey returns a fresh plain key.
+func NewKey() (string, error) {
 	id, err := uuid.NewV7()
 	return id.String(), err
 }
 
-// Time returns when a plain key was issued, by the clock of its issuer. Text
+// IssueTime returns when a plain key was issued, by the clock of its issuer. Text
 // before the key, such as the customer that it belongs to, is passed over.
 // False means that the key carries no time.
-func Time(key string) (magno.Millis, bool) {
+func IssueTime(key string) (magno.Millis, bool) {
 	if len(key) < textLen {
 		return 0, false
 	}
--- a/magno/ticket/ticket_test.go
+++ b/magno/ticket/ticket_test.go
@@ -28,7 +28,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.key, func(t *testing.T) {
-			at, timed := Time(tt.key)
+			at, timed := IssueTime(tt.key)
 			tk, ok := Parse(tt.key)
 			if timed != tt.timed || ok != tt.ticket {
 				t.Fatalf("time %d %v, ticket %+v %v", at, timed, tk, ok)
@@ -45,8 +45,8 @@
 
 func TestNewCarriesTheTime(t *testing.T) {
 	before := (*magno.Clock)(nil).Now()
-	key, err := New()
-	at, ok := Time(key)
+	key, err := NewKey()
+	at, ok := IssueTime(key)
 	if err != nil || !ok || at < before {
 		t.Fatalf("%q %v: %d before %d", key, err, at, before)
 	}
--- a/magno/witns/witness.go
+++ b/magno/witns/witness.go
@@ -32,17 +32,17 @@
 	// Retention is how long a key is remembered after its issue; older ones
 	// are refused.
 	Retention magno.Millis
-	// Skew is the most by which two clocks of callers and instances differ.
-	Skew magno.Millis
-	// Max is the most keys held; beyond it new keys are refused.
-	Max int
+	// MaxSkew is the most by which two clocks of callers and instances differ.
+	MaxSkew magno.Millis
+	// MaxKeys is the most keys held; beyond it new keys are refused.
+	MaxKeys int
 
 	once sync.Once
 	mu   sync.Mutex
 	// start is the clock when the memory was empty. Too late a start only
 	// refuses more.
 	start magno.Millis
-	given recall.Memory[gift]
+	given recall.Store[gift]
 }
 
 // gift is what became of one key.
@@ -83,12 +83,12 @@
 	w.once.Do(func() {
 		w.start = w.Clock.Now()
 		w.given.Retention = w.Retention
-		w.given.Max = w.Max
+		w.given.Max = w.MaxKeys
 	})
 }
 
-// Held returns how many keys are remembered.
-func (w *Witness) Held() int {
+// Len returns how many keys are remembered.
+func (w *Witness) Len() int {
 	w.Open()
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -102,7 +102,7 @@
 	if call.Member != w.Self {
 		return magno.GrantReply{Reason: magno.GrantMember}
 	}
-	at, ok := ticket.Time(call.Key)
+	at, ok := ticket.IssueTime(call.Key)
 	if !ok || call.Holder == "" {
 		return magno.GrantReply{Reason: magno.GrantKey}
 	}
@@ -129,9 +129,9 @@
 func (w *Witness) refuse(at magno.Millis) magno.GrantReason {
 	now := w.Clock.Now()
 	switch {
-	case at > now+w.Skew:
+	case at > now+w.MaxSkew:
 		return magno.GrantAhead
-	case at <= w.start+2*w.Skew:
+	case at <= w.start+2*w.MaxSkew:
 		return magno.GrantForgot
 	}
 	switch w.given.Check(now, at) {
--- a/magno/witns/witness_test.go
+++ b/magno/witns/witness_test.go
@@ -23,7 +23,7 @@
 }
 
 func newWitness() *Witness {
-	w := &Witness{Self: "w", Clock: magno.NewClock(start), Retention: retention, Skew: skew, Max: 3}
+	w := &Witness{Self: "w", Clock: magno.NewClock(start), Retention: retention, MaxSkew: skew, MaxKeys: 3}
 	w.Open()
 	return w
 }
@@ -102,7 +102,7 @@
 	w := newWitness()
 	w.Clock.Advance(3 * skew)
 	got := w.Grant(magno.GrantCall{Member: "v", Key: key(start+3*skew, 1), Holder: "a/1"})
-	if got.Reason != magno.GrantMember || w.Held() != 0 {
+	if got.Reason != magno.GrantMember || w.Len() != 0 {
 		t.Fatalf("got %+v", got)
 	}
 }
@@ -134,7 +134,7 @@
 }
 
 func BenchmarkGrant(b *testing.B) {
-	w := &Witness{Self: "w", Clock: magno.NewClock(start), Retention: retention, Skew: skew, Max: 1 << 30}
+	w := &Witness{Self: "w", Clock: magno.NewClock(start), Retention: retention, MaxSkew: skew, MaxKeys: 1 << 30}
 	w.Open()
 	w.Clock.Advance(3 * skew)
 	keys := make([]string, b.N)
