--- a/magno/recall/recall.go
+++ b/magno/recall/recall.go
@@ -1,9 +1,11 @@
-// Package recall is a bounded memory of keys that never forgets by surprise.
+// Package recall implements a bounded key store that forgets a key only after its
+// retention period.
 //
-// A witness or a ledger that drops its oldest key to make room would take the
-// next copy of that key for a new one and let it run twice. This memory
-// forgets a key only once it is older than the retention, and from then on
-// refuses every key of that age; when it is full it refuses new keys instead.
+// The witness and the ledger use it to detect copies of a request. Evicting the
+// oldest key to make room would let the next copy of that key pass as new and run
+// a second time. The store therefore never evicts early: it forgets a key only
+// when the key is older than the retention, and from then on refuses every key of
+// that age. When it is full it refuses new keys.
 package recall
 
 import (
@@ -12,51 +14,51 @@
 	"magnoliastall.example/magno"
 )
 
-// Verdict says whether a new key may be taken in.
+// Verdict is the result of checking whether a new key can be stored.
 type Verdict int
 
-// The verdicts.
+// Results of Check.
 const (
-	Accepted Verdict = iota // the key may be put
-	Stale                   // the key is so old that it may have been forgotten
-	Full                    // no room before older keys pass the retention
+	Accepted Verdict = iota // the key may be stored
+	Stale                   // the key is old enough that it may already have been forgotten
+	Full                    // at capacity until stored keys pass the retention
 )
 
 // Store maps keys to values. It is not safe for concurrent use.
 type Store[V any] struct {
-	// Retention is how long after its time a key is remembered.
+	// Retention is how long a key is kept, counted from its issue time.
 	Retention magno.Millis
-	// Max is the most keys held.
+	// Max is the maximum number of keys.
 	Max int
-	// OnExpire is called for each key forgotten. It may be nil.
+	// OnExpire, if set, is called with the value of each key that is forgotten.
 	OnExpire func(V)
 
-	// floor only grows: keys issued at or before it are refused, and only
-	// such keys are forgotten. A clock that is set back doesn't lower it.
-	floor magno.Millis
-	// values and ages hold the same keys.
+	// cutoff never decreases, even if the clock is set back. Keys issued at or
+	// before it are refused, and only such keys are forgotten.
+	cutoff magno.Millis
+	// values and expiry hold the same keys.
 	values map[string]V
-	ages   ages
+	expiry entryHeap
 }
 
-// Get returns the value of a key.
+// Get returns the value stored for a key.
 func (m *Store[V]) Get(key string) (V, bool) {
 	v, ok := m.values[key]
 	return v, ok
 }
 
-// Len returns how many keys are held.
+// Len returns the number of stored keys.
 func (m *Store[V]) Len() int { return len(m.values) }
 
-// Check forgets what is past the retention and says whether a key issued at
-// the time at may be put.
+// Check removes the keys that are past the retention and reports whether a new
+// key issued at the given time may be stored.
 func (m *Store[V]) Check(now, at magno.Millis) Verdict {
-	m.floor = max(m.floor, now-m.Retention)
-	for len(m.ages) > 0 && m.ages[0].at <= m.floor {
-		m.drop(heap.Pop(&m.ages).(age).key)
+	m.cutoff = max(m.cutoff, now-m.Retention)
+	for len(m.expiry) > 0 && m.expiry[0].issued <= m.cutoff {
+		m.expire(heap.Pop(&m.expiry).(entry).key)
 	}
 	switch {
-	case at <= m.floor:
+	case at <= m.cutoff:
 		return Stale
 	case len(m.values) >= m.Max:
 		return Full
@@ -64,45 +66,45 @@
 	return Accepted
 }
 
-// Put takes in or replaces a key. A new one must have passed Check.
+// Put adds or replaces a key. A new key must have passed Check.
 func (m *Store[V]) Put(key string, at magno.Millis, value V) {
 	if m.values == nil {
 		m.values = map[string]V{}
 	}
 	if _, ok := m.values[key]; !ok {
-		heap.Push(&m.ages, age{at, key})
+		heap.Push(&m.expiry, entry{at, key})
 	}
 	m.values[key] = value
 }
 
-func (m *Store[V]) drop(key string) {
+func (m *Store[V]) expire(key string) {
 	if m.OnExpire != nil {
 		m.OnExpire(m.values[key])
 	}
 	delete(m.values, key)
 }
 
-// age orders keys by their time.
-type age struct {
-	at  magno.Millis
-	key string
+// entry is a key with its issue time.
+type entry struct {
+	issued magno.Millis
+	key    string
 }
 
-// ages is a heap, the oldest key first.
-type ages []age
+// entryHeap is a min-heap by issue time.
+type entryHeap []entry
 
-func (a ages) Len() int           { return len(a) }
-func (a ages) Less(i, j int) bool { return a[i].at < a[j].at }
-func (a ages) Swap(i, j int)      { a[i], a[j] = a[j], a[i] }
+func (h entryHeap) Len() int           { return len(h) }
+func (h entryHeap) Less(i, j int) bool { return h[i].issued < h[j].issued }
+func (h entryHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
 
-// Push is for container/heap.
-func (a *ages) Push(x any) { *a = append(*a, x.(age)) }
+// Push implements heap.Interface.
+func (h *entryHeap) Push(x any) { *h = append(*h, x.(entry)) }
 
-// Pop is for container/heap.
-func (a *ages) Pop() any {
-	last := len(*a) - 1
-	x := (*a)[last]
-	(*a)[last] = age{}
-	*a = (*a)[:last]
+// Pop implements heap.Interface.
+func (h *entryHeap) Pop() any {
+	last := len(*h) - 1
+	x := (*h)[last]
+	(*h)[last] = entry{}
+	*h = (*h)[:last]
 	return x
 }
