--- a/magno/witns/witness.go
+++ b/magno/witns/witness.go
@@ -1,18 +1,20 @@
-// Package witns gives each idempotency key to one holder, in memory.
+// Package witns implements the witness, which grants each idempotency key to one
+// holder and keeps the grants in memory.
 //
-// The load is calls that may not be repeated, sent again through any entry
-// while their first home can't be reached. Without witnesses the second home
-// would run what the first one has run or is about to run. One witness proves
-// nothing, for its process may end at any time; the package once asks a quorum.
+// A request that may not be repeated can be sent again through any entry while the
+// agent that first received it is unreachable. Without witnesses a second agent
+// would run what the first one has run or is about to run. A single witness is not
+// enough, because its process may end at any time, so package once requires grants
+// from a quorum.
 //
 //	once.Ledger --- GrantCall{key, holder} ---> Witness in each slot of the
 //	            <-- GrantReply{who holds it} --  key's set (package roster)
 //
-// A process that started after a key was issued doesn't know whether an
-// earlier process in its slot gave the key away, and refuses it. No clock may
-// differ from another by more than Skew: the earlier process gave only keys up
-// to Skew ahead of its clock, which may have been Skew ahead of this one's, so
-// keys up to twice Skew after the start are refused.
+// A process that started after a key was issued cannot know whether an earlier
+// process in its slot granted that key, so it refuses it. Two clocks differ by at
+// most MaxSkew. The earlier process granted keys up to MaxSkew ahead of its own
+// clock, which may have been MaxSkew ahead of this one's; keys issued up to twice
+// MaxSkew after the start are therefore refused.
 package witns
 
 import (
@@ -24,42 +26,44 @@
 	"magnoliastall.example/magno/ticket"
 )
 
-// Witness is one process in one slot. It is safe for concurrent use.
+// Witness is the witness of one process in one slot. It is safe for concurrent use.
 type Witness struct {
-	// Self is the slot's name; calls meant for another are refused.
+	// Self is the name of the slot; calls addressed to another slot are refused.
 	Self  string
 	Clock *magno.Clock
-	// Retention is how long a key is remembered after its issue; older ones
-	// are refused.
+	// Retention is how long a key is kept after its issue time; older keys are
+	// refused.
 	Retention magno.Millis
-	// MaxSkew is the most by which two clocks of callers and instances differ.
+	// MaxSkew is the maximum difference between any two clocks of callers and
+	// instances.
 	MaxSkew magno.Millis
-	// MaxKeys is the most keys held; beyond it new keys are refused.
+	// MaxKeys is the maximum number of keys kept; new keys beyond it are refused.
 	MaxKeys int
 
 	once sync.Once
 	mu   sync.Mutex
-	// start is the clock when the memory was empty. Too late a start only
-	// refuses more.
-	start magno.Millis
-	given recall.Store[gift]
+	// startedAt is the clock when the store was empty. A value that is too late
+	// only causes more refusals.
+	startedAt magno.Millis
+	grants    recall.Store[grant]
 }
 
-// gift is what became of one key.
-type gift struct {
-	// holder changes only when the holder itself cedes the key. Its text is
-	// shared by all keys of the holder, for every call brings its own copy.
+// grant is the state of one key.
+type grant struct {
+	// holder changes only when the holder itself cedes the key. The handle lets all
+	// keys of a holder share one string; each call decodes its own copy.
 	holder unique.Handle[string]
-	// passed maps each holder that ceded the key to the one it named. Such a
-	// holder gets nothing any more: what reaches it late, by its own delayed
-	// call or from a third holder, would be stuck with it.
-	passed map[string]string
+	// ceded maps each holder that gave up the key to the holder it named instead.
+	// Such a holder is never granted the key again: a grant that reached it late,
+	// through its own delayed call or a third holder, could not be passed on.
+	ceded map[string]string
 }
 
-// heir returns who gets what would have been holder's.
-func (g gift) heir(holder string) string {
-	for range len(g.passed) {
-		next, ok := g.passed[holder]
+// successor returns the holder that receives what would go to the given holder,
+// following the cessions.
+func (g grant) successor(holder string) string {
+	for range len(g.ceded) {
+		next, ok := g.ceded[holder]
 		if !ok {
 			break
 		}
@@ -68,35 +72,36 @@
 	return holder
 }
 
-// cede records that from wants nothing of the key and to is to have its part.
-func (g gift) cede(from, to string) gift {
-	passed := map[string]string{from: to}
-	for f, t := range g.passed {
-		passed[f] = t
+// withCession returns the grant with a cession added: from gives up the key and
+// its part goes to to.
+func (g grant) withCession(from, to string) grant {
+	cessions := map[string]string{from: to}
+	for f, t := range g.ceded {
+		cessions[f] = t
 	}
-	g.passed = passed
+	g.ceded = cessions
 	return g
 }
 
-// Open starts the memory; the first Grant does it otherwise.
+// Open initializes the witness. The first Grant calls it if nothing else did.
 func (w *Witness) Open() {
 	w.once.Do(func() {
-		w.start = w.Clock.Now()
-		w.given.Retention = w.Retention
-		w.given.Max = w.MaxKeys
+		w.startedAt = w.Clock.Now()
+		w.grants.Retention = w.Retention
+		w.grants.Max = w.MaxKeys
 	})
 }
 
-// Len returns how many keys are remembered.
+// Len returns the number of keys kept.
 func (w *Witness) Len() int {
 	w.Open()
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.given.Len()
+	return w.grants.Len()
 }
 
-// Grant gives the key to the first holder that asks and tells every later one
-// who that is. Repeated calls of one holder get the same answer.
+// Grant grants the key to the first holder that asks, and returns that holder to
+// every later caller. Repeated calls by one holder get the same reply.
 func (w *Witness) Grant(call magno.GrantCall) magno.GrantReply {
 	w.Open()
 	if call.Member != w.Self {
@@ -108,33 +113,33 @@
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	g, known := w.given.Get(call.Key)
+	g, known := w.grants.Get(call.Key)
 	if !known {
-		if reason := w.refuse(at); reason != "" {
+		if reason := w.refusalReason(at); reason != "" {
 			return magno.GrantReply{Reason: reason}
 		}
 		g.holder = unique.Make(call.Holder)
 	}
 	if call.Cede != "" {
-		g = g.cede(call.Holder, call.Cede)
+		g = g.withCession(call.Holder, call.Cede)
 	}
-	if len(g.passed) > 0 {
-		g.holder = unique.Make(g.heir(g.holder.Value()))
+	if len(g.ceded) > 0 {
+		g.holder = unique.Make(g.successor(g.holder.Value()))
 	}
-	w.given.Put(call.Key, at, g)
+	w.grants.Put(call.Key, at, g)
 	return magno.GrantReply{Holder: g.holder.Value()}
 }
 
-// refuse returns why a key that isn't remembered can't be given, if so.
-func (w *Witness) refuse(at magno.Millis) magno.GrantReason {
+// refusalReason returns why an unknown key can't be granted, or "" if it can.
+func (w *Witness) refusalReason(at magno.Millis) magno.GrantReason {
 	now := w.Clock.Now()
 	switch {
 	case at > now+w.MaxSkew:
 		return magno.GrantAhead
-	case at <= w.start+2*w.MaxSkew:
+	case at <= w.startedAt+2*w.MaxSkew:
 		return magno.GrantForgot
 	}
-	switch w.given.Check(now, at) {
+	switch w.grants.Check(now, at) {
 	case recall.Stale:
 		return magno.GrantStale
 	case recall.Full:
--- a/magno/witns/witness_test.go
+++ b/magno/witns/witness_test.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	start     magno.Millis = 1_000_000
+	startTime magno.Millis = 1_000_000
 	skew      magno.Millis = 1000
 	retention              = 10 * magno.Second
 )
@@ -23,7 +23,7 @@
 }
 
 func newWitness() *Witness {
-	w := &Witness{Self: "w", Clock: magno.NewClock(start), Retention: retention, MaxSkew: skew, MaxKeys: 3}
+	w := &Witness{Self: "w", Clock: magno.NewClock(startTime), Retention: retention, MaxSkew: skew, MaxKeys: 3}
 	w.Open()
 	return w
 }
@@ -32,21 +32,21 @@
 	return w.Grant(magno.GrantCall{Member: "w", Key: key, Holder: holder})
 }
 
-// A witness that gave a key away ends and another process takes its slot, with
-// a clock that is behind by the bound. It must refuse every key that the first
-// one may have given, or two agents run it.
+// Guards against a key being granted twice when a witness is replaced and the new
+// process's clock is behind by the maximum skew. It must refuse every key that the
+// earlier process may have granted.
 func TestRefusesWhatAnEarlierProcessMayHaveGiven(t *testing.T) {
 	tests := []struct {
 		name   string
 		at     magno.Millis
 		reason magno.GrantReason
 	}{
-		{"long before the start", start - 5*skew, magno.GrantForgot},
-		{"at the start", start, magno.GrantForgot},
-		{"as far ahead as both clocks allow", start + 2*skew, magno.GrantForgot},
-		{"after that", start + 2*skew + 1, ""},
-		{"ahead of the clock by the bound", start + 4*skew, ""},
-		{"ahead by more", start + 4*skew + 1, magno.GrantAhead},
+		{"long before the start", startTime - 5*skew, magno.GrantForgot},
+		{"at the start", startTime, magno.GrantForgot},
+		{"as far ahead as both clocks allow", startTime + 2*skew, magno.GrantForgot},
+		{"after that", startTime + 2*skew + 1, ""},
+		{"ahead of the clock by the bound", startTime + 4*skew, ""},
+		{"ahead by more", startTime + 4*skew + 1, magno.GrantAhead},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -59,12 +59,12 @@
 	}
 }
 
-// Messages are doubled and holders ask again. The first holder keeps the key
-// whatever comes, until it cedes it.
+// Guards against a key changing its holder without a cession, when messages are
+// duplicated and holders ask again.
 func TestOneHolder(t *testing.T) {
 	w := newWitness()
 	w.Clock.Advance(3 * skew)
-	k := key(start+3*skew, 1)
+	k := key(startTime+3*skew, 1)
 	steps := []struct {
 		holder, cede, want string
 	}{
@@ -72,8 +72,8 @@
 		{"b/1", "", "b/1"},
 		{"a/1", "", "b/1"},
 		{"b/2", "", "b/1"},
-		{"c/1", "a/1", "b/1"}, // cedes what it doesn't have
-		{"b/1", "c/1", "a/1"}, // c/1 has ceded already, so a/1 is next
+		{"c/1", "a/1", "b/1"}, // cedes what it doesn't hold
+		{"b/1", "c/1", "a/1"}, // c/1 has already ceded to a/1
 		{"b/1", "", "a/1"},
 	}
 	for i, s := range steps {
@@ -84,36 +84,36 @@
 	}
 }
 
-// A holder's first call overtakes nothing: it arrives after the message by
-// which the holder ceded the key. Given to it then, the vote would be lost.
+// Guards against losing a vote when messages are reordered: a holder's first call
+// arrives after the message by which it ceded the key, and must not be granted.
 func TestLateCallOfAHolderThatCeded(t *testing.T) {
 	w := newWitness()
 	w.Clock.Advance(3 * skew)
-	k := key(start+3*skew, 1)
+	k := key(startTime+3*skew, 1)
 	w.Grant(magno.GrantCall{Member: "w", Key: k, Holder: "b/1", Cede: "a/1"})
 	if got := ask(w, k, "b/1"); got.Holder != "a/1" {
 		t.Fatalf("got %+v", got)
 	}
 }
 
-// An instance's address goes to another one, and calls meant for the old slot
-// reach a process that votes in its own slot as well.
+// Guards against a process voting in two slots after an instance's address was
+// reassigned to it.
 func TestRefusesCallsForAnotherSlot(t *testing.T) {
 	w := newWitness()
 	w.Clock.Advance(3 * skew)
-	got := w.Grant(magno.GrantCall{Member: "v", Key: key(start+3*skew, 1), Holder: "a/1"})
+	got := w.Grant(magno.GrantCall{Member: "v", Key: key(startTime+3*skew, 1), Holder: "a/1"})
 	if got.Reason != magno.GrantMember || w.Len() != 0 {
 		t.Fatalf("got %+v", got)
 	}
 }
 
-// A witness forgets keys to make room. Every key that it may have forgotten is
-// refused for ever, even when the clock is set back, and a full memory refuses
-// new keys instead of forgetting.
+// Guards against granting a forgotten key again. Every key that may have been
+// forgotten is refused from then on, even when the clock is set back, and a full
+// witness refuses new keys instead of forgetting old ones.
 func TestForgetsOnlyWhatItRefuses(t *testing.T) {
 	w := newWitness()
 	w.Clock.Advance(3 * skew)
-	at := start + 3*skew
+	at := startTime + 3*skew
 	for n := range byte(3) {
 		ask(w, key(at, n), "a/1")
 	}
@@ -134,12 +134,12 @@
 }
 
 func BenchmarkGrant(b *testing.B) {
-	w := &Witness{Self: "w", Clock: magno.NewClock(start), Retention: retention, MaxSkew: skew, MaxKeys: 1 << 30}
+	w := &Witness{Self: "w", Clock: magno.NewClock(startTime), Retention: retention, MaxSkew: skew, MaxKeys: 1 << 30}
 	w.Open()
 	w.Clock.Advance(3 * skew)
 	keys := make([]string, b.N)
 	for i := range keys {
-		at := start + 3*skew + magno.Millis(i%1000)
+		at := startTime + 3*skew + magno.Millis(i%1000)
 		keys[i] = "delta/" + key(at, byte(i))[:30] + uuid.New().String()[30:]
 	}
 	b.ReportAllocs()
