--- a/magno/ticket/ticket.go
+++ b/magno/ticket/ticket.go
@@ -1,13 +1,12 @@
-// Package ticket reads idempotency keys: plain ones, which are UUIDs of version
-// 7 and so carry the time of their issue, and tickets, which name in addition
-// the one process that may run them.
+// Package ticket parses idempotency keys. A plain key is a UUID of version 7, which
+// contains its issue time. A ticket also names the one process that may run it.
 //
-// The load is calls that may not be repeated and are sent again through any
-// entry. Without a time in the key nobody could tell a new key from one that
-// has been forgotten, and every finite memory would run some key twice. A
-// ticket is for callers who can fetch it first: whatever is cut off, paused or
-// replaced, only the named process runs it, so no witness has to be asked.
-// A forged ticket does no harm, for it too can be run by one process only.
+// Requests that may not be repeated can be sent again through any entry. Without an
+// issue time a new key could not be told from one that was forgotten, and any
+// bounded memory would run some key twice. Callers that can fetch a ticket first
+// don't depend on witnesses: only the named process runs the request, even if
+// instances are partitioned, paused or replaced. Forging a ticket does no harm,
+// because it too can be run by only one process.
 package ticket
 
 import (
@@ -18,32 +17,31 @@
 	"magnoliastall.example/magno"
 )
 
-// textLen is the length of a UUID in its customary form.
-const textLen = 36
+// uuidLen is the length of a UUID in text form.
+const uuidLen = 36
 
-// version is the UUID version that starts with a time.
-const version = 7
+// uuidVersion is the UUID version that starts with a timestamp.
+const uuidVersion = 7
 
-// separator stands between the parts of a ticket.
+// separator separates the parts of a ticket.
 const separator = "."
 
-// Ticket is a key that one process alone may run.
+// Ticket is a key that only one process may run.
 type Ticket struct {
 	// Key is a UUID of version 7.
 	Key string
-	// Incarnation names one process; it is never used again by another, and
-	// holds no dot.
+	// Incarnation identifies one process. It is never reused and contains no dot.
 	Incarnation string
-	// Agent is the instance that the process runs on.
+	// Agent is the name of the instance on which the process runs.
 	Agent string
 }
 
-// String returns the ticket in the form that a caller sends as its key.
+// String returns the ticket as a caller sends it in place of a key.
 func (t Ticket) String() string {
 	return t.Key + separator + t.Incarnation + separator + t.Agent
 }
 
-// Parse reads a ticket; false means that the key is a plain one.
+// Parse parses a ticket. It returns false if the key is not a ticket.
 func Parse(key string) (Ticket, bool) {
 	parts := strings.SplitN(key, separator, 3)
 	if len(parts) != 3 || parts[1] == "" || parts[2] == "" {
@@ -55,21 +53,21 @@
 	return Ticket{Key: parts[0], Incarnation: parts[1], Agent: parts[2]}, true
 }
 
-// NewKey returns a fresh plain key.
+// NewKey returns a new plain key.
 func NewKey() (string, error) {
 	id, err := uuid.NewV7()
 	return id.String(), err
 }
 
-// IssueTime returns when a plain key was issued, by the clock of its issuer. Text
-// before the key, such as the customer that it belongs to, is passed over.
-// False means that the key carries no time.
+// IssueTime returns when a plain key was issued, by its issuer's clock. A prefix
+// before the UUID, such as the customer's name, is ignored. It returns false if the
+// key contains no time.
 func IssueTime(key string) (magno.Millis, bool) {
-	if len(key) < textLen {
+	if len(key) < uuidLen {
 		return 0, false
 	}
-	id, err := uuid.Parse(key[len(key)-textLen:])
-	if err != nil || id.Version() != version {
+	id, err := uuid.Parse(key[len(key)-uuidLen:])
+	if err != nil || id.Version() != uuidVersion {
 		return 0, false
 	}
 	var at magno.Millis
--- a/magno/ticket/ticket_test.go
+++ b/magno/ticket/ticket_test.go
@@ -6,24 +6,24 @@
 	"magnoliastall.example/magno"
 )
 
-const plain = "01896d5c-8f00-7abc-8def-0123456789ab"
+const plainKey = "01896d5c-8f00-7abc-8def-0123456789ab"
 
-// A key without a time, or one that is taken for a ticket by mistake, would be
-// judged by a rule that doesn't hold for it.
-func TestReads(t *testing.T) {
+// Guards against accepting a key without an issue time, or taking a plain or
+// malformed key for a ticket.
+func TestParseAndIssueTime(t *testing.T) {
 	tests := []struct {
 		key    string
 		timed  bool
 		ticket bool
 	}{
-		{plain, true, false},
-		{"delta/" + plain, true, false},
-		{plain + ".4f2a.agent-7.east", false, true},
+		{plainKey, true, false},
+		{"delta/" + plainKey, true, false},
+		{plainKey + ".4f2a.agent-7.east", false, true},
 		{"", false, false},
 		{"receipt-17", false, false},
 		{"f47ac10b-58cc-4372-a567-0e02b2c3d479", false, false},
-		{plain + "..agent", false, false},
-		{plain + ".4f2a.", false, false},
+		{plainKey + "..agent", false, false},
+		{plainKey + ".4f2a.", false, false},
 		{"receipt.4f2a.agent", false, false},
 	}
 	for _, tt := range tests {
@@ -43,7 +43,7 @@
 	}
 }
 
-func TestNewCarriesTheTime(t *testing.T) {
+func TestNewKeyCarriesTheTime(t *testing.T) {
 	before := (*magno.Clock)(nil).Now()
 	key, err := NewKey()
 	at, ok := IssueTime(key)
@@ -53,8 +53,8 @@
 }
 
 func FuzzParse(f *testing.F) {
-	f.Add(plain)
-	f.Add(plain + ".4f2a.agent")
+	f.Add(plainKey)
+	f.Add(plainKey + ".4f2a.agent")
 	f.Fuzz(func(t *testing.T, key string) {
 		if tk, ok := Parse(key); ok && tk.String() != key {
 			t.Fatalf("%q read as %q", key, tk)
