--- a/magno/roster/roster.go
+++ b/magno/roster/roster.go
@@ -1,19 +1,20 @@
-// Package roster says which witnesses a key has and how many must grant it.
+// Package roster selects the witnesses of an idempotency key and the quorum of them
+// that must grant it.
 //
-// The load is membership that changes all day: instances are replaced, lists
-// lag, parts are cut off with an old configuration. Two homes that took the
-// witnesses of a key from lists of their own could each find a quorum and run
-// the key twice. So the members are slots, published with the configuration,
-// and a replaced process keeps its slot's name. A roster covers keys issued
-// from its Since until its Until, and no two cover the same time: whoever
-// lacks the newer one refuses its keys instead of asking the older one's
-// members, however long the configuration service is down or stale.
+// Membership changes constantly: instances are replaced, instance lists lag, and
+// partitioned processes keep an old configuration. If two agents selected witnesses
+// from their own instance lists, each could reach a quorum and run the same key. The
+// members are therefore slots, which are published with the configuration, and a
+// replacement process takes over the name of its slot. A roster covers keys issued
+// from Since until Until, and no two rosters overlap. A process that lacks the
+// newer roster refuses its keys rather than asking the members of the older one,
+// however long the configuration service is down or stale.
 //
-// Of seven witnesses five must grant. Two quorums share three slots, so up to
-// two slots may have two processes at once, an old one paused or cut off and
-// its successor. With four data centres none holds more than two of a key's
-// seven, so that one lost leaves five, and one cut off and started anew
-// elsewhere doubles no more than two.
+// Five of seven witnesses must grant a key. Two quorums share at least three slots,
+// so up to two slots may have two processes at once: an old one, paused or
+// partitioned, and its successor. With four data centres, none holds more than two
+// of a key's seven witnesses. If one data centre is lost, five remain; if it is
+// partitioned and restarted elsewhere, only two slots have two processes.
 package roster
 
 import (
@@ -25,109 +26,109 @@
 	"magnoliastall.example/magno"
 )
 
-// SetSize is the number of witnesses of a key where the roster has so many.
+// SetSize is the number of witnesses of a key, if the roster has that many members.
 const SetSize = 7
 
 // Set is the witnesses of one key.
 type Set struct {
-	// Members are slots, no two the same.
+	// Members are distinct slots.
 	Members []string
-	// Quorum is how many must grant the key, more than half of Members.
+	// Quorum is the number of members that must grant the key, more than half.
 	Quorum int
 }
 
-// Quorum returns how many of n witnesses must grant a key: of seven five, of
-// five four, of four three. Two quorums share at least two slots where n is
-// over one, so one doubled slot is survived at any size.
+// Quorum returns how many of n witnesses must grant a key: five of seven, four of
+// five, three of four. For n > 1 two quorums share at least two slots, so one slot
+// with two processes is tolerated at any size.
 func Quorum(n int) int { return min(n, (n+3)/2) }
 
-// WitnessesFor returns the witnesses of a key that was issued at the time at; false
-// means that no roster known here covers it.
+// WitnessesFor returns the witnesses of a key issued at the given time, or false if
+// no known roster covers that time.
 func WitnessesFor(rosters []magno.Roster, key string, at magno.Millis) (Set, bool) {
 	for _, r := range rosters {
 		if r.Since <= at && at < r.Until && len(r.Members) > 0 {
-			members := pick(r, key)
+			members := selectMembers(r, key)
 			return Set{Members: members, Quorum: Quorum(len(members))}, true
 		}
 	}
 	return Set{}, false
 }
 
-// ranked is a member with its rendezvous weight for one key.
-type ranked struct {
-	name, place string
-	weight      uint64
+// candidate is a member with its rendezvous hash weight for one key.
+type candidate struct {
+	name, dataCentre string
+	weight           uint64
 }
 
-// before puts the heaviest first.
-func (r ranked) before(o ranked) bool {
-	if r.weight != o.weight {
-		return r.weight > o.weight
+// ranksBefore orders candidates by descending weight, then by name.
+func (c candidate) ranksBefore(other candidate) bool {
+	if c.weight != other.weight {
+		return c.weight > other.weight
 	}
-	return r.name < o.name
+	return c.name < other.name
 }
 
-// pick returns the first members in rendezvous order, with a limit on those in
-// one data centre where others can take their place.
-func pick(r magno.Roster, key string) []string {
-	tops := tops(r, key)
-	all := make([]ranked, 0, len(tops)*SetSize)
-	for _, top := range tops {
+// selectMembers returns the members with the highest rendezvous weights. It limits
+// the number in each data centre as long as other data centres have members left.
+func selectMembers(r magno.Roster, key string) []string {
+	byDataCentre := topByDataCentre(r, key)
+	all := make([]candidate, 0, len(byDataCentre)*SetSize)
+	for _, top := range byDataCentre {
 		all = append(all, top...)
 	}
-	sort.Slice(all, func(i, j int) bool { return all[i].before(all[j]) })
+	sort.Slice(all, func(i, j int) bool { return all[i].ranksBefore(all[j]) })
 	n := min(SetSize, len(all))
-	limit := max(n-Quorum(n), (n+len(tops)-1)/len(tops))
+	limit := max(n-Quorum(n), (n+len(byDataCentre)-1)/len(byDataCentre))
 	members := make([]string, 0, n)
-	taken := make(map[string]int, len(tops))
+	taken := make(map[string]int, len(byDataCentre))
 	var spare []string
 	for _, m := range all {
 		switch {
 		case len(members) == n:
 			return members
-		case taken[m.place] == limit:
+		case taken[m.dataCentre] == limit:
 			spare = append(spare, m.name)
 			continue
 		}
-		taken[m.place]++
+		taken[m.dataCentre]++
 		members = append(members, m.name)
 	}
 	return append(members, spare[:min(len(spare), n-len(members))]...)
 }
 
-// tops returns the first members of each data centre in rendezvous order. More
-// than Width of one are never needed, so a large roster needs no sorting.
-func tops(r magno.Roster, key string) map[string][]ranked {
-	tops := make(map[string][]ranked, 8)
+// topByDataCentre returns the members of each data centre with the highest weights,
+// at most SetSize of each. No more are ever selected, so large rosters aren't
+// sorted as a whole.
+func topByDataCentre(r magno.Roster, key string) map[string][]candidate {
+	byDataCentre := make(map[string][]candidate, 8)
 	seed := xxhash.Sum64String(key)
 	for _, name := range r.Members {
-		m := ranked{name, r.Places[name], mix(xxhash.Sum64String(name) ^ seed)}
-		top := tops[m.place]
-		if len(top) == SetSize && !m.before(top[SetSize-1]) {
+		m := candidate{name, r.Places[name], mix(xxhash.Sum64String(name) ^ seed)}
+		top := byDataCentre[m.dataCentre]
+		if len(top) == SetSize && !m.ranksBefore(top[SetSize-1]) {
 			continue
 		}
 		if len(top) < SetSize {
 			top = append(top, m)
 		}
 		i := len(top) - 1
-		for ; i > 0 && m.before(top[i-1]); i-- {
+		for ; i > 0 && m.ranksBefore(top[i-1]); i-- {
 			top[i] = top[i-1]
 		}
 		top[i] = m
-		tops[m.place] = top
+		byDataCentre[m.dataCentre] = top
 	}
-	return tops
+	return byDataCentre
 }
 
-// mix spreads the bits of x, as the finaliser of splitmix64 does.
+// mix spreads the bits of x like the finalizer of splitmix64.
 func mix(x uint64) uint64 {
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
 	return x ^ x>>31
 }
 
-// Validate returns what is wrong with a configuration's rosters, nil when they
-// are sound.
+// Validate checks the rosters of a configuration.
 func Validate(rosters []magno.Roster) error {
 	for i, r := range rosters {
 		if len(r.Members) == 0 {
@@ -137,12 +138,12 @@
 			return errors.Newf("rosters[%d].until is not after since", i)
 		}
 		if i > 0 && r.Since < rosters[i-1].Until {
-			return errors.Newf("rosters[%d].since lies before the until of the one before", i)
+			return errors.Newf("rosters[%d].since is before the until of the previous roster", i)
 		}
 		seen := map[string]bool{}
 		for _, m := range r.Members {
 			if m == "" || seen[m] {
-				return errors.Newf("rosters[%d].members names %q twice or empty", i, m)
+				return errors.Newf("rosters[%d].members has %q more than once or empty", i, m)
 			}
 			seen[m] = true
 		}
@@ -150,43 +151,43 @@
 	return nil
 }
 
-// ValidateSuccessor returns why next may not be put in force after old, nil when it may.
-// A process may hold old for days, so a time that it covers must keep its
-// members; only an Until may move ahead. Rosters that ended before the time
-// past are free to go.
-func ValidateSuccessor(old, next []magno.Roster, past magno.Millis) error {
+// ValidateSuccessor checks that next may replace old. Processes may keep old for
+// days, so a period that it covers must keep its members; only Until may be moved
+// later. Rosters that ended by endedBy may be removed.
+func ValidateSuccessor(old, next []magno.Roster, endedBy magno.Millis) error {
 	if err := Validate(next); err != nil {
 		return err
 	}
 	for _, o := range old {
-		if o.Until <= past {
+		if o.Until <= endedBy {
 			continue
 		}
-		if err := kept(o, next); err != nil {
+		if err := validateKept(o, next); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// kept returns an error unless next covers the whole of o with o's members.
-func kept(o magno.Roster, next []magno.Roster) error {
+// validateKept checks that next covers the whole published roster with the same
+// members.
+func validateKept(published magno.Roster, next []magno.Roster) error {
 	for _, n := range next {
-		if n.Since == o.Since {
-			if n.Until < o.Until {
-				return errors.Newf("the roster since %d ends earlier than published", o.Since)
+		if n.Since == published.Since {
+			if n.Until < published.Until {
+				return errors.Newf("the roster since %d ends earlier than in the published configuration", published.Since)
 			}
-			if !same(o, n) {
-				return errors.Newf("the roster since %d changes its members before its until", o.Since)
+			if !sameMembers(published, n) {
+				return errors.Newf("the roster since %d changes its members before it ends", published.Since)
 			}
 			return nil
 		}
 	}
-	return errors.Newf("the roster since %d is missing and hasn't ended", o.Since)
+	return errors.Newf("the roster since %d was removed before it ended", published.Since)
 }
 
-// same tells whether two rosters give each key the same witnesses.
-func same(a, b magno.Roster) bool {
+// sameMembers reports whether two rosters select the same witnesses for every key.
+func sameMembers(a, b magno.Roster) bool {
 	if len(a.Members) != len(b.Members) {
 		return false
 	}
--- a/magno/roster/roster_test.go
+++ b/magno/roster/roster_test.go
@@ -8,7 +8,7 @@
 	"magnoliastall.example/magno"
 )
 
-func spread(n, centres int) magno.Roster {
+func newRoster(n, centres int) magno.Roster {
 	r := magno.Roster{Since: 100, Until: 200, Places: map[string]string{}}
 	for i := range n {
 		name := fmt.Sprint("i", i)
@@ -18,13 +18,13 @@
 	return r
 }
 
-// A data centre is lost, or cut off while its instances are started anew
-// elsewhere. With more than two of a key's seven witnesses in it, the key
-// could not be granted, or could be granted twice.
+// Guards against keys that can't be granted when a data centre is lost, or are
+// granted twice when it is partitioned while its instances are restarted elsewhere.
+// Either happens if one data centre holds more than two of a key's seven witnesses.
 func TestNoDataCentreHoldsMoreThanTwo(t *testing.T) {
 	for _, n := range []int{8, 13, 22, 40} {
 		for k := range 300 {
-			r := spread(n, 4)
+			r := newRoster(n, 4)
 			set, ok := WitnessesFor([]magno.Roster{r}, fmt.Sprint("key", k), 150)
 			if !ok || len(set.Members) != 7 || set.Quorum != 5 {
 				t.Fatalf("%+v", set)
@@ -44,21 +44,22 @@
 	quorums := []int{1, 2, 3, 3, 4, 4, 5, 5}
 	for i, want := range quorums {
 		n := i + 1
-		set, _ := WitnessesFor([]magno.Roster{spread(n, 4)}, "key", 150)
+		set, _ := WitnessesFor([]magno.Roster{newRoster(n, 4)}, "key", 150)
 		if len(set.Members) != min(n, SetSize) || set.Quorum != want {
 			t.Errorf("of %d: %+v", n, set)
 		}
 	}
-	crowded := spread(9, 1)
+	crowded := newRoster(9, 1)
 	if set, _ := WitnessesFor([]magno.Roster{crowded}, "key", 150); len(set.Members) != 7 {
 		t.Errorf("in one data centre: %+v", set)
 	}
 }
 
-// Two processes list the same members in different orders, or read the key at
-// the edge of a roster. Both must ask the same witnesses or none.
+// Guards against two processes asking different witnesses for one key, because they
+// list the members in a different order or the key was issued at the boundary of a
+// roster.
 func TestOneSetForAKey(t *testing.T) {
-	r, other := spread(13, 4), spread(13, 4)
+	r, other := newRoster(13, 4), newRoster(13, 4)
 	slices.Reverse(other.Members)
 	a, _ := WitnessesFor([]magno.Roster{r}, "key", 150)
 	b, _ := WitnessesFor([]magno.Roster{other}, "key", 150)
@@ -72,12 +73,12 @@
 	}
 }
 
-// Operators publish a change of witnesses. While some processes hold the old
-// configuration, a changed roster for a time that the old one covers would
-// give one key two sets of witnesses.
+// Guards against giving one key two sets of witnesses while some processes hold the old
+// configuration, because a new configuration changes a roster for a period that the old
+// one covers.
 func TestFollows(t *testing.T) {
 	at := func(since, until magno.Millis, n int) magno.Roster {
-		r := spread(n, 4)
+		r := newRoster(n, 4)
 		r.Since, r.Until = since, until
 		return r
 	}
@@ -113,7 +114,7 @@
 
 func BenchmarkFor(b *testing.B) {
 	for _, n := range []int{13, 22, 200, 2600} {
-		rosters := []magno.Roster{spread(n, 4)}
+		rosters := []magno.Roster{newRoster(n, 4)}
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			for i := range b.N {
 				WitnessesFor(rosters, fmt.Sprint("key", i), 150)
