--- a/magno/crash/count.go
+++ b/magno/crash/count.go
@@ -2,19 +2,19 @@
 
 import "magnoliastall.example/magno"
 
-// CrashCount returns how many crashes the request is known for: 0 for none, 1 for
-// a suspect, 2 and more for one that is refused.
-func (s *Suspects) CrashCount(print uint64) int { return s.crashes(print) }
+// CrashCount returns the number of crashes recorded for a request: 0 for none, 1
+// for a suspect, 2 or more for a request that is refused.
+func (s *Suspects) CrashCount(fingerprint uint64) int { return s.count(fingerprint) }
 
-// UpdatedSince returns the records with news after a time, the latest last and at most
-// so many of them.
-func (s *Suspects) UpdatedSince(after magno.Millis, most int) []Record {
+// UpdatedSince returns the records updated after the given time, the most recently
+// used last. If there are more than limit it returns the last ones.
+func (s *Suspects) UpdatedSince(since magno.Millis, limit int) []Record {
 	all := s.List()
 	recent := all[:0]
 	for _, rec := range all {
-		if rec.UpdatedAt > after {
+		if rec.UpdatedAt > since {
 			recent = append(recent, rec)
 		}
 	}
-	return recent[max(len(recent)-most, 0):]
+	return recent[max(len(recent)-limit, 0):]
 }
--- a/magno/crash/crash.go
+++ b/magno/crash/crash.go
@@ -1,15 +1,15 @@
-// Package crash keeps the fingerprints of requests that were in progress when
-// an upstream crashed.
+// Package crash tracks the fingerprints of requests that were running when an
+// upstream crashed.
 //
-// Load pattern: now and then one request crashes each upstream that runs it,
-// and its caller sends it again. Without this package it takes the whole pool
-// down, one upstream after the other, and with each everything that ran there.
+// Some requests crash every upstream that runs them, and their callers send them
+// again. Without this package one such request takes down a whole pool, one
+// upstream after the other, along with all other requests running there.
 //
-// All that ran at a crash are suspects. A suspect runs alone, so a second
-// crash hits nobody else and proves which it was; it is refused from then on.
-// A suspect that ends well is cleared. Records expire and their number is
-// bounded: they are soft state that peers merge, and losing them costs one
-// more crash.
+// Every request that was running at a crash becomes a suspect. A suspect runs
+// alone, so a second crash affects no other request and identifies the cause; the
+// request is refused from then on. A suspect that completes is cleared. Records
+// expire and their number is bounded. They are soft state that peers merge; losing
+// them costs one more crash.
 package crash
 
 import (
@@ -21,58 +21,60 @@
 )
 
 const (
-	// Retention is how long a record holds after the last news of it: longer than
-	// callers go on sending the same request again.
+	// Retention is how long a record is kept after its last update. It exceeds
+	// the time for which callers keep resending a request.
 	Retention = 30 * magno.Minute
-	// MaxRecords bounds the records: 64 full batches of 64 at 24 bytes each.
+	// MaxRecords limits the number of records: 64 full batches of 64 requests, at
+	// 24 bytes each.
 	MaxRecords = 4096
-	// refuseAt is the number of crashes from which on a request is refused.
-	refuseAt = 2
+	// refuseThreshold is the number of crashes from which a request is refused.
+	refuseThreshold = 2
 )
 
-// Record is what is known of one fingerprint.
+// Record is the crash record of one fingerprint.
 type Record struct {
 	Fingerprint uint64 `json:"print"`
-	// Crashes is 0 for a cleared one, 1 for a suspect, 2 and more for one
-	// that is refused.
+	// Crashes is 0 for a cleared request, 1 for a suspect, and 2 or more for a
+	// request that is refused.
 	Crashes int `json:"crashes"`
-	// UpdatedAt is the time of the last news; the later news wins a merge.
+	// UpdatedAt is the time of the last update; the later update wins a merge.
 	UpdatedAt magno.Millis `json:"at"`
 }
 
-// Suspects is safe for concurrent use. Its exported fields are set before use.
+// Suspects is the set of crash records. It is safe for concurrent use; exported
+// fields are set before use.
 type Suspects struct {
 	Clock *magno.Clock
-	// OnChange is told of each record that this process itself made. It may be
-	// nil.
+	// OnChange, if set, is called with each record that this process changes
+	// itself, but not with merged ones.
 	OnChange func(Record)
 
 	mu      sync.Mutex
 	records *simplelru.LRU[uint64, Record]
 }
 
-func (s *Suspects) get(print uint64) (Record, bool) {
+func (s *Suspects) get(fingerprint uint64) (Record, bool) {
 	if s.records == nil {
 		s.records, _ = simplelru.NewLRU[uint64, Record](MaxRecords, nil)
 	}
-	rec, ok := s.records.Get(print)
+	rec, ok := s.records.Get(fingerprint)
 	if ok && s.Clock.Now()-rec.UpdatedAt > Retention {
-		s.records.Remove(print)
+		s.records.Remove(fingerprint)
 		return Record{}, false
 	}
 	return rec, ok
 }
 
-// RecordCrash takes the fingerprints that ran when the upstream crashed; a zero
-// one is ignored. Only a crash of a request that ran alone counts up, for
-// beside others it may be innocent.
-func (s *Suspects) RecordCrash(prints []uint64) {
-	for _, print := range prints {
-		if print == 0 {
+// RecordCrash records the fingerprints that were running when an upstream crashed.
+// Zero fingerprints are ignored. The count increases beyond 1 only for a request
+// that ran alone; one that ran beside others may not be the cause.
+func (s *Suspects) RecordCrash(fingerprints []uint64) {
+	for _, fingerprint := range fingerprints {
+		if fingerprint == 0 {
 			continue
 		}
-		s.change(print, func(crashes int) int {
-			if len(prints) == 1 {
+		s.update(fingerprint, func(crashes int) int {
+			if len(fingerprints) == 1 {
 				crashes++
 			}
 			return max(crashes, 1)
@@ -80,51 +82,53 @@
 	}
 }
 
-// change sets a record's count from the one before, and tells of it.
-func (s *Suspects) change(print uint64, count func(crashes int) int) {
+// update replaces the crash count of a record and calls OnChange.
+func (s *Suspects) update(fingerprint uint64, next func(crashes int) int) {
 	s.mu.Lock()
-	rec, _ := s.get(print)
-	rec = Record{Fingerprint: print, Crashes: count(rec.Crashes), UpdatedAt: s.Clock.Now()}
-	s.records.Add(print, rec)
+	rec, _ := s.get(fingerprint)
+	rec = Record{Fingerprint: fingerprint, Crashes: next(rec.Crashes), UpdatedAt: s.Clock.Now()}
+	s.records.Add(fingerprint, rec)
 	s.mu.Unlock()
 	if s.OnChange != nil {
 		s.OnChange(rec)
 	}
 }
 
-// Clear clears a suspect that ran to its end.
-func (s *Suspects) Clear(print uint64) {
-	if s.crashes(print) > 0 {
-		s.change(print, func(int) int { return 0 })
+// Clear clears a suspect that ran to completion.
+func (s *Suspects) Clear(fingerprint uint64) {
+	if s.count(fingerprint) > 0 {
+		s.update(fingerprint, func(int) int { return 0 })
 	}
 }
 
-// RecordFailure counts one failure of an upstream under a request; the caller knows
-// no more than that.
-func (s *Suspects) RecordFailure(print uint64) {
-	if print != 0 {
-		s.change(print, func(crashes int) int { return crashes + 1 })
+// RecordFailure counts one failure of an upstream while it ran the request. Unlike
+// RecordCrash it does not need to know what else was running.
+func (s *Suspects) RecordFailure(fingerprint uint64) {
+	if fingerprint != 0 {
+		s.update(fingerprint, func(crashes int) int { return crashes + 1 })
 	}
 }
 
-// MustRunAlone tells that the request must run alone, Refused that it must not run.
-func (s *Suspects) MustRunAlone(print uint64) bool { return s.crashes(print) > 0 }
+// MustRunAlone reports whether the request is a suspect, which must run alone.
+func (s *Suspects) MustRunAlone(fingerprint uint64) bool { return s.count(fingerprint) > 0 }
 
-// MustRefuse tells that the request crashed upstreams and must not run.
-func (s *Suspects) MustRefuse(print uint64) bool { return s.crashes(print) >= refuseAt }
+// MustRefuse reports whether the request crashed upstreams and must not run.
+func (s *Suspects) MustRefuse(fingerprint uint64) bool {
+	return s.count(fingerprint) >= refuseThreshold
+}
 
-func (s *Suspects) crashes(print uint64) int {
-	if s == nil || print == 0 {
+func (s *Suspects) count(fingerprint uint64) int {
+	if s == nil || fingerprint == 0 {
 		return 0
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	rec, _ := s.get(print)
+	rec, _ := s.get(fingerprint)
 	return rec.Crashes
 }
 
-// Merge takes records of a peer. Equal times go to the higher count, so any
-// order of merges ends the same.
+// Merge merges records from a peer. If the times are equal the higher count wins,
+// so the result doesn't depend on the order of merges.
 func (s *Suspects) Merge(records []Record) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -133,7 +137,7 @@
 		if rec.Fingerprint == 0 || now-rec.UpdatedAt > Retention {
 			continue
 		}
-		// A peer's clock may be ahead; a time to come would win all merges.
+		// A peer's clock may be ahead; a time in the future would win every merge.
 		rec.UpdatedAt = min(rec.UpdatedAt, now)
 		old, ok := s.get(rec.Fingerprint)
 		if !ok || rec.UpdatedAt > old.UpdatedAt || (rec.UpdatedAt == old.UpdatedAt && rec.Crashes > old.Crashes) {
@@ -142,7 +146,7 @@
 	}
 }
 
-// List returns the records, the latest last.
+// List returns the records that have not expired, the most recently used last.
 func (s *Suspects) List() []Record {
 	s.mu.Lock()
 	defer s.mu.Unlock()
