--- a/magno/allow/allow.go
+++ b/magno/allow/allow.go
@@ -1,14 +1,14 @@
-// Package allow bounds how often requests are sent to a second upstream.
+// Package allow implements the retry budget: it limits how often requests are sent
+// to a second upstream.
 //
-// Load pattern: upstreams fail, and every process sends its requests again.
-// All processes together may make Ratio of the requests in each Window, and
-// Slack besides. Without a bound a failing pool gets twice its load just when
-// it can take least.
+// When upstreams fail, every process sends its requests again, and without a limit a
+// failing pool gets twice its load when it can handle the least. In each window, all
+// processes together may send Ratio retries per request received, plus Slack.
 //
-// No state is shared: each process counts what it has itself taken in, and
-// takes an equal part of the slack. The sum over all processes then stays
-// within the bound as long as each knows how many there are, and Keep leaves
-// room for those that it doesn't know yet.
+// No state is shared. Each process counts the requests that it received itself and
+// uses an equal part of the slack. The total stays within the limit as long as each
+// process knows how many there are; SafetyFactor allows for those it doesn't know
+// yet.
 package allow
 
 import (
@@ -18,49 +18,49 @@
 	"magnoliastall.example/magno/slide"
 )
 
-// SafetyFactor is the part of the bound that is used: processes that just started aren't counted
-// by the others for up to two seconds.
+// SafetyFactor is the part of the limit that is used. Other processes may not count a
+// newly started one for up to two seconds.
 const SafetyFactor = 0.8
 
-// Budget is the allowance for sends to one service. It is safe for concurrent
-// use; exported fields are set before.
+// Budget is the retry budget of one process for one service. It is safe for concurrent
+// use; exported fields are set before use.
 type Budget struct {
-	Clock *magno.Clock
-	Ratio float64
-	Slack float64
-	// WindowLength is the window's length.
+	Clock        *magno.Clock
+	Ratio        float64
+	Slack        float64
 	WindowLength magno.Millis
-	// StartedAt is when this process started. Its part of the slack grows with its age up to
-	// Span: all processes may have started anew, and those before have used theirs.
+	// StartedAt is when this process started. Its part of the slack grows from zero over the
+	// first WindowLength, because all processes may have been restarted after using theirs.
 	StartedAt magno.Millis
 
 	mu sync.Mutex
-	// taken are requests that came in, again further sends, of the last Span.
-	taken, again slide.Sum
+	// requests and retries count the requests received and the retries sent within the
+	// last WindowLength.
+	requests, retries slide.Sum
 }
 
-// RecordRequest counts a request that came in.
-func (w *Budget) RecordRequest() {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.setup()
-	w.taken.Add(1, w.Clock.Now())
+// RecordRequest counts a received request.
+func (b *Budget) RecordRequest() {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.setWindows()
+	b.requests.Add(1, b.Clock.Now())
 }
 
-// TakeRetry takes one further send from the allowance; false when it is used up.
-// Processes is how many share the slack, this one included.
-func (w *Budget) TakeRetry(processes int) bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.setup()
-	now := w.Clock.Now()
-	age := min(float64(now-w.StartedAt)/float64(max(w.WindowLength, 1)), 1)
-	limit := SafetyFactor * (w.Ratio*w.taken.Now(now) + age*w.Slack/float64(max(processes, 1)))
-	if w.again.Now(now)+1 > limit {
+// TakeRetry takes one retry from the budget, or returns false if it is used up. The
+// slack is divided among the given number of processes, which includes this one.
+func (b *Budget) TakeRetry(processes int) bool {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.setWindows()
+	now := b.Clock.Now()
+	slackShare := min(float64(now-b.StartedAt)/float64(max(b.WindowLength, 1)), 1)
+	limit := SafetyFactor * (b.Ratio*b.requests.Now(now) + slackShare*b.Slack/float64(max(processes, 1)))
+	if b.retries.Now(now)+1 > limit {
 		return false
 	}
-	w.again.Add(1, now)
+	b.retries.Add(1, now)
 	return true
 }
 
-func (w *Budget) setup() { w.taken.Window, w.again.Window = w.WindowLength, w.WindowLength }
+func (b *Budget) setWindows() { b.requests.Window, b.retries.Window = b.WindowLength, b.WindowLength }
