--- a/magno/keys/keys.go
+++ b/magno/keys/keys.go
@@ -1,10 +1,10 @@
-// Package keys tells which customer a request's key belongs to.
+// Package keys maps callers' API keys to customers.
 //
 //	Authorization: Bearer KEY --digest--> table of a configuration --> customer
 //
-// Load pattern: every request, over a few to some thousands of keys. Keys are looked
-// up by their digests, so the time that a lookup takes tells nothing of how close a
-// guess came.
+// Every request is looked up, in a table of a few to some thousands of keys. Keys are
+// looked up by their digests, so the time of a lookup doesn't reveal how close a guess
+// came.
 package keys
 
 import (
@@ -13,32 +13,31 @@
 	"magnoliastall.example/magno"
 )
 
-// Scheme is the authentication scheme of callers.
+// Scheme is the HTTP authentication scheme that callers use.
 const Scheme = "Bearer"
 
-// Table maps the keys of a configuration to their customers. It isn't changed once made.
+// Table maps the API keys of a configuration to customers. It is immutable.
 type Table struct {
-	owners map[magno.Digest]*magno.Customer
+	customers map[magno.Digest]*magno.Customer
 }
 
-// New builds the table of a configuration's customers.
+// New builds the table for the customers of a configuration.
 func New(customers []magno.Customer) *Table {
-	k := &Table{owners: map[magno.Digest]*magno.Customer{}}
+	k := &Table{customers: map[magno.Digest]*magno.Customer{}}
 	for i := range customers {
 		for _, d := range customers[i].Keys {
-			k.owners[d] = &customers[i]
+			k.customers[d] = &customers[i]
 		}
 	}
 	return k
 }
 
-// Find returns the customer that an Authorization header's key belongs to, nil when
-// there is none.
+// Find returns the customer to whom the key in an Authorization header belongs, or nil.
 func (k *Table) Find(authorization string) *magno.Customer {
 	scheme, key, _ := strings.Cut(strings.TrimSpace(authorization), " ")
 	key = strings.TrimSpace(key)
 	if key == "" || !strings.EqualFold(scheme, Scheme) {
 		return nil
 	}
-	return k.owners[magno.Digested(key)]
+	return k.customers[magno.Digested(key)]
 }
--- a/magno/keys/keys_test.go
+++ b/magno/keys/keys_test.go
@@ -6,7 +6,7 @@
 	"magnoliastall.example/magno"
 )
 
-func table() *Table {
+func testTable() *Table {
 	return New([]magno.Customer{
 		{Name: "a", Keys: []magno.Digest{magno.Digested("one"), magno.Digested("two")}},
 		{Name: "b", Keys: []magno.Digest{magno.Digested("three")}},
@@ -28,7 +28,7 @@
 		{"Bearer " + magno.Digested("one").String(), ""},
 	} {
 		name := ""
-		if found := table().Find(c.header); found != nil {
+		if found := testTable().Find(c.header); found != nil {
 			name = found.Name
 		}
 		if name != c.want {
@@ -38,7 +38,7 @@
 }
 
 func BenchmarkFind(b *testing.B) {
-	k := table()
+	k := testTable()
 	for b.Loop() {
 		k.Find("Bearer one")
 	}
