--- a/magno/grant/grant_test.go
+++ b/magno/grant/grant_test.go
@@ -8,13 +8,14 @@
 	"magnoliastall.example/magno"
 )
 
-// limit gives 1,125 a second at a steady pace.
+// limit allows 1,125 tokens per second of steady traffic.
 var limit = magno.Limit{Rate: 1000, Burst: 1000, Tokens: true}
 
 const window = 8 * magno.Second
 
-// drained is a home past its first window whose customer has used all of its burst.
-func drained(t *testing.T) (*Granter, *magno.Clock) {
+// homeWithSpentBurst returns a home that is past its first window and whose customer has
+// used its whole burst.
+func homeWithSpentBurst(t *testing.T) (*Granter, *magno.Clock) {
 	t.Helper()
 	clock := magno.NewClock(magno.Hour)
 	g := &Granter{Clock: clock, Window: window}
@@ -26,55 +27,54 @@
 	return g, clock
 }
 
-// Guards against a home that takes over and grants a burst, which the one before may just
-// have granted.
+// Guards against a new home granting a burst that the previous home may just have granted.
 func TestNewHomeGrantsTheRateOnly(t *testing.T) {
 	clock := magno.NewClock(magno.Hour)
 	g := &Granter{Clock: clock, Window: window}
-	sum, total := 0.0, limit.Rate*8+limit.Burst
+	sum, windowTotal := 0.0, limit.Rate*8+limit.Burst
 	for at := magno.Millis(0); at < window; at += 100 {
 		sum += g.Grant(Request{Customer: "a", Need: 10000, Least: 1, Want: 10000}, limit, 4, 4).Granted
-		if most := startWindow*total + limit.Rate*float64(at)/1000; sum > most+1 || sum < most-1 {
+		if most := initialWindowShare*windowTotal + limit.Rate*float64(at)/1000; sum > most+1 || sum < most-1 {
 			t.Fatalf("%v granted after %d ms, want %v", sum, at, most)
 		}
 		clock.Advance(100)
 	}
 }
 
-func TestNeedsBeforeWants(t *testing.T) {
-	g, clock := drained(t)
+func TestNeedIsGrantedBeforeWant(t *testing.T) {
+	g, clock := homeWithSpentBurst(t)
 	clock.Advance(600)
 	r := g.Grant(Request{Customer: "a", Need: 200, Least: 200, Want: 1000}, limit, 4, 4)
 	if r.Granted < 315 || r.Granted > 320 || r.RetryAfter != 0 {
-		t.Errorf("granted %v of 675 for a need of 200, want some 319: a part of what is left", r.Granted)
+		t.Errorf("granted %v of 675 for a need of 200, want about 319: the need and a part of the rest", r.Granted)
 	}
 }
 
 func TestPartOfANeedIsGranted(t *testing.T) {
-	g, clock := drained(t)
+	g, clock := homeWithSpentBurst(t)
 	clock.Advance(300)
 	r := g.Grant(Request{Customer: "a", Need: 900, Least: 100, Want: 900}, limit, 4, 4)
 	if r.Granted < 337 || r.Granted > 338 || r.RetryAfter < 490 || r.RetryAfter > 510 {
-		t.Errorf("granted %v, the rest after %d ms; want some 337 and 500 ms", r.Granted, r.RetryAfter)
+		t.Errorf("granted %v, the rest after %d ms; want about 337 and 500 ms", r.Granted, r.RetryAfter)
 	}
 }
 
-// Guards against all that were turned away coming back at the same moment.
-func TestThoseTurnedAwayComeBackOneAfterTheOther(t *testing.T) {
-	g, _ := drained(t)
+// Guards against all refused processes retrying at the same moment.
+func TestRefusedRequestsAreSpacedOut(t *testing.T) {
+	g, _ := homeWithSpentBurst(t)
 	var last magno.Millis
 	for range 5 {
 		r := g.Grant(Request{Customer: "a", Need: 100, Least: 100, Want: 100}, limit, 4, 4)
 		if r.Granted != 0 || r.RetryAfter < last+80 {
-			t.Fatalf("granted %v, to come back after %d ms and one before after %d", r.Granted, r.RetryAfter, last)
+			t.Fatalf("granted %v, retry after %d ms, the previous one after %d ms", r.Granted, r.RetryAfter, last)
 		}
 		last = r.RetryAfter
 	}
 }
 
-// Guards against two halves of a fleet that each grant the whole allowance, and against
-// a fleet with a few processes down that grants less than it.
-func TestHomesThatAreCutOffGrantTheirPart(t *testing.T) {
+// Guards against two halves of a partitioned fleet each granting the whole limit, and
+// against a fleet with a few processes down granting less than the limit.
+func TestPartitionedHomesGrantTheirShare(t *testing.T) {
 	for _, c := range []struct {
 		alive, known int
 		want         float64
@@ -85,30 +85,30 @@
 		clock.Advance(magno.Second)
 		r := g.Grant(Request{Customer: "a", Need: 5000, Least: 1, Want: 5000}, limit, c.alive, c.known)
 		if r.Granted < c.want-1 || r.Granted > c.want*1.13 {
-			t.Errorf("%d of %d alive: %v granted in a second, want %v", c.alive, c.known, r.Granted, c.want)
+			t.Errorf("%d of %d alive: %v granted in one second, want %v", c.alive, c.known, r.Granted, c.want)
 		}
 	}
 }
 
 func TestLoweredLimitBindsAtOnce(t *testing.T) {
-	g, clock := drained(t)
+	g, clock := homeWithSpentBurst(t)
 	clock.Advance(magno.Second)
 	low := magno.Limit{Rate: 100, Burst: 100, Tokens: true}
 	if r := g.Grant(Request{Customer: "a", Need: 400, Least: 100, Want: 400}, low, 4, 4); r.Granted > 100 {
-		t.Errorf("granted %v of a burst that is 100 now", r.Granted)
+		t.Errorf("granted %v of a burst lowered to 100", r.Granted)
 	}
 }
 
-func TestWhatIsGivenBackIsGrantedAgain(t *testing.T) {
-	g, _ := drained(t)
+func TestReturnedTokensAreGrantedAgain(t *testing.T) {
+	g, _ := homeWithSpentBurst(t)
 	g.Grant(Request{Customer: "a", Returned: 300}, limit, 4, 4)
 	if r := g.Grant(Request{Customer: "a", Need: 300, Least: 300, Want: 300}, limit, 4, 4); r.Granted != 300 {
-		t.Errorf("granted %v of 300 that were given back", r.Granted)
+		t.Errorf("granted %v of 300 returned tokens", r.Granted)
 	}
 }
 
-// Guards against refusing a customer that sends steadily what its limit allows in any
-// window, its burst included, and against more than that however it comes.
+// Guards against refusing a customer whose steady traffic is within its rate plus burst per
+// window, and against granting more than that under any traffic pattern.
 func TestWindowHasRateAndBurstOnce(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -127,22 +127,22 @@
 			amount float64
 		}
 		var grants []grant
-		var last float64
+		var inWindow float64
 		for end := clock.Now() + 40*magno.Second; clock.Now() < end; clock.Advance(c.pause) {
 			r := g.Grant(Request{Customer: "a", Need: c.need, Least: min(c.need, 10), Want: c.need}, limit, 4, 4)
 			grants = append(grants, grant{clock.Now(), r.Granted})
-			last = 0
+			inWindow = 0
 			for _, x := range grants {
 				if clock.Now()-x.at < window {
-					last += x.amount
+					inWindow += x.amount
 				}
 			}
-			if most := 9000.0; last > most+1 {
-				t.Fatalf("%s: %v in a window of %v", c.name, last, most)
+			if most := 9000.0; inWindow > most+1 {
+				t.Fatalf("%s: %v in a window of %v", c.name, inWindow, most)
 			}
 		}
-		if last < c.least {
-			t.Errorf("%s: %v in the last window, want %v", c.name, last, c.least)
+		if inWindow < c.least {
+			t.Errorf("%s: %v in the last window, want %v", c.name, inWindow, c.least)
 		}
 	}
 }
