--- a/magno/once/book.go
+++ b/magno/once/book.go
@@ -7,210 +7,208 @@
 	"magnoliastall.example/magno/ticket"
 )
 
-// rounds is how often a key is asked for before split votes end an attempt;
-// a rival that yields does so within one round.
-const rounds = 4
-
-// book decides what a ledger does. It starts no goroutine and sends nothing,
-// so that tests can drive every order of events. It isn't safe for concurrent
-// use.
-type book struct {
-	// self and incarnation name this process, holder joins them.
+// maxRounds is the number of rounds after which an attempt with a split vote ends. A
+// rival that yields does so within one round.
+const maxRounds = 4
+
+// keyTable is the state machine of a Ledger. It starts no goroutines and sends no
+// messages, so tests can drive events in any order. It is not safe for concurrent use.
+type keyTable struct {
+	// holder is self and incarnation joined by holderName.
 	self, incarnation, holder string
-	skew                      magno.Millis
-	// bytes is the most memory for answers, used what they take now.
-	bytes, used int
-	records     recall.Store[*record]
+	maxSkew                   magno.Millis
+	// maxBytes limits the text of the stored answers, usedBytes is its current size.
+	maxBytes, usedBytes int
+	records             recall.Store[*record]
 }
 
-func newBook(self, incarnation string, skew, retention magno.Millis, most, bytes int) *book {
-	b := &book{self: self, incarnation: incarnation, holder: holderOf(self, incarnation), skew: skew, bytes: bytes}
-	b.records = recall.Store[*record]{Retention: retention, Max: most, OnExpire: func(r *record) { b.used -= r.size() }}
+func newKeyTable(self, incarnation string, maxSkew, retention magno.Millis, maxKeys, maxBytes int) *keyTable {
+	b := &keyTable{self: self, incarnation: incarnation, holder: holderName(self, incarnation), maxSkew: maxSkew, maxBytes: maxBytes}
+	b.records = recall.Store[*record]{Retention: retention, Max: maxKeys, OnExpire: func(r *record) { b.usedBytes -= r.size() }}
 	return b
 }
 
-// opening is what becomes of a call when it comes in.
-type opening struct {
-	// record is nil when the call is refused.
+// admission is the decision on an incoming call.
+type admission struct {
+	// record is nil if the call is refused.
 	record *record
-	// attempt ends with the call's answer.
+	// attempt is completed with the call's answer.
 	attempt *attempt
-	// ask and run say what the caller of open has to start; neither when the
-	// call joins an attempt or is answered already.
-	ask, run bool
-	refusal  *magno.Refusal
+	// startVote and startRun tell the caller of admit what to start. Neither is set if
+	// the call joins an attempt or already has its answer.
+	startVote, startRun bool
+	refusal             *magno.Refusal
 }
 
-// open takes in a call.
-func (b *book) open(now magno.Millis, rosters []magno.Roster, call Call) opening {
-	key := call.name()
-	if r, ok := b.records.Get(key); ok {
-		return b.join(r, rosters, call)
+// admit decides on an incoming call and records its key.
+func (t *keyTable) admit(now magno.Millis, rosters []magno.Roster, call Call) admission {
+	key := call.scopedKey()
+	if r, ok := t.records.Get(key); ok {
+		return t.join(r, rosters, call)
 	}
 	tk, ticketed := ticket.Parse(call.Key)
-	if ticketed && (tk.Agent != b.self || tk.Incarnation != b.incarnation) {
-		return opening{refusal: refuse(magno.KindUnknown, "the ticket names another process").At("key")}
+	if ticketed && (tk.Agent != t.self || tk.Incarnation != t.incarnation) {
+		return admission{refusal: refuseUnknown(magno.KindUnknown, "the ticket names another process").At("key")}
 	}
-	at, ok := ticket.IssueTime(key)
+	issuedAt, ok := ticket.IssueTime(key)
 	if ticketed {
-		at, ok = ticket.IssueTime(tk.Key)
+		issuedAt, ok = ticket.IssueTime(tk.Key)
 	}
-	if refusal := b.admit(now, at, ok); refusal != nil {
-		return opening{refusal: refusal}
+	if refusal := t.checkNewKey(now, issuedAt, ok); refusal != nil {
+		return admission{refusal: refusal}
 	}
-	r := &record{key: key, at: at, body: call.BodyHash}
+	r := &record{key: key, issuedAt: issuedAt, bodyHash: call.BodyHash}
 	if ticketed {
-		b.records.Put(key, at, r)
-		r.state, r.ended = running, newAttempt()
-		return opening{record: r, attempt: r.ended, run: true}
+		t.records.Put(key, issuedAt, r)
+		r.state, r.latest = stateRunning, newAttempt()
+		return admission{record: r, attempt: r.latest, startRun: true}
 	}
-	if refusal := b.begin(r, rosters); refusal != nil {
-		return opening{refusal: refusal}
+	if refusal := t.startAttempt(r, rosters); refusal != nil {
+		return admission{refusal: refusal}
 	}
-	b.records.Put(key, at, r)
-	return opening{record: r, attempt: r.ended, ask: true}
+	t.records.Put(key, issuedAt, r)
+	return admission{record: r, attempt: r.latest, startVote: true}
 }
 
-// admit returns why a new key can't be taken in, nil when it can. None of the
-// refusals says that the key was not run: an earlier copy of it may have gone
-// another way.
-func (b *book) admit(now, at magno.Millis, timed bool) *magno.Refusal {
-	if !timed {
+// checkNewKey returns why a new key can't be accepted, or nil. An earlier copy may have
+// taken another path, so a refusal must not claim "not run" for a key that could have
+// run there.
+func (t *keyTable) checkNewKey(now, issuedAt magno.Millis, hasTime bool) *magno.Refusal {
+	if !hasTime {
 		return magno.Refuse(magno.KindNoKey, "the key must be a UUID of version 7 or a ticket").At("key")
 	}
-	if at > now+b.skew {
-		return refuse(magno.KindLater, "the key's time is ahead of the clock").At("key").Later(at - now)
+	if issuedAt > now+t.maxSkew {
+		return refuseUnknown(magno.KindLater, "the key's time is ahead of the clock").At("key").Later(issuedAt - now)
 	}
-	switch b.records.Check(now, at) {
+	switch t.records.Check(now, issuedAt) {
 	case recall.Stale:
 		return magno.Refuse(magno.KindStaleKey, "the key is older than answers are kept").At("key")
 	case recall.Full:
-		return refuse(magno.KindLater, "the ledger is full; send the same key again")
+		return refuseUnknown(magno.KindLater, "the ledger is full; send the same key again")
 	}
-	if b.used >= b.bytes {
-		return refuse(magno.KindLater, "the ledger's answers fill its memory; send the same key again")
+	if t.usedBytes >= t.maxBytes {
+		return refuseUnknown(magno.KindLater, "the ledger's answers fill its memory; send the same key again")
 	}
 	return nil
 }
 
-// join answers a call whose key is known.
-func (b *book) join(r *record, rosters []magno.Roster, call Call) opening {
-	if r.body != call.BodyHash {
+// join handles a call whose key is already recorded.
+func (t *keyTable) join(r *record, rosters []magno.Roster, call Call) admission {
+	if r.bodyHash != call.BodyHash {
 		refusal := magno.Refuse(magno.KindMismatch, "the key was used for another request").At("key")
-		if !r.held() {
+		if !r.granted() {
 			refusal = refusal.Ran(magno.RunUnknown)
 		}
-		return opening{refusal: refusal}
+		return admission{refusal: refusal}
 	}
-	if r.state != idle {
-		return opening{record: r, attempt: r.ended}
+	if r.state != stateIdle {
+		return admission{record: r, attempt: r.latest}
 	}
-	if refusal := b.begin(r, rosters); refusal != nil {
-		return opening{refusal: refusal}
+	if refusal := t.startAttempt(r, rosters); refusal != nil {
+		return admission{refusal: refusal}
 	}
-	return opening{record: r, attempt: r.ended, ask: true}
+	return admission{record: r, attempt: r.latest, startVote: true}
 }
 
-// begin starts an attempt to get the key granted.
-func (b *book) begin(r *record, rosters []magno.Roster) *magno.Refusal {
-	set, ok := roster.WitnessesFor(rosters, r.key, r.at)
+// startAttempt starts an attempt to acquire the key.
+func (t *keyTable) startAttempt(r *record, rosters []magno.Roster) *magno.Refusal {
+	witnesses, ok := roster.WitnessesFor(rosters, r.key, r.issuedAt)
 	if !ok {
-		return refuse(magno.KindLater, "no published roster covers the key's time; send the same key again")
+		return refuseUnknown(magno.KindLater, "no published roster covers the key's time; send the same key again")
 	}
-	r.state, r.ended = asking, newAttempt()
-	r.claim = newClaim(b.holder, set)
+	r.state, r.latest = stateVoting, newAttempt()
+	r.tally = newTally(t.holder, witnesses)
 	return nil
 }
 
-// ask starts a round and returns what to send.
-func (b *book) ask(r *record) []question {
+// startRound starts a round of voting and returns the requests to send.
+func (t *keyTable) startRound(r *record) []grantRequest {
 	r.round++
-	r.claim = newClaim(b.holder, r.claim.set)
-	return b.questions(r, r.claim.set, "")
+	r.tally = newTally(t.holder, r.tally.set)
+	return t.grantRequests(r, r.tally.set, "")
 }
 
-func (b *book) questions(r *record, set roster.Set, cede string) []question {
-	all := make([]question, len(set.Members))
+func (t *keyTable) grantRequests(r *record, set roster.Set, cede string) []grantRequest {
+	requests := make([]grantRequest, len(set.Members))
 	for i, m := range set.Members {
-		all[i] = question{m, magno.GrantCall{Member: m, Key: r.key, Holder: b.holder, Cede: cede}}
+		requests[i] = grantRequest{m, magno.GrantCall{Member: m, Key: r.key, Holder: t.holder, Cede: cede}}
 	}
-	return all
+	return requests
 }
 
-// hear takes one answer of a round; reached is false when none came.
-func (b *book) hear(r *record, round int, member string, reply magno.GrantReply, reached bool) verdict {
-	if round != r.round || r.state != asking {
-		return waiting
+// handleReply processes the reply of a member; reached is false if there was none.
+func (t *keyTable) handleReply(r *record, round int, member string, reply magno.GrantReply, reached bool) voteResult {
+	if round != r.round || r.state != stateVoting {
+		return votePending
 	}
-	r.claim.take(member, reply, reached)
-	v, _ := r.claim.decide()
+	r.tally.add(member, reply, reached)
+	v, _ := r.tally.result()
 	return v
 }
 
-// settle ends the rounds of an attempt. After won the key is to be run. After
-// yield the questions returned pass this process's grants on to the rival;
-// before they are sent the record is gone, so that this process never runs
-// what it gave away.
-func (b *book) settle(r *record) (verdict, []question) {
-	v, rival := r.claim.decide()
-	set := r.claim.set
-	// The answers are as large as the rest of the record and of no more use.
-	r.claim = nil
+// concludeVote ends the voting of an attempt. After voteWon the key must be run. After
+// voteYield the returned requests cede this process's grants to the rival. The state
+// changes before they are sent, so this process never runs a key that it ceded.
+func (t *keyTable) concludeVote(r *record) (voteResult, []grantRequest) {
+	v, rival := r.tally.result()
+	set := r.tally.set
+	// The tally takes as much memory as the rest of the record and isn't needed any more.
+	r.tally = nil
 	switch v {
-	case won:
-		r.state = running
+	case voteWon:
+		r.state = stateRunning
 		return v, nil
-	case lost, yield:
-		r.state = gone
-		refusal := refuse(magno.KindUnknown, "the key was granted to another agent; ask it")
-		b.end(r, magno.RunReply{Refusal: refusal, Holder: agentOf(rival)})
-		if v == yield {
-			return v, b.questions(r, set, rival)
+	case voteLost, voteYield:
+		r.state = stateHeldElsewhere
+		refusal := refuseUnknown(magno.KindUnknown, "the key was granted to another agent; ask it")
+		t.resolve(r, magno.RunReply{Refusal: refusal, Holder: agentName(rival)})
+		if v == voteYield {
+			return v, t.grantRequests(r, set, rival)
 		}
 		return v, nil
 	}
-	r.state = idle
-	b.end(r, magno.RunReply{Refusal: undecided(v)})
+	r.state = stateIdle
+	t.resolve(r, magno.RunReply{Refusal: undecidedRefusal(v)})
 	return v, nil
 }
 
-// undecided returns the refusal for a key that nobody is known to hold. It
-// never says that the key was not run: this process may hold grants for it,
-// and an earlier holder may have run it and gone.
-func undecided(v verdict) *magno.Refusal {
+// undecidedRefusal returns the refusal for a key without a known holder. It never says
+// "not run": this process may hold grants for the key, and an earlier holder may have
+// run it before it ended.
+func undecidedRefusal(v voteResult) *magno.Refusal {
 	switch v {
-	case blocked:
-		return refuse(magno.KindUnknown, "other agents hold part of the grants; send the same key again").Later(magno.Second)
-	case dead:
-		return refuse(magno.KindUnknown, "witnesses were replaced since the key was issued")
+	case voteBlocked:
+		return refuseUnknown(magno.KindUnknown, "other agents hold part of the grants; send the same key again").Later(magno.Second)
+	case voteImpossible:
+		return refuseUnknown(magno.KindUnknown, "witnesses were replaced since the key was issued")
 	}
-	return refuse(magno.KindLater, "too few witnesses answer; send the same key again")
+	return refuseUnknown(magno.KindLater, "too few witnesses answer; send the same key again")
 }
 
-// finish records the answer of a run for replay.
-func (b *book) finish(r *record, reply magno.RunReply) {
-	r.state = done
-	b.end(r, reply)
-	if kept, ok := b.records.Get(r.key); ok && kept == r {
-		b.used += r.size()
+// complete stores the answer of a run for replay.
+func (t *keyTable) complete(r *record, reply magno.RunReply) {
+	r.state = stateDone
+	t.resolve(r, reply)
+	if kept, ok := t.records.Get(r.key); ok && kept == r {
+		t.usedBytes += r.size()
 	}
 }
 
-// end hands the answer to all who wait.
-func (b *book) end(r *record, reply magno.RunReply) {
-	r.ended.reply = reply
-	close(r.ended.over)
+// resolve completes the current attempt, which releases all waiting calls.
+func (t *keyTable) resolve(r *record, reply magno.RunReply) {
+	r.latest.reply = reply
+	close(r.latest.done)
 }
 
-// size is what a record's answer takes in memory.
+// size returns the memory taken by the record's answer.
 func (r *record) size() int {
-	if r.state != done || r.ended.reply.Result == nil {
+	if r.state != stateDone || r.latest.reply.Result == nil {
 		return 0
 	}
-	return len(r.ended.reply.Result.Text)
+	return len(r.latest.reply.Result.Text)
 }
 
-// refuse makes a refusal that leaves open whether the key was run.
-func refuse(kind magno.Kind, detail string) *magno.Refusal {
+// refuseUnknown returns a refusal that leaves open whether the key was run.
+func refuseUnknown(kind magno.Kind, detail string) *magno.Refusal {
 	return magno.Refuse(kind, "%s", detail).Ran(magno.RunUnknown)
 }
--- a/magno/once/claim.go
+++ b/magno/once/claim.go
@@ -5,91 +5,91 @@
 	"magnoliastall.example/magno/roster"
 )
 
-// verdict is what a round of asking has come to.
-type verdict int
+// voteResult is the result of a round of voting.
+type voteResult int
 
 const (
-	waiting verdict = iota // answers are still due
-	won                    // a quorum gave the key to this holder
-	lost                   // a quorum gave it to another
-	yield                  // split votes, and another holder is to have them
-	blocked                // split votes, and the others are to yield
-	short                  // too few witnesses could be reached
-	dead                   // too many witnesses will never give the key
+	votePending     voteResult = iota // not decided, replies are outstanding
+	voteWon                           // a quorum granted the key to this holder
+	voteLost                          // a quorum granted the key to another holder
+	voteYield                         // split vote; this holder must cede its grants
+	voteBlocked                       // split vote; the other holders must cede theirs
+	voteUnreachable                   // too few witnesses replied
+	voteImpossible                    // too many witnesses will never grant the key
 )
 
-// claim counts the answers to one round of asking for one key.
-type claim struct {
-	// holder is this process.
+// tally counts the replies to one round of voting on a key.
+type tally struct {
+	// holder identifies this process.
 	holder string
 	set    roster.Set
-	// heard holds the members that answered or couldn't be reached.
-	heard map[string]bool
-	// mine counts the members that gave the key to holder, never those that
-	// won't give it to anybody any more.
-	mine, never int
-	// rivals counts the members that gave the key to another holder.
+	// replied holds the members that replied or could not be reached.
+	replied map[string]bool
+	// votes counts the members that granted the key to holder, refusals those that
+	// won't grant it to anyone any more.
+	votes, refusals int
+	// rivals counts, for each other holder, the members that granted it the key.
 	rivals map[string]int
 }
 
-func newClaim(holder string, set roster.Set) *claim {
-	return &claim{holder: holder, set: set, heard: map[string]bool{}, rivals: map[string]int{}}
+func newTally(holder string, set roster.Set) *tally {
+	return &tally{holder: holder, set: set, replied: map[string]bool{}, rivals: map[string]int{}}
 }
 
-// take counts one member's answer; a second one of the same member is dropped,
-// for a doubled message must not count as two witnesses.
-func (c *claim) take(member string, reply magno.GrantReply, reached bool) {
-	if c.heard[member] {
+// add counts the reply of a member. Further replies of that member are ignored, because
+// a duplicated message must not count as two witnesses.
+func (t *tally) add(member string, reply magno.GrantReply, reached bool) {
+	if t.replied[member] {
 		return
 	}
-	c.heard[member] = true
+	t.replied[member] = true
 	switch {
 	case !reached:
-	case reply.Holder == c.holder:
-		c.mine++
+	case reply.Holder == t.holder:
+		t.votes++
 	case reply.Holder != "":
-		c.rivals[reply.Holder]++
+		t.rivals[reply.Holder]++
 	case reply.Reason == magno.GrantForgot || reply.Reason == magno.GrantStale:
-		c.never++
+		t.refusals++
 	}
 }
 
-// decide returns what the answers come to, and the other holder if one matters.
-func (c *claim) decide() (verdict, string) {
-	if c.mine >= c.set.Quorum {
-		return won, ""
+// result returns the result so far, and the other holder if it matters.
+func (t *tally) result() (voteResult, string) {
+	if t.votes >= t.set.Quorum {
+		return voteWon, ""
 	}
-	taken, most, first := c.never, 0, c.holder
-	for holder, n := range c.rivals {
-		if n >= c.set.Quorum {
-			return lost, holder
+	unavailable, maxRival, firstHolder := t.refusals, 0, t.holder
+	for holder, n := range t.rivals {
+		if n >= t.set.Quorum {
+			return voteLost, holder
 		}
-		taken += n
-		most = max(most, n)
-		first = min(first, holder)
+		unavailable += n
+		maxRival = max(maxRival, n)
+		firstHolder = min(firstHolder, holder)
 	}
-	due := len(c.set.Members) - len(c.heard)
+	outstanding := len(t.set.Members) - len(t.replied)
 	switch {
-	case len(c.set.Members)-taken < c.set.Quorum:
-		// A rival that may have a quorum already needs no vote of ours.
-		if most > 0 && due > 0 && most+due >= c.set.Quorum {
-			return waiting, ""
+	case len(t.set.Members)-unavailable < t.set.Quorum:
+		// A rival that may already have a quorum doesn't need our votes.
+		if maxRival > 0 && outstanding > 0 && maxRival+outstanding >= t.set.Quorum {
+			return votePending, ""
 		}
-		return c.split(first), first
-	case due == 0:
-		return short, ""
+		return t.resolveSplit(firstHolder), firstHolder
+	case outstanding == 0:
+		return voteUnreachable, ""
 	}
-	return waiting, ""
+	return votePending, ""
 }
 
-// split says who gives way where no quorum is left for this holder. All
-// holders use the same order, so that two never yield to each other.
-func (c *claim) split(first string) verdict {
+// resolveSplit decides who yields if this holder can't reach a quorum any more. All
+// holders use the same order, so two of them never yield to each other.
+func (t *tally) resolveSplit(firstHolder string) voteResult {
 	switch {
-	case len(c.rivals) == 0:
-		return dead
-	case first == c.holder:
-		return blocked
+	case len(t.rivals) == 0:
+		return voteImpossible
+	case firstHolder == t.holder:
+		return voteBlocked
 	}
-	return yield
+	return voteYield
 }
--- a/magno/once/claim_test.go
+++ b/magno/once/claim_test.go
@@ -8,62 +8,62 @@
 	"magnoliastall.example/magno/roster"
 )
 
-// What seven answers come to, for the holder m. Each letter is one witness's
-// answer: a holder's name, f for forgot, x for out of reach, - for not yet
-// heard. A wrong verdict runs a request twice or leaves it to nobody.
+// Guards against a wrong result of seven replies, which would run a request twice or
+// leave it to nobody. The holder is m. Each letter is one witness's reply: the name of
+// the holder it granted the key to, f for forgot, x for unreachable, - for outstanding.
 func TestDecide(t *testing.T) {
 	tests := []struct {
 		answers string
-		want    verdict
+		want    voteResult
 		rival   string
 	}{
-		{"mmmmm--", won, ""},
-		{"mmmmmzz", won, ""},
-		{"mmmm---", waiting, ""},
-		{"mmmmxx-", waiting, ""},
-		{"mmmmxxx", short, ""},
-		{"aaaaa--", lost, "a"},
-		{"aaa----", waiting, ""}, // a may have five
-		{"aaaxxx-", yield, "a"},
-		{"aaaammm", yield, "a"},
-		{"zzzmmmm", blocked, "m"},
-		{"zzzzz--", lost, "z"},
-		{"azmmmxx", short, ""},
-		{"azzmmmm", yield, "a"},
-		{"fff----", dead, "m"},
-		{"ffammmm", yield, "a"},
-		{"ffmmmmm", won, ""},
-		{"ffmmmmx", short, ""},
+		{"mmmmm--", voteWon, ""},
+		{"mmmmmzz", voteWon, ""},
+		{"mmmm---", votePending, ""},
+		{"mmmmxx-", votePending, ""},
+		{"mmmmxxx", voteUnreachable, ""},
+		{"aaaaa--", voteLost, "a"},
+		{"aaa----", votePending, ""}, // a may have five
+		{"aaaxxx-", voteYield, "a"},
+		{"aaaammm", voteYield, "a"},
+		{"zzzmmmm", voteBlocked, "m"},
+		{"zzzzz--", voteLost, "z"},
+		{"azmmmxx", voteUnreachable, ""},
+		{"azzmmmm", voteYield, "a"},
+		{"fff----", voteImpossible, "m"},
+		{"ffammmm", voteYield, "a"},
+		{"ffmmmmm", voteWon, ""},
+		{"ffmmmmx", voteUnreachable, ""},
 	}
 	for _, tt := range tests {
 		t.Run(tt.answers, func(t *testing.T) {
-			c := newClaim("m", roster.Set{Members: strings.Split("0123456", ""), Quorum: 5})
+			c := newTally("m", roster.Set{Members: strings.Split("0123456", ""), Quorum: 5})
 			for i, a := range strings.Split(tt.answers, "") {
 				switch a {
 				case "-":
 				case "x":
-					c.take(c.set.Members[i], magno.GrantReply{}, false)
+					c.add(c.set.Members[i], magno.GrantReply{}, false)
 				case "f":
-					c.take(c.set.Members[i], magno.GrantReply{Reason: magno.GrantForgot}, true)
+					c.add(c.set.Members[i], magno.GrantReply{Reason: magno.GrantForgot}, true)
 				default:
-					c.take(c.set.Members[i], magno.GrantReply{Holder: a}, true)
+					c.add(c.set.Members[i], magno.GrantReply{Holder: a}, true)
 				}
 			}
-			if v, rival := c.decide(); v != tt.want || rival != tt.rival {
+			if v, rival := c.result(); v != tt.want || rival != tt.rival {
 				t.Fatalf("got %d %q", v, rival)
 			}
 		})
 	}
 }
 
-// A witness's answer arrives twice, as messages do. Counted twice, it would let
-// a request run with four witnesses, and another with four others.
+// Guards against counting a duplicated reply twice: a request could then run with four
+// witnesses, and again with four others.
 func TestDoubledAnswerCountsOnce(t *testing.T) {
-	c := newClaim("m", roster.Set{Members: strings.Split("0123456", ""), Quorum: 5})
+	c := newTally("m", roster.Set{Members: strings.Split("0123456", ""), Quorum: 5})
 	for _, member := range []string{"0", "1", "2", "3", "3", "0"} {
-		c.take(member, magno.GrantReply{Holder: "m"}, true)
+		c.add(member, magno.GrantReply{Holder: "m"}, true)
 	}
-	if v, _ := c.decide(); v != waiting {
+	if v, _ := c.result(); v != votePending {
 		t.Fatalf("got %d", v)
 	}
 }
--- a/magno/once/cost_test.go
+++ b/magno/once/cost_test.go
@@ -13,11 +13,11 @@
 	"magnoliastall.example/magno/witns"
 )
 
-// fleet is the agents of one deployment, spread over four data centres.
+// fleet describes the agents of one deployment in four data centres.
 type fleet struct {
 	name   string
 	agents int
-	// far and near are one-way times between and within data centres.
+	// far and near are the one-way latencies between and within data centres.
 	far, near time.Duration
 }
 
@@ -26,134 +26,132 @@
 	{"cursada", 22, 500 * time.Microsecond, 100 * time.Microsecond},
 }
 
-// distant carries calls with the time between two data centres each way.
-type distant struct {
-	from      string
-	fleet     fleet
-	places    map[string]string
-	witnesses map[string]*witns.Witness
+// delayedNetwork delivers calls with the latency between two data centres each way.
+type delayedNetwork struct {
+	from        string
+	fleet       fleet
+	dataCentres map[string]string
+	witnesses   map[string]*witns.Witness
 }
 
-func (d *distant) Ask(ctx context.Context, member string, call magno.GrantCall) (magno.GrantReply, error) {
+func (d *delayedNetwork) Ask(ctx context.Context, member string, call magno.GrantCall) (magno.GrantReply, error) {
 	delay := d.fleet.far
-	if d.places[member] == d.from {
+	if d.dataCentres[member] == d.from {
 		delay = d.fleet.near
 	}
 	w := d.witnesses[member]
 	if w == nil {
 		<-ctx.Done()
-		return magno.GrantReply{}, errLost
+		return magno.GrantReply{}, errNoReply
 	}
-	travel(delay)
-	// A decoder makes strings of its own.
+	busyWait(delay)
+	// Like a decoder, makes strings that share no memory with the sender.
 	call.Key, call.Holder = strings.Clone(call.Key), strings.Clone(call.Holder)
 	reply := w.Grant(call)
-	travel(delay)
+	busyWait(delay)
 	return reply, nil
 }
 
-// travel waits without a timer, for a timer rounds half a millisecond up to
-// one.
-func travel(d time.Duration) {
+// busyWait doesn't use a timer, because timers round half a millisecond up to one.
+func busyWait(d time.Duration) {
 	for from := time.Now(); time.Since(from) < d; {
 		runtime.Gosched()
 	}
 }
 
-func (f fleet) bench() *bench {
-	b := newBench(1)
-	b.roster.Members, b.roster.Places = nil, map[string]string{}
-	clear(b.wire.witnesses)
-	b.clock = magno.NewClock(begin)
+func (f fleet) newCluster() *cluster {
+	c := newCluster(1)
+	c.roster.Members, c.roster.Places = nil, map[string]string{}
+	clear(c.network.witnesses)
+	c.clock = magno.NewClock(startTime)
 	for i := range f.agents {
 		name := fmt.Sprintf("a%02d", i)
-		b.roster.Members = append(b.roster.Members, name)
-		b.roster.Places[name] = fmt.Sprint("dc", i%4)
-		b.start(name)
+		c.roster.Members = append(c.roster.Members, name)
+		c.roster.Places[name] = fmt.Sprint("dc", i%4)
+		c.startWitness(name)
 	}
-	b.clock.Advance(2*skew + 1)
-	return b
+	c.clock.Advance(2*skew + 1)
+	return c
 }
 
-// lose ends every witness for which gone is true.
-func (b *bench) lose(gone func(i int, place string) bool) {
-	for i, m := range b.roster.Members {
-		if gone(i, b.roster.Places[m]) {
-			delete(b.wire.witnesses, m)
+// stopWitnesses stops the witnesses for which stopped returns true.
+func (c *cluster) stopWitnesses(stopped func(i int, place string) bool) {
+	for i, m := range c.roster.Members {
+		if stopped(i, c.roster.Places[m]) {
+			delete(c.network.witnesses, m)
 		}
 	}
 }
 
-// Instances, a data centre or the configuration service are gone. Callers with
-// fresh receipts must not be refused for that; at a loss beyond the design they
-// are, and this says how many.
+// Guards against refusing new keys while instances, a data centre or the configuration
+// service are lost. Losses beyond the design may refuse them; the log shows what share.
 func TestShareOfFreshKeysRefused(t *testing.T) {
 	const keys = 600
-	first := func(n int) func(int, string) bool { return func(i int, _ string) bool { return i < n } }
+	firstAgents := func(n int) func(int, string) bool { return func(i int, _ string) bool { return i < n } }
 	tests := []struct {
-		name string
-		with func(b *bench)
-		// most is the share refused that the design allows, in percent.
-		most float64
+		name  string
+		setup func(c *cluster)
+		// maxRefused is the share of refused keys that the design allows, in percent.
+		maxRefused float64
 	}{
-		{"nothing lost", func(*bench) {}, 0},
-		{"one agent lost", func(b *bench) { b.lose(first(1)) }, 0},
-		{"two agents lost", func(b *bench) { b.lose(first(2)) }, 0},
-		{"a data centre lost", func(b *bench) { b.lose(func(_ int, p string) bool { return p == "dc0" }) }, 0},
-		{"one agent just replaced", func(b *bench) { b.start(b.roster.Members[0]) }, 0},
-		{"a data centre just started anew", func(b *bench) {
-			for m, p := range b.roster.Places {
+		{"nothing lost", func(*cluster) {}, 0},
+		{"one agent lost", func(c *cluster) { c.stopWitnesses(firstAgents(1)) }, 0},
+		{"two agents lost", func(c *cluster) { c.stopWitnesses(firstAgents(2)) }, 0},
+		{"a data centre lost", func(c *cluster) { c.stopWitnesses(func(_ int, p string) bool { return p == "dc0" }) }, 0},
+		{"one agent just replaced", func(c *cluster) { c.startWitness(c.roster.Members[0]) }, 0},
+		{"a data centre just started anew", func(c *cluster) {
+			for m, p := range c.roster.Places {
 				if p == "dc0" {
-					b.start(m)
+					c.startWitness(m)
 				}
 			}
 		}, 0},
-		{"configuration gone, a day before the roster ends", func(b *bench) {
-			b.roster.Until = b.clock.Now() + 24*magno.Hour
+		{"configuration gone, a day before the roster ends", func(c *cluster) {
+			c.roster.Until = c.clock.Now() + 24*magno.Hour
 		}, 0},
-		{"a data centre lost and one agent elsewhere", func(b *bench) {
-			b.lose(func(i int, p string) bool { return p == "dc0" || i == 1 })
+		{"a data centre lost and one agent elsewhere", func(c *cluster) {
+			c.stopWitnesses(func(i int, p string) bool { return p == "dc0" || i == 1 })
 		}, 100},
-		{"three agents lost in three data centres", func(b *bench) { b.lose(first(3)) }, 100},
-		{"configuration gone until the roster has ended", func(b *bench) { b.roster.Until = b.clock.Now() }, 100},
+		{"three agents lost in three data centres", func(c *cluster) { c.stopWitnesses(firstAgents(3)) }, 100},
+		{"configuration gone until the roster has ended", func(c *cluster) { c.roster.Until = c.clock.Now() }, 100},
 	}
 	for _, f := range fleets {
 		for _, tt := range tests {
-			b := f.bench()
-			tt.with(b)
-			l := b.ledger("home")
+			c := f.newCluster()
+			tt.setup(c)
+			l := c.newLedger("home")
 			l.MaxKeys = keys
 			refused := 0
 			for n := range keys {
 				var runs int
-				if reply := l.Do(context.Background(), Call{Key: key(b.clock.Now(), n)}, counted(&runs, "x")); reply.Refusal != nil {
+				if reply := l.Do(context.Background(), Call{Key: key(c.clock.Now(), n)}, countingRun(&runs, "x")); reply.Refusal != nil {
 					refused++
 				}
 			}
 			share := 100 * float64(refused) / keys
 			t.Logf("%-8s %-50s %6.2f %% refused", f.name, tt.name, share)
-			if share > tt.most {
-				t.Errorf("more than %.2f %%", tt.most)
+			if share > tt.maxRefused {
+				t.Errorf("more than %.2f %%", tt.maxRefused)
 			}
 		}
 	}
 }
 
-// BenchmarkAddedTime measures how much later a run starts because of the
-// witnesses, with all of them there and with a data centre lost.
+// BenchmarkAddedTime measures how long asking the witnesses delays the start of a run,
+// with all witnesses running and with one data centre lost.
 func BenchmarkAddedTime(b *testing.B) {
 	for _, f := range fleets {
 		for _, lost := range []string{"none", "dc1"} {
 			b.Run(f.name+"/lost="+lost, func(b *testing.B) {
-				bn := f.bench()
-				bn.lose(func(_ int, p string) bool { return p == lost })
-				l := bn.ledger("home")
-				l.Asker = &distant{"dc0", f, bn.roster.Places, bn.wire.witnesses}
+				c := f.newCluster()
+				c.stopWitnesses(func(_ int, p string) bool { return p == lost })
+				l := c.newLedger("home")
+				l.Asker = &delayedNetwork{"dc0", f, c.roster.Places, c.network.witnesses}
 				l.MaxKeys = b.N
 				waits := make([]time.Duration, b.N)
 				for n := range b.N {
 					from := time.Now()
-					l.Do(context.Background(), Call{Key: key(bn.clock.Now(), n)}, func(context.Context) magno.RunReply {
+					l.Do(context.Background(), Call{Key: key(c.clock.Now(), n)}, func(context.Context) magno.RunReply {
 						waits[n] = time.Since(from)
 						return magno.RunReply{Result: &magno.Result{}}
 					})
@@ -166,41 +164,41 @@
 	}
 }
 
-// BenchmarkDo measures what a fresh key costs an agent in processor time and
-// memory when its witnesses answer at once.
+// BenchmarkDo measures the processor time and memory that a new key costs an agent, if
+// its witnesses reply immediately.
 func BenchmarkDo(b *testing.B) {
-	bn := fleets[1].bench()
-	for _, w := range bn.wire.witnesses {
+	c := fleets[1].newCluster()
+	for _, w := range c.network.witnesses {
 		w.MaxKeys = b.N
 	}
-	l := bn.ledger("reading-agent-07")
-	l.Incarnation = key(begin, 1)
-	l.Asker = &distant{"", fleet{}, bn.roster.Places, bn.wire.witnesses}
+	l := c.newLedger("reading-agent-07")
+	l.Incarnation = key(startTime, 1)
+	l.Asker = &delayedNetwork{"", fleet{}, c.roster.Places, c.network.witnesses}
 	l.MaxKeys = b.N
-	for _, w := range bn.wire.witnesses {
+	for _, w := range c.network.witnesses {
 		w.Open()
 	}
 	b.ReportAllocs()
 	var runs int
-	before := heap()
+	before := heapInUse()
 	for n := range b.N {
-		l.Do(context.Background(), Call{Key: key(bn.clock.Now()-magno.Millis(n%1000), n)}, counted(&runs, "x"))
+		l.Do(context.Background(), Call{Key: key(c.clock.Now()-magno.Millis(n%1000), n)}, countingRun(&runs, "x"))
 	}
 	b.StopTimer()
 	held := 0
-	for _, w := range bn.wire.witnesses {
+	for _, w := range c.network.witnesses {
 		held += w.Len()
 	}
-	all := heap() - before
-	clear(bn.wire.witnesses)
-	ledger := heap() - before
+	all := heapInUse() - before
+	clear(c.network.witnesses)
+	ledger := heapInUse() - before
 	b.ReportMetric(float64(ledger)/float64(b.N), "B/key-in-ledger")
 	b.ReportMetric(float64(all-ledger)/float64(held), "B/key-in-witness")
 	runtime.KeepAlive(l)
 }
 
-// heap returns the bytes in use after a collection.
-func heap() int64 {
+// heapInUse returns the bytes in use after a garbage collection.
+func heapInUse() int64 {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
--- a/magno/once/history_test.go
+++ b/magno/once/history_test.go
@@ -18,91 +18,92 @@
 	"magnoliastall.example/magno/witns"
 )
 
-// errLost is what an asker tells when a message got lost.
-var errLost = errors.New("no answer")
+// errNoReply is the error for a lost message.
+var errNoReply = errors.New("no answer")
 
-// wire carries calls between goroutines, late, lost or doubled by chance.
-type wire struct {
+// network carries calls between goroutines and delays, loses and duplicates them at
+// random.
+type network struct {
 	mu        sync.Mutex
 	rng       *rand.Rand
 	witnesses map[string]*witns.Witness
-	// lose is how many of a hundred messages get lost, each way.
-	lose int
-	// late is the most microseconds that a message takes.
-	late int
+	// lossPercent is the probability that a message is lost, in each direction.
+	lossPercent int
+	// maxDelayMicros is the maximum delay of a message in microseconds.
+	maxDelayMicros int
 }
 
-func (n *wire) draw(most int) int {
+func (n *network) intN(limit int) int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.rng.IntN(most)
+	return n.rng.IntN(limit)
 }
 
-func (n *wire) Ask(ctx context.Context, member string, call magno.GrantCall) (magno.GrantReply, error) {
-	time.Sleep(time.Duration(n.draw(n.late)) * time.Microsecond)
-	if n.draw(100) < n.lose {
+func (n *network) Ask(ctx context.Context, member string, call magno.GrantCall) (magno.GrantReply, error) {
+	time.Sleep(time.Duration(n.intN(n.maxDelayMicros)) * time.Microsecond)
+	if n.intN(100) < n.lossPercent {
 		<-ctx.Done()
-		return magno.GrantReply{}, errLost
+		return magno.GrantReply{}, errNoReply
 	}
 	n.mu.Lock()
 	w := n.witnesses[member]
 	n.mu.Unlock()
 	if w == nil {
-		return magno.GrantReply{}, errLost
+		return magno.GrantReply{}, errNoReply
 	}
 	reply := w.Grant(call)
-	if n.draw(100) < n.lose {
+	if n.intN(100) < n.lossPercent {
 		reply = w.Grant(call)
 	}
-	time.Sleep(time.Duration(n.draw(n.late)) * time.Microsecond)
-	if n.draw(100) < n.lose {
+	time.Sleep(time.Duration(n.intN(n.maxDelayMicros)) * time.Microsecond)
+	if n.intN(100) < n.lossPercent {
 		<-ctx.Done()
-		return magno.GrantReply{}, errLost
+		return magno.GrantReply{}, errNoReply
 	}
 	return reply, nil
 }
 
-// bench is some ledgers and the witnesses of one roster, in four data centres.
-type bench struct {
-	clock  *magno.Clock
-	wire   *wire
-	roster magno.Roster
-	made   int
+// cluster is a set of ledgers and the witnesses of one roster in four data centres.
+type cluster struct {
+	clock       *magno.Clock
+	network     *network
+	roster      magno.Roster
+	ledgerCount int
 }
 
-func newBench(seed uint64) *bench {
-	b := &bench{clock: magno.NewClock(begin)}
-	b.wire = &wire{rng: rand.New(rand.NewPCG(seed, 1)), witnesses: map[string]*witns.Witness{}, late: 1}
-	b.roster = magno.Roster{Until: 10 * begin, Places: map[string]string{}}
+func newCluster(seed uint64) *cluster {
+	c := &cluster{clock: magno.NewClock(startTime)}
+	c.network = &network{rng: rand.New(rand.NewPCG(seed, 1)), witnesses: map[string]*witns.Witness{}, maxDelayMicros: 1}
+	c.roster = magno.Roster{Until: 10 * startTime, Places: map[string]string{}}
 	for i := range 9 {
 		name := fmt.Sprintf("w%d", i)
-		b.roster.Members = append(b.roster.Members, name)
-		b.roster.Places[name] = fmt.Sprint("dc", i%4)
-		b.start(name)
+		c.roster.Members = append(c.roster.Members, name)
+		c.roster.Places[name] = fmt.Sprint("dc", i%4)
+		c.startWitness(name)
 	}
-	b.clock.Advance(2*skew + 1)
-	return b
+	c.clock.Advance(2*skew + 1)
+	return c
 }
 
-// start puts a new process into a slot; the old one is gone.
-func (b *bench) start(name string) {
-	w := &witns.Witness{Self: name, Clock: b.clock, Retention: retention, MaxSkew: skew, MaxKeys: 10000}
+// startWitness replaces the process in a slot.
+func (c *cluster) startWitness(name string) {
+	w := &witns.Witness{Self: name, Clock: c.clock, Retention: retention, MaxSkew: skew, MaxKeys: 10000}
 	w.Open()
-	b.wire.mu.Lock()
-	defer b.wire.mu.Unlock()
-	b.wire.witnesses[name] = w
+	c.network.mu.Lock()
+	defer c.network.mu.Unlock()
+	c.network.witnesses[name] = w
 }
 
-func (b *bench) ledger(name string) *Ledger {
-	b.made++
+func (c *cluster) newLedger(name string) *Ledger {
+	c.ledgerCount++
 	return &Ledger{
-		Clock: b.clock, Self: name, Incarnation: fmt.Sprint(b.made), Asker: b.wire,
-		Rosters:   func() []magno.Roster { return []magno.Roster{b.roster} },
+		Clock: c.clock, Self: name, Incarnation: fmt.Sprint(c.ledgerCount), Asker: c.network,
+		Rosters:   func() []magno.Roster { return []magno.Roster{c.roster} },
 		Retention: retention, MaxSkew: skew, RoundTimeout: magno.Minute, MaxKeys: 100, MaxBytes: 1 << 20,
 	}
 }
 
-// key returns a key that was issued at the time at.
+// key returns a key with the given issue time.
 func key(at magno.Millis, number int) string {
 	id := uuid.UUID{6: 0x70, 8: 0x80, 14: byte(number >> 8), 15: byte(number)}
 	for i := range 6 {
@@ -111,18 +112,18 @@
 	return id.String()
 }
 
-// denied is what callers see who are told that their request was not run.
+// denied stands for an answer that says that the request was not run.
 const denied = "denied"
 
-// event is an operation: a run at an upstream, or a call and its answer.
+// event is the input of an operation: a run at an upstream, or a call.
 type event struct {
 	key int
 	run bool
 }
 
-// register holds, for one key, what upstreams ran and callers were told: one
-// run at most, every answer that of the run, and no run beside "not run".
-var register = porcupine.Model{
+// singleRunModel checks the operations on one key: there is at most one run, every answer
+// is that of the run, and none says "not run" if there was a run.
+var singleRunModel = porcupine.Model{
 	Partition: func(all []porcupine.Operation) [][]porcupine.Operation {
 		byKey := map[int][]porcupine.Operation{}
 		for _, op := range all {
@@ -149,94 +150,94 @@
 	},
 }
 
-// journal collects a concurrent history.
-type journal struct {
+// recorder collects the operations of a concurrent history.
+type recorder struct {
 	mu  sync.Mutex
 	ops []porcupine.Operation
 }
 
-func (j *journal) add(client int, in event, from time.Time, out string) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	j.ops = append(j.ops, porcupine.Operation{
+func (rec *recorder) add(client int, in event, from time.Time, out string) {
+	rec.mu.Lock()
+	defer rec.mu.Unlock()
+	rec.ops = append(rec.ops, porcupine.Operation{
 		ClientId: client, Input: in, Call: from.UnixNano(), Output: out, Return: time.Now().UnixNano(),
 	})
 }
 
-// Callers send the same keys at the same time through all agents, again and
-// again, while messages get lost and witnesses and agents are replaced. A user
-// would see a receipt twice, another's answer, or a receipt that he was told
-// was not read.
+// Guards against a receipt that is counted twice, answered with another request's answer,
+// or counted after its caller was told "not run". Callers repeatedly send the same keys
+// through all agents in parallel, while messages are lost and witnesses and agents are
+// replaced.
 func TestHistoriesOfConcurrentCallers(t *testing.T) {
 	first, _ := strconv.ParseUint(flag.Lookup("rapid.seed").Value.String(), 10, 64)
-	for seed := first; seed < first+uint64(histories); seed++ {
-		j := &journal{}
-		crowd(newBench(seed), j)
-		if !porcupine.CheckOperations(register, j.ops) {
-			t.Errorf("seed %d: the history can't be explained by one run a key", seed)
+	for seed := first; seed < first+uint64(historyCount); seed++ {
+		rec := &recorder{}
+		runCallers(newCluster(seed), rec)
+		if !porcupine.CheckOperations(singleRunModel, rec.ops) {
+			t.Errorf("seed %d: the history is inconsistent with one run per key", seed)
 		}
 		answers := map[string]int{}
-		for _, op := range j.ops {
+		for _, op := range rec.ops {
 			if !op.Input.(event).run {
-				answers[kindOf(op.Output.(string))]++
+				answers[answerKind(op.Output.(string))]++
 			}
 		}
-		t.Logf("seed %d: %d events, answers %v", seed, len(j.ops), answers)
+		t.Logf("seed %d: %d events, answers %v", seed, len(rec.ops), answers)
 	}
 }
 
-func kindOf(text string) string {
+func answerKind(text string) string {
 	if text == denied || text == "unknown" {
 		return text
 	}
 	return "result"
 }
 
-// crowd lets callers send keys through three agents.
-func crowd(b *bench, j *journal) {
+// runCallers runs parallel callers that send keys through three agents.
+func runCallers(c *cluster, rec *recorder) {
 	const callers, keys, sends = 6, 12, 30
-	b.wire.lose, b.wire.late = 2, 400
+	c.network.lossPercent, c.network.maxDelayMicros = 2, 400
 	ledgers := make([]*Ledger, 3)
 	for i := range ledgers {
-		ledgers[i] = b.ledger(fmt.Sprint("h", i))
+		ledgers[i] = c.newLedger(fmt.Sprint("h", i))
 		ledgers[i].RoundTimeout = 20
 	}
 	var mu sync.Mutex
 	var wg sync.WaitGroup
-	at := b.clock.Now()
-	for c := range callers {
+	at := c.clock.Now()
+	for caller := range callers {
 		wg.Go(func() {
 			for range sends {
-				n := b.wire.draw(keys)
+				n := c.network.intN(keys)
 				mu.Lock()
-				i := b.wire.draw(len(ledgers))
+				i := c.network.intN(len(ledgers))
 				l := ledgers[i]
-				switch b.wire.draw(40) {
+				switch c.network.intN(40) {
 				case 0:
-					ledgers[i] = b.ledger(l.Self)
+					ledgers[i] = c.newLedger(l.Self)
 					ledgers[i].RoundTimeout = 20
 				case 1:
-					b.start(fmt.Sprint("w", b.wire.draw(9)))
+					c.startWitness(fmt.Sprint("w", c.network.intN(9)))
 				}
 				mu.Unlock()
-				send(b, j, l, c, n, at)
+				sendOnce(c, rec, l, caller, n, at)
 			}
 		})
 	}
 	wg.Wait()
 }
 
-// send sends a key once and notes the run, if it comes to one, and the answer.
-func send(b *bench, j *journal, l *Ledger, caller, n int, at magno.Millis) {
+// sendOnce sends a key once and records the run, if there is one, and the answer.
+func sendOnce(c *cluster, rec *recorder, l *Ledger, caller, n int, at magno.Millis) {
 	from := time.Now()
 	reply := l.Do(context.Background(), Call{Key: key(at, n), BodyHash: 7}, func(context.Context) magno.RunReply {
-		began := time.Now()
-		time.Sleep(time.Duration(b.wire.draw(2000)) * time.Microsecond)
-		if b.wire.draw(5) == 0 {
+		runStarted := time.Now()
+		time.Sleep(time.Duration(c.network.intN(2000)) * time.Microsecond)
+		if c.network.intN(5) == 0 {
 			return magno.RunReply{Refusal: magno.Refuse(magno.KindBusy, "full")}
 		}
 		text := fmt.Sprint(n, " by ", l.Holder())
-		j.add(caller+100, event{n, true}, began, text)
+		rec.add(caller+100, event{n, true}, runStarted, text)
 		return magno.RunReply{Result: &magno.Result{Text: text}}
 	})
 	out := "unknown"
@@ -246,5 +247,5 @@
 	case reply.Refusal.Run == magno.RunNo:
 		out = denied
 	}
-	j.add(caller, event{n, false}, from, out)
+	rec.add(caller, event{n, false}, from, out)
 }
--- a/magno/once/knows.go
+++ b/magno/once/knows.go
@@ -1,19 +1,19 @@
 package once
 
-// Has tells whether the call's key is recorded here. An agent that leaves
-// takes no new keys, yet must answer for those it ran: nobody else can.
+// Has reports whether the call's key is recorded. An agent that is shutting down takes
+// no new keys but must still answer for those it ran, because no other process can.
 func (l *Ledger) Has(call Call) bool {
-	l.open()
+	l.setup()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	_, ok := l.book.records.Get(call.name())
+	_, ok := l.table.records.Get(call.scopedKey())
 	return ok
 }
 
-// Len returns how many keys are recorded.
+// Len returns the number of recorded keys.
 func (l *Ledger) Len() int {
-	l.open()
+	l.setup()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.book.records.Len()
+	return l.table.records.Len()
 }
--- a/magno/once/ledger.go
+++ b/magno/once/ledger.go
@@ -1,24 +1,24 @@
-// Package once runs a request that may not be repeated at most once, though its
-// caller sends it again through any entry and no process keeps anything.
+// Package once runs a request that may not be repeated at most once, even if its
+// caller sends it again through any entry. No process persists state.
 //
 //	entry --> Ledger of the key's home ---- GrantCall ----> witnesses of the
 //	 any      joins, replays, refuses  <--- GrantReply ---  key (witns, roster)
 //	              |
-//	              v run, once, after a quorum gave the key to this process
+//	              v run, once, after a quorum granted the key to this process
 //	           upstream
 //
-// The load is callers that lose an answer and send their request again while
-// instances are replaced, paused or cut off. Without this package a receipt is
-// counted twice whenever the second copy meets another agent than the first.
+// Callers that lose an answer send their request again while instances are replaced,
+// paused or partitioned. Without this package a receipt is counted twice whenever
+// the second copy reaches another agent than the first.
 //
-// The rules, in order of the record's life:
-//   - a key is recorded before anything is sent, and a copy joins the run or
-//     gets its whole answer again;
-//   - the run starts only after a quorum of the key's witnesses gave the key to
-//     this process; a pause between the two does no harm, because a witness
-//     never takes a key back and only the holder itself can pass it on;
-//   - "not run" is told only by a process that holds the key's quorum and has
-//     recorded that it won't run it. Every other refusal says "unknown", and
+// A key goes through these steps:
+//   - It is recorded before anything is sent. Copies that arrive later join the run
+//     or get its whole answer again.
+//   - It runs only after a quorum of its witnesses granted it to this process. A
+//     pause between grant and run does no harm, because a witness never revokes a
+//     grant, and only the holder itself can cede it.
+//   - The answer "not run" is given only by the process that holds the quorum and has
+//     recorded that it won't run the key. Every other refusal says "unknown", and
 //     the caller may send the same key again.
 package once
 
@@ -31,183 +31,183 @@
 	"magnoliastall.example/magno"
 )
 
-// pause is the wait before a further round where votes were split; it doubles
-// with each. A rival yields within one exchange of messages, a millisecond or
-// two between data centres.
-const pause magno.Millis = 4
+// initialBackoff is the delay before another round after a split vote; it doubles with
+// each round. A rival yields within one message exchange, which takes one or two
+// milliseconds between data centres.
+const initialBackoff magno.Millis = 4
 
 // Call is a request that may not be repeated.
 type Call struct {
 	// Key is the caller's idempotency key: a UUID of version 7, or a ticket.
 	Key string
-	// Scope is whom the key belongs to, such as the customer; the same key of
-	// another scope is another key.
+	// Scope is the namespace of the key, such as the customer's name. Equal keys in
+	// different scopes are different keys.
 	Scope string
-	// BodyHash is a hash of all that the request asks for.
+	// BodyHash is a hash of everything that the request asks for.
 	BodyHash uint64
 }
 
-// name returns the key as witnesses and ledger know it.
-func (c Call) name() string {
+// scopedKey returns the key as it is stored by witnesses and the ledger.
+func (c Call) scopedKey() string {
 	if c.Scope == "" {
 		return c.Key
 	}
 	return c.Scope + "/" + c.Key
 }
 
-// Ledger is an agent's memory of the keys that it ran or tried to. It is safe
-// for concurrent use.
+// Ledger records the keys that an agent ran or tried to run. It is safe for concurrent
+// use.
 type Ledger struct {
 	Clock *magno.Clock
-	// Self is the agent's instance name; it holds no "/".
+	// Self is the agent's instance name; it must not contain "/".
 	Self string
-	// Incarnation is unique to this process among all that ever run on Self.
+	// Incarnation is unique among all processes that ever run as Self.
 	Incarnation string
-	// Rosters returns the rosters of the configuration in force.
+	// Rosters returns the rosters of the current configuration.
 	Rosters func() []magno.Roster
 	Asker   magno.Asker
-	// Retention is how long answers are replayed, counted from the key's own
-	// time. Older keys are refused.
+	// Retention is how long answers are replayed, counted from the issue time of the
+	// key. Older keys are refused.
 	Retention magno.Millis
-	// MaxSkew is the most by which two clocks of callers and instances differ.
+	// MaxSkew is the maximum difference between any two clocks of callers and instances.
 	MaxSkew magno.Millis
-	// RoundTimeout is how long a round of asking may take.
+	// RoundTimeout is the time limit of one round of voting.
 	RoundTimeout magno.Millis
-	// MaxKeys is the most keys held, MaxBytes the most text of answers. Beyond
-	// either, new keys are refused with kind later.
+	// MaxKeys limits the number of keys and MaxBytes the total text of the answers. New
+	// keys beyond either limit are refused with kind later.
 	MaxKeys, MaxBytes int
 
-	once sync.Once
-	mu   sync.Mutex
-	book *book
+	once  sync.Once
+	mu    sync.Mutex
+	table *keyTable
 }
 
-func (l *Ledger) open() {
+func (l *Ledger) setup() {
 	l.once.Do(func() {
-		l.book = newBook(l.Self, l.Incarnation, l.MaxSkew, l.Retention, l.MaxKeys, l.MaxBytes)
+		l.table = newKeyTable(l.Self, l.Incarnation, l.MaxSkew, l.Retention, l.MaxKeys, l.MaxBytes)
 	})
 }
 
-// Holder returns the name under which witnesses know this process.
-func (l *Ledger) Holder() string { return holderOf(l.Self, l.Incarnation) }
+// Holder returns the name by which witnesses identify this process.
+func (l *Ledger) Holder() string { return holderName(l.Self, l.Incarnation) }
 
-// Do runs a call at most once and returns its answer, which may have been made
-// for an earlier copy of it. The run goes on when ctx ends, so that a copy
-// finds its answer; run must set its own deadline. A refusal of run that says
-// "not run" is final for the key: to try again, a caller takes a new key.
+// Do runs a call at most once and returns its answer, which may be that of an earlier
+// copy. The run continues after ctx ends, so that copies get its answer; run must set
+// its own deadline. A refusal by run that says "not run" is final for the key: to try
+// again, the caller needs a new key.
 func (l *Ledger) Do(ctx context.Context, call Call, run func(context.Context) magno.RunReply) magno.RunReply {
-	l.open()
+	l.setup()
 	l.mu.Lock()
-	o := l.book.open(l.Clock.Now(), l.Rosters(), call)
+	adm := l.table.admit(l.Clock.Now(), l.Rosters(), call)
 	l.mu.Unlock()
-	if o.refusal != nil {
-		return magno.RunReply{Refusal: o.refusal}
+	if adm.refusal != nil {
+		return magno.RunReply{Refusal: adm.refusal}
 	}
-	if o.ask || o.run {
-		go l.work(context.WithoutCancel(ctx), o.record, o.ask, run)
+	if adm.startVote || adm.startRun {
+		go l.process(context.WithoutCancel(ctx), adm.record, adm.startVote, run)
 	}
 	select {
-	case <-o.attempt.over:
-		reply := o.attempt.reply
-		reply.Replay = !o.ask && !o.run && reply.Holder == ""
+	case <-adm.attempt.done:
+		reply := adm.attempt.reply
+		reply.Replay = !adm.startVote && !adm.startRun && reply.Holder == ""
 		return reply
 	case <-ctx.Done():
-		return magno.RunReply{Refusal: refuse(magno.KindCancelled, "the caller left before the answer; send the same key again")}
+		return magno.RunReply{Refusal: refuseUnknown(magno.KindCancelled, "the caller left before the answer; send the same key again")}
 	}
 }
 
-// work carries a record from asking to its answer. Its end is reported by the
-// record's attempt.
-func (l *Ledger) work(ctx context.Context, r *record, ask bool, run func(context.Context) magno.RunReply) {
-	if ask && !l.claim(ctx, r) {
+// process takes a record from voting to its answer. Callers wait for the record's
+// attempt.
+func (l *Ledger) process(ctx context.Context, r *record, vote bool, run func(context.Context) magno.RunReply) {
+	if vote && !l.acquire(ctx, r) {
 		return
 	}
 	reply := run(ctx)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.book.finish(r, reply)
+	l.table.complete(r, reply)
 }
 
-// claim asks the witnesses and returns whether the key may be run.
-func (l *Ledger) claim(ctx context.Context, r *record) bool {
-	wait := pause
-	for i := 1; l.round(ctx, r) == blocked && i < rounds; i++ {
-		time.Sleep(wait.Span())
-		wait *= 2
+// acquire requests the key from its witnesses and reports whether it may be run.
+func (l *Ledger) acquire(ctx context.Context, r *record) bool {
+	backoff := initialBackoff
+	for i := 1; l.runRound(ctx, r) == voteBlocked && i < maxRounds; i++ {
+		time.Sleep(backoff.Span())
+		backoff *= 2
 	}
 	l.mu.Lock()
-	v, pass := l.book.settle(r)
+	v, cessions := l.table.concludeVote(r)
 	l.mu.Unlock()
-	if v == yield {
-		l.cede(ctx, pass)
+	if v == voteYield {
+		l.cede(ctx, cessions)
 	}
-	return v == won
+	return v == voteWon
 }
 
-// answer is what came back for one question.
-type answer struct {
+// memberReply is the reply of one member, or the error that took its place.
+type memberReply struct {
 	member string
 	reply  magno.GrantReply
 	err    error
 }
 
-// round asks all witnesses at once and returns as soon as the answers decide.
-func (l *Ledger) round(ctx context.Context, r *record) verdict {
+// runRound asks all witnesses in parallel and returns as soon as the result is decided.
+func (l *Ledger) runRound(ctx context.Context, r *record) voteResult {
 	ctx, cancel := context.WithTimeout(ctx, l.RoundTimeout.Span())
 	defer cancel()
 	l.mu.Lock()
-	questions := l.book.ask(r)
+	requests := l.table.startRound(r)
 	round := r.round
 	l.mu.Unlock()
-	answers := l.send(ctx, questions)
-	v := waiting
-	for v == waiting {
+	replies := l.sendAll(ctx, requests)
+	v := votePending
+	for v == votePending {
 		select {
-		case a := <-answers:
-			v = l.hear(r, round, a)
+		case reply := <-replies:
+			v = l.handleReply(r, round, reply)
 		case <-ctx.Done():
-			for _, q := range questions {
-				v = l.hear(r, round, answer{member: q.member, err: ctx.Err()})
+			for _, req := range requests {
+				v = l.handleReply(r, round, memberReply{member: req.member, err: ctx.Err()})
 			}
 		}
 	}
 	return v
 }
 
-func (l *Ledger) hear(r *record, round int, a answer) verdict {
+func (l *Ledger) handleReply(r *record, round int, mr memberReply) voteResult {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.book.hear(r, round, a.member, a.reply, a.err == nil)
+	return l.table.handleReply(r, round, mr.member, mr.reply, mr.err == nil)
 }
 
-// send asks all members; the channel takes one answer for each and never
-// blocks its senders.
-func (l *Ledger) send(ctx context.Context, questions []question) <-chan answer {
-	answers := make(chan answer, len(questions))
-	for _, q := range questions {
+// sendAll sends all requests. The channel has room for one reply per request, so no
+// sender blocks.
+func (l *Ledger) sendAll(ctx context.Context, requests []grantRequest) <-chan memberReply {
+	replies := make(chan memberReply, len(requests))
+	for _, req := range requests {
 		go func() {
-			reply, err := l.Asker.Ask(ctx, q.member, q.call)
-			answers <- answer{q.member, reply, err}
+			reply, err := l.Asker.Ask(ctx, req.member, req.call)
+			replies <- memberReply{req.member, reply, err}
 		}()
 	}
-	return answers
+	return replies
 }
 
-// cede passes this process's grants on to a rival. A message that gets lost
-// only leaves the rival waiting.
-func (l *Ledger) cede(ctx context.Context, questions []question) {
+// cede passes this process's grants on to the rival. A lost message only delays the
+// rival.
+func (l *Ledger) cede(ctx context.Context, requests []grantRequest) {
 	ctx, cancel := context.WithTimeout(ctx, l.RoundTimeout.Span())
 	defer cancel()
-	answers := l.send(ctx, questions)
-	for range questions {
-		<-answers
+	replies := l.sendAll(ctx, requests)
+	for range requests {
+		<-replies
 	}
 }
 
-func holderOf(agent, incarnation string) string { return agent + "/" + incarnation }
+func holderName(agent, incarnation string) string { return agent + "/" + incarnation }
 
-// agentOf returns the agent of a holder.
-func agentOf(holder string) string {
+// agentName returns the agent's name in a holder's name.
+func agentName(holder string) string {
 	agent, _, _ := strings.Cut(holder, "/")
 	return agent
 }
--- a/magno/once/ledger_test.go
+++ b/magno/once/ledger_test.go
@@ -9,28 +9,28 @@
 	"magnoliastall.example/magno/ticket"
 )
 
-// counted returns a run that counts its calls.
-func counted(n *int, text string) func(context.Context) magno.RunReply {
+// countingRun returns a run function that counts its calls.
+func countingRun(n *int, text string) func(context.Context) magno.RunReply {
 	return func(context.Context) magno.RunReply {
 		*n++
 		return magno.RunReply{Result: &magno.Result{Text: text}}
 	}
 }
 
-// A caller whose answer got lost sends its receipt again, to the same agent
-// and then to another. Without the ledger the receipt counts twice.
+// Guards against counting a receipt twice after its answer got lost and the caller sends it
+// again, to the same agent and then to another.
 func TestCopiesGetOneAnswer(t *testing.T) {
-	b := newBench(1)
-	first, second := b.ledger("a"), b.ledger("b")
-	call := Call{Key: key(b.clock.Now(), 1), Scope: "delta", BodyHash: 5}
+	c := newCluster(1)
+	first, second := c.newLedger("a"), c.newLedger("b")
+	call := Call{Key: key(c.clock.Now(), 1), Scope: "delta", BodyHash: 5}
 	var runs int
 	for i := range 3 {
-		reply := first.Do(context.Background(), call, counted(&runs, "x"))
+		reply := first.Do(context.Background(), call, countingRun(&runs, "x"))
 		if reply.Result == nil || reply.Result.Text != "x" || reply.Replay != (i > 0) {
 			t.Fatalf("copy %d: %+v", i, reply)
 		}
 	}
-	reply := second.Do(context.Background(), call, counted(&runs, "y"))
+	reply := second.Do(context.Background(), call, countingRun(&runs, "y"))
 	if reply.Refusal == nil || reply.Refusal.Run != magno.RunUnknown || reply.Holder != "a" {
 		t.Fatalf("at another agent: %+v", reply)
 	}
@@ -39,11 +39,12 @@
 	}
 }
 
-// Two copies come at the same time. Both callers wait for the one run.
+// Guards against a second run when two copies arrive at the same time; both callers must
+// get the answer of the one run.
 func TestCopyJoinsTheRun(t *testing.T) {
-	b := newBench(1)
-	l := b.ledger("a")
-	call := Call{Key: key(b.clock.Now(), 1), BodyHash: 5}
+	c := newCluster(1)
+	l := c.newLedger("a")
+	call := Call{Key: key(c.clock.Now(), 1), BodyHash: 5}
 	started, finish := make(chan struct{}), make(chan struct{})
 	var wg sync.WaitGroup
 	replies := make([]magno.RunReply, 2)
@@ -58,10 +59,10 @@
 	wg.Go(func() {
 		replies[1] = l.Do(context.Background(), call, func(context.Context) magno.RunReply { panic("second run") })
 	})
-	left, leave := context.WithCancel(context.Background())
-	leave()
-	if gone := l.Do(left, call, nil); gone.Refusal == nil || gone.Refusal.Run != magno.RunUnknown {
-		t.Errorf("a caller that left: %+v", gone)
+	cancelled, cancel := context.WithCancel(context.Background())
+	cancel()
+	if gone := l.Do(cancelled, call, nil); gone.Refusal == nil || gone.Refusal.Run != magno.RunUnknown {
+		t.Errorf("cancelled caller: %+v", gone)
 	}
 	close(finish)
 	wg.Wait()
@@ -72,16 +73,16 @@
 	}
 }
 
-// A caller loses its connection while its receipt is read, and sends it again.
-// If the run ended with the connection, the receipt would be lost half-way.
+// Guards against losing a receipt half-way: the caller loses its connection during the run
+// and sends the request again.
 func TestRunGoesOnWithoutItsCaller(t *testing.T) {
-	b := newBench(1)
-	l := b.ledger("a")
-	call := Call{Key: key(b.clock.Now(), 1)}
-	ctx, leave := context.WithCancel(context.Background())
+	c := newCluster(1)
+	l := c.newLedger("a")
+	call := Call{Key: key(c.clock.Now(), 1)}
+	ctx, cancel := context.WithCancel(context.Background())
 	finish := make(chan struct{})
 	first := l.Do(ctx, call, func(run context.Context) magno.RunReply {
-		leave()
+		cancel()
 		<-finish
 		if run.Err() != nil {
 			return magno.RunReply{Refusal: magno.Refuse(magno.KindCancelled, "ended")}
@@ -89,28 +90,28 @@
 		return magno.RunReply{Result: &magno.Result{Text: "x"}}
 	})
 	if first.Refusal == nil || first.Refusal.Run != magno.RunUnknown {
-		t.Fatalf("the caller that left: %+v", first)
+		t.Fatalf("cancelled caller: %+v", first)
 	}
 	close(finish)
 	if reply := l.Do(context.Background(), call, nil); reply.Result == nil || reply.Result.Text != "x" {
-		t.Fatalf("the copy: %+v", reply)
+		t.Fatalf("copy: %+v", reply)
 	}
 }
 
-// What a caller is told when a key can't be run, and whether that excludes a
-// run: "no" only where this process holds the key and won't run it.
+// Guards against a wrong refusal of a key that can't be run. Its Run must be "no" only if
+// this process holds the key and won't run it.
 func TestRefusals(t *testing.T) {
 	busy := func(context.Context) magno.RunReply {
 		return magno.RunReply{Refusal: magno.Refuse(magno.KindBusy, "full")}
 	}
-	now := newBench(1).clock.Now()
+	now := newCluster(1).clock.Now()
 	fresh := Call{Key: key(now, 1), BodyHash: 1}
 	tests := []struct {
-		name string
-		call Call
-		with func(*bench, *Ledger)
-		kind magno.Kind
-		run  magno.Run
+		name  string
+		call  Call
+		setup func(*cluster, *Ledger)
+		kind  magno.Kind
+		run   magno.Run
 	}{
 		{"granted and then refused", fresh, nil, magno.KindBusy, magno.RunNo},
 		{"no time in the key", Call{Key: "receipt-17"}, nil, magno.KindNoKey, magno.RunNo},
@@ -118,36 +119,36 @@
 		{"older than the retention", Call{Key: key(now-retention, 1)}, nil, magno.KindStaleKey, magno.RunUnknown},
 		{"issued before the witnesses started", Call{Key: key(now-1, 1)}, nil, magno.KindUnknown, magno.RunUnknown},
 		{"a ticket of another process", Call{Key: key(now, 1) + ".9.a"}, nil, magno.KindUnknown, magno.RunUnknown},
-		{"another body under the key", fresh, func(_ *bench, l *Ledger) {
+		{"another body under the key", fresh, func(_ *cluster, l *Ledger) {
 			l.Do(context.Background(), Call{Key: fresh.Key, BodyHash: 2}, busy)
 		}, magno.KindMismatch, magno.RunNo},
-		{"another body, and nobody granted the key", fresh, func(b *bench, l *Ledger) {
-			clear(b.wire.witnesses)
+		{"another body, and nobody granted the key", fresh, func(c *cluster, l *Ledger) {
+			clear(c.network.witnesses)
 			l.Do(context.Background(), Call{Key: fresh.Key, BodyHash: 2}, busy)
 		}, magno.KindMismatch, magno.RunUnknown},
-		{"three witnesses out of reach", fresh, func(b *bench, _ *Ledger) {
-			b.roster.Members = b.roster.Members[:7]
-			for _, m := range b.roster.Members[:3] {
-				delete(b.wire.witnesses, m)
+		{"three witnesses out of reach", fresh, func(c *cluster, _ *Ledger) {
+			c.roster.Members = c.roster.Members[:7]
+			for _, m := range c.roster.Members[:3] {
+				delete(c.network.witnesses, m)
 			}
 		}, magno.KindLater, magno.RunUnknown},
-		{"no roster for the key's time", fresh, func(b *bench, _ *Ledger) { b.roster.Until = now }, magno.KindLater, magno.RunUnknown},
-		{"the ledger is full", fresh, func(_ *bench, l *Ledger) {
+		{"no roster for the key's time", fresh, func(c *cluster, _ *Ledger) { c.roster.Until = now }, magno.KindLater, magno.RunUnknown},
+		{"the ledger is full", fresh, func(_ *cluster, l *Ledger) {
 			l.MaxKeys = 1
 			l.Do(context.Background(), Call{Key: key(now, 2)}, busy)
 		}, magno.KindLater, magno.RunUnknown},
-		{"answers fill the memory", fresh, func(_ *bench, l *Ledger) {
+		{"answers fill the memory", fresh, func(_ *cluster, l *Ledger) {
 			var n int
 			l.MaxBytes = 1
-			l.Do(context.Background(), Call{Key: key(now, 2)}, counted(&n, "text"))
+			l.Do(context.Background(), Call{Key: key(now, 2)}, countingRun(&n, "text"))
 		}, magno.KindLater, magno.RunUnknown},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			b := newBench(1)
-			l := b.ledger("a")
-			if tt.with != nil {
-				tt.with(b, l)
+			c := newCluster(1)
+			l := c.newLedger("a")
+			if tt.setup != nil {
+				tt.setup(c, l)
 			}
 			reply := l.Do(context.Background(), tt.call, busy)
 			if reply.Refusal == nil || reply.Refusal.Kind != tt.kind || reply.Refusal.Run != tt.run {
@@ -157,47 +158,47 @@
 	}
 }
 
-// A data centre is lost with its two witnesses of the key, or one agent ends.
-// Nobody's fresh request may be refused for that.
+// Guards against refusing new keys when a data centre is lost, which has two of a key's
+// witnesses.
 func TestFreshKeysRunWithoutADataCentre(t *testing.T) {
-	b := newBench(1)
-	for name, place := range b.roster.Places {
+	c := newCluster(1)
+	for name, place := range c.roster.Places {
 		if place == "dc0" {
-			delete(b.wire.witnesses, name)
+			delete(c.network.witnesses, name)
 		}
 	}
-	l := b.ledger("a")
+	l := c.newLedger("a")
 	var runs int
 	for n := range 50 {
-		if reply := l.Do(context.Background(), Call{Key: key(b.clock.Now(), n)}, counted(&runs, "x")); reply.Refusal != nil {
+		if reply := l.Do(context.Background(), Call{Key: key(c.clock.Now(), n)}, countingRun(&runs, "x")); reply.Refusal != nil {
 			t.Fatalf("key %d: %v", n, reply.Refusal)
 		}
 	}
 }
 
-// An agent is replaced after it ran a key. Its successor must not run it, nor
-// say that it wasn't run.
+// Guards against an agent that runs a key again, or answers "not run", after its previous
+// process ran the key.
 func TestReplacedAgentSaysUnknown(t *testing.T) {
-	b := newBench(1)
-	call := Call{Key: key(b.clock.Now(), 1)}
+	c := newCluster(1)
+	call := Call{Key: key(c.clock.Now(), 1)}
 	var runs int
-	b.ledger("a").Do(context.Background(), call, counted(&runs, "x"))
-	reply := b.ledger("a").Do(context.Background(), call, counted(&runs, "y"))
+	c.newLedger("a").Do(context.Background(), call, countingRun(&runs, "x"))
+	reply := c.newLedger("a").Do(context.Background(), call, countingRun(&runs, "y"))
 	if runs != 1 || reply.Refusal == nil || reply.Refusal.Run != magno.RunUnknown {
 		t.Fatalf("%d runs, %+v", runs, reply)
 	}
 }
 
-// A caller fetched a ticket, and no witness can be reached from the agent that
-// it names. The ticket still runs, once.
+// Guards against a ticket that can't run, or runs twice, while the agent that it names
+// reaches no witness.
 func TestTicketRunsWithoutWitnesses(t *testing.T) {
-	b := newBench(1)
-	clear(b.wire.witnesses)
-	l := b.ledger("a")
-	tk := ticket.Ticket{Key: key(b.clock.Now(), 1), Incarnation: l.Incarnation, Agent: l.Self}
+	c := newCluster(1)
+	clear(c.network.witnesses)
+	l := c.newLedger("a")
+	tk := ticket.Ticket{Key: key(c.clock.Now(), 1), Incarnation: l.Incarnation, Agent: l.Self}
 	var runs int
 	for range 2 {
-		if reply := l.Do(context.Background(), Call{Key: tk.String()}, counted(&runs, "x")); reply.Result == nil {
+		if reply := l.Do(context.Background(), Call{Key: tk.String()}, countingRun(&runs, "x")); reply.Result == nil {
 			t.Fatalf("%+v", reply)
 		}
 	}
--- a/magno/once/live_test.go
+++ b/magno/once/live_test.go
@@ -10,69 +10,67 @@
 	"magnoliastall.example/magno"
 )
 
-// Two or three agents ask for one key at the same moment, as when a caller
-// sends again at once through other entries, and each gets some of the votes.
-// Unless all but one give way, the caller is told "unknown" for ever though
-// nothing failed.
+// Guards against split votes that leave a key without a holder although nothing failed. Two
+// or three agents request the key at the same time, as when a caller immediately sends it
+// again through other entries, and all but one of them must yield.
 func TestSplitVotesFindOneHolder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(t, rules{doubled: 0})
-		for _, h := range w.homes {
-			h.stale = false
+		sim := newSimulation(t, variant{doubledSlots: 0})
+		for _, h := range sim.homes {
+			h.staleConfig = false
 		}
-		w.patient = true
-		w.keys, w.truths = nil, nil
-		w.advance(3 * skew)
-		w.issueAt(w.now)
+		sim.delayRetries = true
+		sim.keys, sim.truths = nil, nil
+		sim.advance(3 * skew)
+		sim.issueKeyAt(sim.now)
 		for i := range rapid.IntRange(2, 3).Draw(t, "homes") {
-			w.send(w.homes[i], 0, 0)
+			sim.send(sim.homes[i], 0, 0)
 		}
-		for len(w.packets) > 0 || len(w.resting) > 0 {
-			w.settleDown(t)
+		for len(sim.packets) > 0 || len(sim.backingOff) > 0 {
+			sim.deliverAllAndRetry(t)
 		}
-		granted := slices.IndexFunc(w.tasks, func(k *task) bool { return k.granted })
+		granted := slices.IndexFunc(sim.tasks, func(k *task) bool { return k.granted })
 		if granted < 0 {
-			t.Fatalf("nobody got the key\n%s", strings.Join(w.log, "\n"))
+			t.Fatalf("no holder was granted the key\n%s", strings.Join(sim.log, "\n"))
 		}
 	})
 }
 
-// settleDown delivers what is on its way in any order, then lets those ask
-// again who wait for others to give way.
-func (w *world) settleDown(t *rapid.T) {
-	for len(w.packets) > 0 {
-		i := rapid.IntRange(0, len(w.packets)-1).Draw(t, "packet")
-		p := w.packets[i]
-		w.packets = append(w.packets[:i:i], w.packets[i+1:]...)
-		w.deliver(p, 0)
+// deliverAllAndRetry delivers the pending packets in random order, then starts another round
+// of all tasks that are backing off.
+func (sim *simulation) deliverAllAndRetry(t *rapid.T) {
+	for len(sim.packets) > 0 {
+		i := rapid.IntRange(0, len(sim.packets)-1).Draw(t, "packet")
+		p := sim.packets[i]
+		sim.packets = append(sim.packets[:i:i], sim.packets[i+1:]...)
+		sim.deliver(p, 0)
 	}
-	resting := w.resting
-	w.resting = nil
-	for _, k := range resting {
-		w.ask(k)
+	retrying := sim.backingOff
+	sim.backingOff = nil
+	for _, k := range retrying {
+		sim.startRound(k)
 	}
 }
 
-// An agent has given way to another that its messages haven't reached yet, and
-// a third gives way to it meanwhile. Were it to ask again now, it would find a
-// quorum and run, and so would the one that it gave way to once the messages
-// arrive.
+// Guards against a second run by a holder that yielded. Before its cessions arrive, a third
+// holder may cede to it. If it then asked again, it would reach a quorum and run the key,
+// and so would the rival to which it yielded, once the cessions arrive.
 func TestHolderThatGaveWayNeverAsksAgain(t *testing.T) {
-	b := newBench(1)
-	call := Call{Key: key(b.clock.Now(), 1), BodyHash: 1}
-	rosters := []magno.Roster{b.roster}
-	book := newBook("b", "1", skew, retention, 10, 1<<20)
-	o := book.open(b.clock.Now(), rosters, call)
-	for i, q := range book.ask(o.record) {
+	c := newCluster(1)
+	call := Call{Key: key(c.clock.Now(), 1), BodyHash: 1}
+	rosters := []magno.Roster{c.roster}
+	table := newKeyTable("b", "1", skew, retention, 10, 1<<20)
+	adm := table.admit(c.clock.Now(), rosters, call)
+	for i, q := range table.startRound(adm.record) {
 		holder := []string{"b/1", "b/1", "b/1", "b/1", "a/1", "a/1", "c/1"}[i]
-		book.hear(o.record, 1, q.member, magno.GrantReply{Holder: holder}, true)
+		table.handleReply(adm.record, 1, q.member, magno.GrantReply{Holder: holder}, true)
 	}
-	v, cede := book.settle(o.record)
-	if v != yield || len(cede) != 7 || cede[0].call.Cede != "a/1" {
-		t.Fatalf("verdict %d, %+v", v, cede)
+	v, cessions := table.concludeVote(adm.record)
+	if v != voteYield || len(cessions) != 7 || cessions[0].call.Cede != "a/1" {
+		t.Fatalf("result %d, %+v", v, cessions)
 	}
-	again := book.open(b.clock.Now(), rosters, call)
-	if again.ask || again.run || again.attempt.reply.Refusal.Run != magno.RunUnknown {
+	again := table.admit(c.clock.Now(), rosters, call)
+	if again.startVote || again.startRun || again.attempt.reply.Refusal.Run != magno.RunUnknown {
 		t.Fatalf("sent again: %+v", again)
 	}
 }
--- a/magno/once/oracle_test.go
+++ b/magno/once/oracle_test.go
@@ -7,40 +7,39 @@
 	"magnoliastall.example/magno"
 )
 
-// bodies is how many different requests a caller sends under one key, by
-// mistake.
-const bodies = 2
+// bodyCount is the number of different requests that a caller sends under one key by mistake.
+const bodyCount = 2
 
-// truth is what really became of one key, and what was told of it.
-type truth struct {
+// groundTruth is what really happened to one key, and what callers were told.
+type groundTruth struct {
 	runs int
-	// body and text are those of the last run.
+	// body and text belong to the last run.
 	body uint64
 	text string
-	// denied holds the bodies whose caller was told that they were not run.
-	denied [bodies]bool
-	// wrong is true once an answer was told that is not the run's own.
-	wrong bool
+	// denied marks the bodies whose caller was told "not run".
+	denied [bodyCount]bool
+	// wrongAnswer is set once a caller got an answer that is not that of its run.
+	wrongAnswer bool
 }
 
-func (o *truth) ran(body uint64, text string) {
+func (o *groundTruth) recordRun(body uint64, text string) {
 	o.runs++
 	o.body, o.text = body, text
 }
 
-// asked is one call of the caller that waits for its answer.
-type asked struct {
+// pendingCall is a call that has not been answered.
+type pendingCall struct {
 	key     int
 	body    uint64
 	attempt *attempt
 }
 
-// collect hands the answers that are there to their callers.
-func (w *world) collect() {
-	w.calls = slices.DeleteFunc(w.calls, func(a asked) bool {
+// collectReplies records the replies of all calls whose attempt is complete.
+func (sim *simulation) collectReplies() {
+	sim.pending = slices.DeleteFunc(sim.pending, func(a pendingCall) bool {
 		select {
-		case <-a.attempt.over:
-			w.told(a, a.attempt.reply)
+		case <-a.attempt.done:
+			sim.recordReply(a, a.attempt.reply)
 			return true
 		default:
 			return false
@@ -48,54 +47,55 @@
 	})
 }
 
-// told notes one answer.
-func (w *world) told(a asked, reply magno.RunReply) {
-	if w.rules.early && reply.Refusal != nil && reply.Refusal.Kind == magno.KindLater {
+// recordReply records what a caller was told.
+func (sim *simulation) recordReply(a pendingCall, reply magno.RunReply) {
+	if sim.variant.denyEarly && reply.Refusal != nil && reply.Refusal.Kind == magno.KindLater {
 		reply.Refusal.Run = magno.RunNo
 	}
-	o := &w.truths[a.key]
+	o := &sim.truths[a.key]
 	switch {
 	case reply.Result != nil:
-		o.wrong = o.wrong || reply.Result.Text != o.text || a.body != o.body
+		o.wrongAnswer = o.wrongAnswer || reply.Result.Text != o.text || a.body != o.body
 	case reply.Refusal.Run == magno.RunNo:
 		o.denied[a.body] = true
 	}
 }
 
-// check is the oracle: at most one run of a key, none of a request once "not
-// run" was told of it, and no answer but the run's own.
-func (w *world) check() string {
-	for key, o := range w.truths {
+// violation returns a description of the first violation, or "". A key may run at most once,
+// a request may not run if its caller was told "not run", and every answer must be that of
+// the run.
+func (sim *simulation) violation() string {
+	for key, o := range sim.truths {
 		switch {
 		case o.runs > 1:
 			return fmt.Sprintf("key %d ran %d times", key, o.runs)
 		case o.runs > 0 && o.denied[o.body]:
-			return fmt.Sprintf("key %d was told not run and ran", key)
-		case o.wrong:
-			return fmt.Sprintf("key %d: an answer that isn't its own", key)
+			return fmt.Sprintf("key %d ran, but a caller was told that it did not", key)
+		case o.wrongAnswer:
+			return fmt.Sprintf("key %d: an answer is not that of its run", key)
 		}
 	}
 	return ""
 }
 
-// reached tells which of the hard places the history came by.
-func (w *world) reached() map[string]int {
-	has := map[string]int{
-		"lost": w.verdicts[lost], "yield": w.verdicts[yield], "blocked": w.verdicts[blocked],
-		"short": w.verdicts[short], "dead": w.verdicts[dead], "replayed": w.replayed,
-		"forgot": w.reasons[magno.GrantForgot], "stale": w.reasons[magno.GrantStale],
+// coverage returns which of the outcomes that must be tested occurred in the history.
+func (sim *simulation) coverage() map[string]int {
+	covered := map[string]int{
+		"lost": sim.results[voteLost], "yield": sim.results[voteYield], "blocked": sim.results[voteBlocked],
+		"short": sim.results[voteUnreachable], "dead": sim.results[voteImpossible], "replayed": sim.replayed,
+		"forgot": sim.reasons[magno.GrantForgot], "stale": sim.reasons[magno.GrantStale],
 	}
-	for _, o := range w.truths {
-		has["ran"] += o.runs
+	for _, o := range sim.truths {
+		covered["ran"] += o.runs
 		if slices.Contains(o.denied[:], true) {
-			has["denied"]++
+			covered["denied"]++
 		}
 		if o.runs > 0 && o.denied[1-o.body] {
-			has["another body denied"]++
+			covered["another body denied"]++
 		}
 	}
-	for what, n := range has {
-		has[what] = min(n, 1)
+	for what, n := range covered {
+		covered[what] = min(n, 1)
 	}
-	return has
+	return covered
 }
--- a/magno/once/record.go
+++ b/magno/once/record.go
@@ -2,47 +2,47 @@
 
 import "magnoliastall.example/magno"
 
-// state is how far a key has come at this ledger.
-type state int
+// keyState is the state of a key in the ledger.
+type keyState int
 
 const (
-	idle    state = iota // not granted, not refused; asked for again when it is sent again
-	asking               // a round of asking is on its way
-	running              // granted to this process, which runs it once
-	done                 // ended with an answer that is replayed
-	gone                 // granted or ceded to another holder; never run here
+	stateIdle          keyState = iota // undecided; the next copy starts another vote
+	stateVoting                        // a vote is in progress
+	stateRunning                       // granted to this process, which runs it once
+	stateDone                          // has an answer, which is replayed
+	stateHeldElsewhere                 // granted or ceded to another holder; never run here
 )
 
-// record is what a ledger knows of one key.
+// record is the ledger's entry for one key.
 type record struct {
-	key string
-	at  magno.Millis
-	// body is a hash of the request; the key stands for no other.
-	body  uint64
-	state state
-	// round counts the rounds of asking; answers to earlier ones are dropped.
+	key      string
+	issuedAt magno.Millis
+	// bodyHash identifies the request; the key is refused for any other.
+	bodyHash uint64
+	state    keyState
+	// round is the current round; replies to earlier rounds are dropped.
 	round int
-	// claim is set while state is asking.
-	claim *claim
-	// ended is the present or last attempt; its reply stands while state is
-	// done or gone.
-	ended *attempt
+	// tally is set only in stateVoting.
+	tally *tally
+	// latest is the current or last attempt. Its reply is final in stateDone and
+	// stateHeldElsewhere.
+	latest *attempt
 }
 
-// attempt is what the calls that came while a key was worked on wait for.
+// attempt is one attempt to run a key. All calls that arrive meanwhile wait for it.
 type attempt struct {
-	// over is closed once, when reply is set for good.
-	over  chan struct{}
+	// done is closed when reply is final.
+	done  chan struct{}
 	reply magno.RunReply
 }
 
-func newAttempt() *attempt { return &attempt{over: make(chan struct{})} }
+func newAttempt() *attempt { return &attempt{done: make(chan struct{})} }
 
-// held is true once a quorum gave the key to this process.
-func (r *record) held() bool { return r.state == running || r.state == done }
+// granted reports whether a quorum granted the key to this process.
+func (r *record) granted() bool { return r.state == stateRunning || r.state == stateDone }
 
-// question is a call for one member.
-type question struct {
+// grantRequest is a GrantCall with its destination.
+type grantRequest struct {
 	member string
 	call   magno.GrantCall
 }
--- a/magno/once/world_test.go
+++ b/magno/once/world_test.go
@@ -10,33 +10,32 @@
 	"magnoliastall.example/magno/witns"
 )
 
-// The sizes of the model. Times are milliseconds of a clock that only the test
-// moves.
+// Parameters of the simulation. All clocks advance only when the test advances them.
 const (
-	skew      magno.Millis = 1000
-	retention              = 60 * magno.Second
-	begin     magno.Millis = 1_000_000
-	handover               = begin + 20*magno.Second // the second roster begins
+	skew              magno.Millis = 1000
+	retention                      = 60 * magno.Second
+	startTime         magno.Millis = 1_000_000
+	secondRosterStart              = startTime + 20*magno.Second // start of the second roster
 )
 
-// rules are what a variant of the model breaks on purpose; the zero value
-// breaks nothing.
-type rules struct {
-	quorum   int  // takes the place of the set's quorum
-	remember bool // a witness forgets that it started after the key
-	doubled  int  // slots that may have two processes at once
-	endless  bool // a process with an old configuration uses its roster past its end
-	early    bool // "not run" is told before a quorum is held
-	ownClock bool // only one Skew is waited after a start
+// variant lists the rules that a variant of the model breaks on purpose. The zero value
+// breaks none.
+type variant struct {
+	quorum          int  // replaces the quorum if not 0
+	ignoreStart     bool // witnesses grant keys issued before they started
+	doubledSlots    int  // number of slots that may have two processes at once
+	ignoreRosterEnd bool // stale processes use the first roster past its end
+	denyEarly       bool // "not run" is answered without holding a quorum
+	singleSkewWait  bool // witnesses wait only once the skew after they start
 }
 
-// slot is one member's place; the last process is the newest.
+// slot is a member of a roster. Its newest process comes last.
 type slot struct {
-	name   string
-	centre int
-	// many is true when an old process may go on beside its successor.
-	many  bool
-	procs []*witness
+	name       string
+	dataCentre int
+	// overlap is set if an old process may keep running beside its successor.
+	overlap   bool
+	processes []*witness
 }
 
 type witness struct {
@@ -44,262 +43,260 @@
 	clock *magno.Clock
 }
 
-// home is one process of an agent that callers send keys to.
+// home is one agent process that receives keys from callers.
 type home struct {
 	name  string
-	book  *book
+	table *keyTable
 	clock *magno.Clock
-	// stale processes lack the second roster.
-	stale bool
-	// side is which process of a doubled slot it mostly reaches.
-	side int
-	// cuts holds a bit for each data centre that it is cut off from.
-	cuts int
+	// staleConfig is set if the process lacks the second roster.
+	staleConfig bool
+	// preferredProcess selects the process that it usually reaches in a slot with two.
+	preferredProcess int
+	// partitions is a bit mask of the data centres that it can't reach.
+	partitions int
 }
 
-// task is one attempt of a home that asks or is about to run.
+// task is one attempt of a home to run a key.
 type task struct {
-	home  *home
-	rec   *record
-	tries int
-	// granted is true between the decision and the run.
+	home   *home
+	record *record
+	rounds int
+	// granted is set once the key may be run.
 	granted bool
-	over    bool
-	// resting tasks hear nothing until they ask again.
-	resting bool
+	ended   bool
+	// backingOff is set while the task ignores replies until its next round.
+	backingOff bool
 }
 
-// packet is a message on its way.
+// packet is a message in transit.
 type packet struct {
-	task     *task
-	round    int
-	question question
+	task    *task
+	round   int
+	request grantRequest
 	// reply is nil on the way to the witness.
 	reply *magno.GrantReply
 }
 
-// world is the oracle and all that the decisions run in.
-type world struct {
-	rules   rules
+// simulation drives key tables and witnesses, and records what happens to each key.
+type simulation struct {
+	variant variant
 	now     magno.Millis
 	slots   []*slot
 	homes   []*home
 	tasks   []*task
 	packets []packet
-	calls   []asked
+	pending []pendingCall
 	clocks  []*magno.Clock
-	// churn is how often of ten times something ends or is cut.
+	// churn is the probability, in tenths, that an attempted restart or partition happens.
 	churn int
-	// patient tasks wait in resting until all messages are delivered before
-	// they ask again.
-	patient bool
-	resting []*task
-	// banded histories start all clocks that start in one event with the same
-	// offset, band.
-	banded bool
-	band   magno.Millis
-	// most is the number of keys.
-	most   int
-	keys   []string
-	truths []truth
-	made   int
-	log    []string
-	fault  string
-	// verdicts counts how attempts ended, reasons why witnesses refused.
-	verdicts [dead + 1]int
+	// delayRetries keeps tasks in backingOff until all packets are delivered, before
+	// they start another round.
+	delayRetries bool
+	backingOff   []*task
+	// sharedOffset makes all clocks that start in one event start with clockOffset.
+	sharedOffset bool
+	clockOffset  magno.Millis
+	maxKeys      int
+	keys         []string
+	truths       []groundTruth
+	homeCount    int
+	log          []string
+	fault        string
+	// results counts the results of votes, reasons the refusals of witnesses by reason.
+	results  [voteImpossible + 1]int
 	reasons  map[magno.GrantReason]int
 	replayed int
 }
 
-// bareWorld has slots and no processes.
-func bareWorld(r rules) *world {
-	w := &world{rules: r, now: begin, reasons: map[magno.GrantReason]int{}}
+// emptySimulation returns a simulation with slots but no processes.
+func emptySimulation(r variant) *simulation {
+	sim := &simulation{variant: r, now: startTime, reasons: map[magno.GrantReason]int{}}
 	for i := range 14 {
-		w.slots = append(w.slots, &slot{name: fmt.Sprintf("w%02d", i), centre: i % 7 % 4})
+		sim.slots = append(sim.slots, &slot{name: fmt.Sprintf("w%02d", i), dataCentre: i % 7 % 4})
 	}
-	return w
+	return sim
 }
 
-func newWorld(t *rapid.T, r rules) *world {
-	w := bareWorld(r)
-	w.most = rapid.IntRange(1, 3).Draw(t, "most")
-	w.banded = rapid.Bool().Draw(t, "banded")
-	w.drawBand(t)
-	w.churn = rapid.SampledFrom([]int{1, 2, 4, 10}).Draw(t, "churn")
+func newSimulation(t *rapid.T, r variant) *simulation {
+	sim := emptySimulation(r)
+	sim.maxKeys = rapid.IntRange(1, 3).Draw(t, "most")
+	sim.sharedOffset = rapid.Bool().Draw(t, "banded")
+	sim.drawClockOffset(t)
+	sim.churn = rapid.SampledFrom([]int{1, 2, 4, 10}).Draw(t, "churn")
 	if rapid.Bool().Draw(t, "near") {
-		w.now = handover - 5*skew
+		sim.now = secondRosterStart - 5*skew
 	}
-	doubled := rapid.IntRange(0, 13-r.doubled).Draw(t, "doubled") % 7
-	for i, s := range w.slots {
-		s.many = i%7 >= doubled && i%7 < doubled+r.doubled
-		w.startWitness(t, s)
+	firstDoubled := rapid.IntRange(0, 13-r.doubledSlots).Draw(t, "doubled") % 7
+	for i, s := range sim.slots {
+		s.overlap = i%7 >= firstDoubled && i%7 < firstDoubled+r.doubledSlots
+		sim.startWitness(t, s)
 	}
 	for i := range 3 {
-		w.startHome(t, fmt.Sprintf("h%d", i))
+		sim.startHome(t, fmt.Sprintf("h%d", i))
 	}
-	w.advance(2*skew + 1)
-	return w
+	sim.advance(2*skew + 1)
+	return sim
 }
 
-// drawBand chooses the offset of the clocks that start next.
-func (w *world) drawBand(t *rapid.T) {
-	w.band = rapid.SampledFrom([]magno.Millis{-skew / 2, skew / 2}).Draw(t, "band")
+// drawClockOffset draws the offset of the clocks that start next.
+func (sim *simulation) drawClockOffset(t *rapid.T) {
+	sim.clockOffset = rapid.SampledFrom([]magno.Millis{-skew / 2, skew / 2}).Draw(t, "band")
 }
 
-func (w *world) startClock(t *rapid.T) *magno.Clock {
-	if w.banded {
-		c := magno.NewClock(w.now + w.band)
-		w.clocks = append(w.clocks, c)
+func (sim *simulation) startClock(t *rapid.T) *magno.Clock {
+	if sim.sharedOffset {
+		c := magno.NewClock(sim.now + sim.clockOffset)
+		sim.clocks = append(sim.clocks, c)
 		return c
 	}
 	off := rapid.SampledFrom([]magno.Millis{-skew / 2, 0, skew / 2}).Draw(t, "offset")
-	c := magno.NewClock(w.now + off)
-	w.clocks = append(w.clocks, c)
+	c := magno.NewClock(sim.now + off)
+	sim.clocks = append(sim.clocks, c)
 	return c
 }
 
-func (w *world) startWitness(t *rapid.T, s *slot) {
-	c := w.startClock(t)
+func (sim *simulation) startWitness(t *rapid.T, s *slot) {
+	c := sim.startClock(t)
 	p := &witness{&witns.Witness{Self: s.name, Clock: c, Retention: retention, MaxSkew: skew, MaxKeys: 100}, c}
-	if late := w.backdate(c.Now()); late > 0 {
-		p.Clock = magno.NewClock(c.Now() - late)
+	if backdated := sim.backdate(c.Now()); backdated > 0 {
+		p.Clock = magno.NewClock(c.Now() - backdated)
 		p.Open()
-		p.Clock.Advance(late)
-		w.clocks[len(w.clocks)-1], p.clock = p.Clock, p.Clock
+		p.Clock.Advance(backdated)
+		sim.clocks[len(sim.clocks)-1], p.clock = p.Clock, p.Clock
 	}
 	p.Open()
-	if !s.many {
-		s.procs = nil
+	if !s.overlap {
+		s.processes = nil
 	}
-	s.procs = append(s.procs, p)
-	w.note("start witness %s #%d", s.name, len(s.procs))
+	s.processes = append(s.processes, p)
+	sim.logf("start witness %s #%d", s.name, len(s.processes))
 }
 
-// backdate is by how much a witness takes its start too early.
-func (w *world) backdate(now magno.Millis) magno.Millis {
+// backdate returns by how much the start time of a witness is set too early.
+func (sim *simulation) backdate(now magno.Millis) magno.Millis {
 	switch {
-	case w.rules.remember:
+	case sim.variant.ignoreStart:
 		return now
-	case w.rules.ownClock:
+	case sim.variant.singleSkewWait:
 		return skew
 	}
 	return 0
 }
 
-func (w *world) startHome(t *rapid.T, name string) {
-	w.made++
-	h := &home{name: name, clock: w.startClock(t), stale: rapid.Bool().Draw(t, "stale")}
-	h.side = rapid.IntRange(0, 1).Draw(t, "side")
-	h.book = newBook(name, fmt.Sprint(w.made), skew, retention, 100, 1<<20)
-	w.homes = append(w.homes, h)
-	w.note("start home %s/%d stale=%v", name, w.made, h.stale)
+func (sim *simulation) startHome(t *rapid.T, name string) {
+	sim.homeCount++
+	h := &home{name: name, clock: sim.startClock(t), staleConfig: rapid.Bool().Draw(t, "stale")}
+	h.preferredProcess = rapid.IntRange(0, 1).Draw(t, "side")
+	h.table = newKeyTable(name, fmt.Sprint(sim.homeCount), skew, retention, 100, 1<<20)
+	sim.homes = append(sim.homes, h)
+	sim.logf("start home %s/%d stale=%v", name, sim.homeCount, h.staleConfig)
 }
 
-func (w *world) advance(d magno.Millis) {
-	w.now += d
-	for _, c := range w.clocks {
+func (sim *simulation) advance(d magno.Millis) {
+	sim.now += d
+	for _, c := range sim.clocks {
 		c.Advance(d)
 	}
-	w.note("now %d", w.now)
+	sim.logf("now %d", sim.now)
 }
 
-func (w *world) note(format string, args ...any) {
-	w.log = append(w.log, fmt.Sprintf(format, args...))
+func (sim *simulation) logf(format string, args ...any) {
+	sim.log = append(sim.log, fmt.Sprintf(format, args...))
 }
 
-// rosters are two that share no member.
-func (w *world) rosters(h *home) []magno.Roster {
-	first := magno.Roster{Since: 0, Until: handover, Places: map[string]string{}}
-	second := magno.Roster{Since: handover, Until: 10 * handover, Places: map[string]string{}}
-	for i, s := range w.slots {
+// rosters returns the rosters known to a home. The two rosters share no member.
+func (sim *simulation) rosters(h *home) []magno.Roster {
+	first := magno.Roster{Since: 0, Until: secondRosterStart, Places: map[string]string{}}
+	second := magno.Roster{Since: secondRosterStart, Until: 10 * secondRosterStart, Places: map[string]string{}}
+	for i, s := range sim.slots {
 		r := &first
 		if i >= 7 {
 			r = &second
 		}
 		r.Members = append(r.Members, s.name)
-		r.Places[s.name] = fmt.Sprint(s.centre)
+		r.Places[s.name] = fmt.Sprint(s.dataCentre)
 	}
-	if !h.stale {
+	if !h.staleConfig {
 		return []magno.Roster{first, second}
 	}
-	if w.rules.endless {
+	if sim.variant.ignoreRosterEnd {
 		first.Until = second.Until
 	}
 	return []magno.Roster{first}
 }
 
-// issue makes a key by a caller whose clock may be off by any span: nothing
-// may rest on the clocks of callers.
-func (w *world) issue(t *rapid.T) {
-	at := w.now + rapid.SampledFrom([]magno.Millis{-3 * skew, 0, 0, skew / 2, 3 * skew / 2, 3 * skew}).Draw(t, "issued")
-	w.issueAt(at)
+// issueKey issues a key by a caller whose clock may be arbitrarily wrong; safety must not
+// depend on callers' clocks.
+func (sim *simulation) issueKey(t *rapid.T) {
+	at := sim.now + rapid.SampledFrom([]magno.Millis{-3 * skew, 0, 0, skew / 2, 3 * skew / 2, 3 * skew}).Draw(t, "issued")
+	sim.issueKeyAt(at)
 }
 
-func (w *world) issueAt(at magno.Millis) {
-	w.keys = append(w.keys, key(at, len(w.keys)))
-	w.truths = append(w.truths, truth{})
-	w.note("key %d at %d", len(w.keys)-1, at)
+func (sim *simulation) issueKeyAt(at magno.Millis) {
+	sim.keys = append(sim.keys, key(at, len(sim.keys)))
+	sim.truths = append(sim.truths, groundTruth{})
+	sim.logf("key %d at %d", len(sim.keys)-1, at)
 }
 
-// send gives a key to one home, for a request with the body.
-func (w *world) send(h *home, key int, body uint64) {
-	o := h.book.open(h.clock.Now(), w.rosters(h), Call{Key: w.keys[key], BodyHash: body})
-	w.note("send key %d body %d to %s: %+v", key, body, h.book.holder, o.refusal)
-	if o.refusal != nil {
-		w.told(asked{key: key, body: body}, magno.RunReply{Refusal: o.refusal})
+// send sends a request with the given key and body to a home.
+func (sim *simulation) send(h *home, key int, body uint64) {
+	adm := h.table.admit(h.clock.Now(), sim.rosters(h), Call{Key: sim.keys[key], BodyHash: body})
+	sim.logf("send key %d body %d to %s: %+v", key, body, h.table.holder, adm.refusal)
+	if adm.refusal != nil {
+		sim.recordReply(pendingCall{key: key, body: body}, magno.RunReply{Refusal: adm.refusal})
 		return
 	}
-	w.calls = append(w.calls, asked{key, body, o.attempt})
-	if o.record.state == done {
-		w.replayed++
+	sim.pending = append(sim.pending, pendingCall{key, body, adm.attempt})
+	if adm.record.state == stateDone {
+		sim.replayed++
 	}
-	w.collect()
-	if o.ask || o.run {
-		k := &task{home: h, rec: o.record, granted: o.run}
-		w.tasks = append(w.tasks, k)
-		if o.ask {
-			w.ask(k)
+	sim.collectReplies()
+	if adm.startVote || adm.startRun {
+		k := &task{home: h, record: adm.record, granted: adm.startRun}
+		sim.tasks = append(sim.tasks, k)
+		if adm.startVote {
+			sim.startRound(k)
 		}
 	}
 }
 
-func (w *world) ask(k *task) {
-	k.tries++
-	k.resting = false
-	if w.rules.quorum > 0 {
-		k.rec.claim.set.Quorum = w.rules.quorum
+func (sim *simulation) startRound(k *task) {
+	k.rounds++
+	k.backingOff = false
+	if sim.variant.quorum > 0 {
+		k.record.tally.set.Quorum = sim.variant.quorum
 	}
-	for _, q := range k.home.book.ask(k.rec) {
-		w.packets = append(w.packets, packet{task: k, round: k.rec.round, question: q})
+	for _, q := range k.home.table.startRound(k.record) {
+		sim.packets = append(sim.packets, packet{task: k, round: k.record.round, request: q})
 	}
 }
 
-// deliver hands over one message, unless it is cut off. A slot's process gets
-// it that the sender mostly reaches, or another when astray.
-func (w *world) deliver(p packet, astray int) {
-	s := w.slots[slices.IndexFunc(w.slots, func(s *slot) bool { return s.name == p.question.member })]
-	if p.task.home.cuts>>s.centre&1 == 1 {
+// deliver delivers a packet unless the home can't reach the slot's data centre. In a slot
+// with two processes it reaches the preferred one if processOffset is 0.
+func (sim *simulation) deliver(p packet, processOffset int) {
+	s := sim.slots[slices.IndexFunc(sim.slots, func(s *slot) bool { return s.name == p.request.member })]
+	if p.task.home.partitions>>s.dataCentre&1 == 1 {
 		return
 	}
 	if p.reply == nil {
-		reply := s.procs[(p.task.home.side+astray)%len(s.procs)].Grant(p.question.call)
+		reply := s.processes[(p.task.home.preferredProcess+processOffset)%len(s.processes)].Grant(p.request.call)
 		p.reply = &reply
-		w.reasons[reply.Reason]++
-		w.note("%s asked by %s cede=%q: %+v", s.name, p.question.call.Holder, p.question.call.Cede, reply)
-		if p.question.call.Cede == "" {
-			w.packets = append(w.packets, p)
+		sim.reasons[reply.Reason]++
+		sim.logf("%s: request of %s cede=%q: %+v", s.name, p.request.call.Holder, p.request.call.Cede, reply)
+		if p.request.call.Cede == "" {
+			sim.packets = append(sim.packets, p)
 		}
 		return
 	}
-	if !p.task.over && !p.task.granted && !p.task.resting && w.alive(p.task.home) {
-		v := p.task.home.book.hear(p.task.rec, p.round, p.question.member, *p.reply, true)
-		w.decided(p.task, v)
+	if !p.task.ended && !p.task.granted && !p.task.backingOff && sim.alive(p.task.home) {
+		v := p.task.home.table.handleReply(p.task.record, p.round, p.request.member, *p.reply, true)
+		sim.handleResult(p.task, v)
 	}
 }
 
-// take removes the messages of a task that are on their way and returns them.
-func (w *world) take(k *task) (taken []packet) {
-	w.packets = slices.DeleteFunc(w.packets, func(p packet) bool {
+// takePackets removes and returns the packets of a task.
+func (sim *simulation) takePackets(k *task) (taken []packet) {
+	sim.packets = slices.DeleteFunc(sim.packets, func(p packet) bool {
 		if p.task == k {
 			taken = append(taken, p)
 		}
@@ -308,51 +305,51 @@
 	return taken
 }
 
-// expire ends a round; whoever hasn't answered counts as out of reach.
-func (w *world) expire(k *task) {
-	v := waiting
-	for _, m := range k.rec.claim.set.Members {
-		v = k.home.book.hear(k.rec, k.rec.round, m, magno.GrantReply{}, false)
+// timeOutRound ends a round; members that have not replied count as unreachable.
+func (sim *simulation) timeOutRound(k *task) {
+	v := votePending
+	for _, m := range k.record.tally.set.Members {
+		v = k.home.table.handleReply(k.record, k.record.round, m, magno.GrantReply{}, false)
 	}
-	w.decided(k, v)
+	sim.handleResult(k, v)
 }
 
-func (w *world) decided(k *task, v verdict) {
-	if v == waiting {
+func (sim *simulation) handleResult(k *task, v voteResult) {
+	if v == votePending {
 		return
 	}
-	if v == blocked && k.tries < rounds {
-		if w.patient {
-			k.resting = true
-			w.resting = append(w.resting, k)
+	if v == voteBlocked && k.rounds < maxRounds {
+		if sim.delayRetries {
+			k.backingOff = true
+			sim.backingOff = append(sim.backingOff, k)
 			return
 		}
-		w.ask(k)
+		sim.startRound(k)
 		return
 	}
-	v, cede := k.home.book.settle(k.rec)
-	w.note("%s settles %d", k.home.book.holder, v)
-	w.verdicts[v]++
-	k.granted, k.over = v == won, v != won
-	for _, q := range cede {
-		w.packets = append(w.packets, packet{task: k, question: q})
+	v, cessions := k.home.table.concludeVote(k.record)
+	sim.logf("%s: vote result %d", k.home.table.holder, v)
+	sim.results[v]++
+	k.granted, k.ended = v == voteWon, v != voteWon
+	for _, q := range cessions {
+		sim.packets = append(sim.packets, packet{task: k, request: q})
 	}
-	w.collect()
+	sim.collectReplies()
 }
 
-// finish runs a granted key, or refuses it as a full queue would.
-func (w *world) finish(k *task, run bool) {
-	key := slices.Index(w.keys, k.rec.key)
+// finish runs a granted key, or refuses it as if the queue were full.
+func (sim *simulation) finish(k *task, run bool) {
+	key := slices.Index(sim.keys, k.record.key)
 	reply := magno.RunReply{Refusal: magno.Refuse(magno.KindBusy, "full")}
 	if run {
-		text := fmt.Sprint(key, " by ", k.home.book.holder)
-		w.truths[key].ran(k.rec.body, text)
+		text := fmt.Sprint(key, " by ", k.home.table.holder)
+		sim.truths[key].recordRun(k.record.bodyHash, text)
 		reply = magno.RunReply{Result: &magno.Result{Text: text}}
 	}
-	w.note("%s ends key %d run=%v", k.home.book.holder, key, run)
-	k.over = true
-	k.home.book.finish(k.rec, reply)
-	w.collect()
+	sim.logf("%s completes key %d run=%v", k.home.table.holder, key, run)
+	k.ended = true
+	k.home.table.complete(k.record, reply)
+	sim.collectReplies()
 }
 
-func (w *world) alive(h *home) bool { return slices.Contains(w.homes, h) }
+func (sim *simulation) alive(h *home) bool { return slices.Contains(sim.homes, h) }
