--- a/entry/relay/job.go
+++ b/entry/relay/job.go
@@ -107,7 +107,7 @@
 		j.refuse(magno.Refuse(magno.KindNoUpstream, "the route's service isn't configured").Later(goneAfter))
 		return
 	}
-	if j.Suspects.Refused(j.print) {
+	if j.Suspects.MustRefuse(j.print) {
 		j.refuse(magno.Refuse(magno.KindSuspect, "requests like it crashed upstreams"))
 		return
 	}
@@ -198,7 +198,7 @@
 	if j.service.Engine == nil {
 		return magno.Ref{}
 	}
-	return magno.Ref{Adapter: gate.Name(j.call.Model, j.call.Adapter)}
+	return magno.Ref{Adapter: gate.QualifiedName(j.call.Model, j.call.Adapter)}
 }
 
 // replicas finds the incarnations that a router named.
--- a/magno/crash/crash_test.go
+++ b/magno/crash/crash_test.go
@@ -6,44 +6,44 @@
 	"magnoliastall.example/magno"
 )
 
-// One request crashes each upstream that runs it. Its neighbours are suspects
-// with it at first and must be cleared; it must be refused after its second
-// crash, on whichever instance that was.
-func TestCulpritIsFound(t *testing.T) {
+// Guards against a request that crashes each upstream on which it runs. Requests
+// that ran beside it at first are suspects too and must be cleared; it must be
+// refused after its second crash, whichever instance saw that.
+func TestCrashingRequestIsIdentified(t *testing.T) {
 	clock := magno.NewClock(1_000_000)
-	here, peer := &Suspects{Clock: clock}, &Suspects{Clock: clock}
-	here.Crashed([]uint64{1, 2, 3, 0})
-	peer.Merge(here.List())
-	for _, print := range []uint64{1, 2, 3} {
-		if !peer.Alone(print) || peer.Refused(print) {
-			t.Fatalf("print %d isn't a suspect", print)
+	local, peer := &Suspects{Clock: clock}, &Suspects{Clock: clock}
+	local.RecordCrash([]uint64{1, 2, 3, 0})
+	peer.Merge(local.List())
+	for _, fingerprint := range []uint64{1, 2, 3} {
+		if !peer.MustRunAlone(fingerprint) || peer.MustRefuse(fingerprint) {
+			t.Fatalf("fingerprint %d isn't a suspect", fingerprint)
 		}
 	}
 	clock.Advance(10)
-	peer.Ended(1)
-	peer.Ended(2)
-	peer.Crashed([]uint64{3})
-	here.Merge(peer.List())
-	if here.Alone(1) || here.Alone(2) || !here.Refused(3) || here.Alone(0) {
-		t.Fatalf("got %+v", here.List())
+	peer.Clear(1)
+	peer.Clear(2)
+	peer.RecordCrash([]uint64{3})
+	local.Merge(peer.List())
+	if local.MustRunAlone(1) || local.MustRunAlone(2) || !local.MustRefuse(3) || local.MustRunAlone(0) {
+		t.Fatalf("got %+v", local.List())
 	}
-	peer.Merge([]Record{{Print: 3, Crashes: 1, At: clock.Now() - 5}})
-	if !peer.Refused(3) {
-		t.Fatal("older news won")
+	peer.Merge([]Record{{Fingerprint: 3, Crashes: 1, UpdatedAt: clock.Now() - 5}})
+	if !peer.MustRefuse(3) {
+		t.Fatal("an older record replaced a newer one")
 	}
-	clock.Advance(Keep + 1)
-	if here.Alone(3) || len(here.List()) != 0 {
-		t.Fatal("a record never ends")
+	clock.Advance(Retention + 1)
+	if local.MustRunAlone(3) || len(local.List()) != 0 {
+		t.Fatal("a record did not expire")
 	}
 }
 
-// A flood of different requests meets crashes. Memory must stay bounded.
+// Guards against unbounded memory when many different requests run into crashes.
 func TestRecordsAreBounded(t *testing.T) {
 	s := &Suspects{Clock: magno.NewClock(1)}
-	for i := range 3 * Most {
-		s.Crashed([]uint64{uint64(i + 1)})
+	for i := range 3 * MaxRecords {
+		s.RecordCrash([]uint64{uint64(i + 1)})
 	}
-	if n := len(s.List()); n != Most {
+	if n := len(s.List()); n != MaxRecords {
 		t.Fatalf("%d records", n)
 	}
 }
--- a/magno/once/knows.go
+++ b/magno/once/knows.go
@@ -1,19 +1,19 @@
 package once
 
-// Knows tells whether the call's key is recorded here. An agent that leaves
-// takes no new keys, yet must answer for those it ran: nobody else can.
-func (l *Ledger) Knows(call Call) bool {
-	l.open()
+// Has reports whether the call's key is recorded. An agent that is shutting down takes
+// no new keys but must still answer for those it ran, because no other process can.
+func (l *Ledger) Has(call Call) bool {
+	l.setup()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	_, ok := l.book.records.Get(call.name())
+	_, ok := l.table.records.Get(call.scopedKey())
 	return ok
 }
 
-// Held returns how many keys are recorded.
-func (l *Ledger) Held() int {
-	l.open()
+// Len returns the number of recorded keys.
+func (l *Ledger) Len() int {
+	l.setup()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.book.records.Len()
+	return l.table.records.Len()
 }
--- a/magno/quota/quota.go
+++ b/magno/quota/quota.go
@@ -119,24 +119,24 @@
 // Ask returns the call to make to the home, where need is the total cost of the waiting
 // requests and least that of the smallest. Surplus tokens are removed from the account
 // and returned to the home with the call.
-func (q *Quota) Ask(customer string, limit magno.Limit, need, least float64) grant.Ask {
+func (q *Quota) Ask(customer string, limit magno.Limit, need, least float64) grant.Request {
 	acc := q.account(customer, limit)
 	acc.recordDemand(0, q.Clock.Now())
-	a := grant.Ask{Customer: customer, Need: max(need-acc.leased, 0), Least: max(least-acc.leased, 0)}
+	a := grant.Request{Customer: customer, Need: max(need-acc.leased, 0), Least: max(least-acc.leased, 0)}
 	a.Want = max(need+acc.reserve()-acc.leased, a.Need)
 	if extra := acc.leased - need - 2*acc.reserve(); extra > 0 {
 		acc.leased -= extra
-		a.Back = extra
+		a.Returned = extra
 	}
 	return a
 }
 
 // Granted records the home's reply to a.
-func (q *Quota) Granted(a grant.Ask, r grant.Reply, limit magno.Limit) {
+func (q *Quota) Granted(a grant.Request, r grant.Reply, limit magno.Limit) {
 	acc := q.account(a.Customer, limit)
 	acc.leased += r.Granted
-	if r.After > 0 {
-		acc.refillAt = q.Clock.Now() + r.After
+	if r.RetryAfter > 0 {
+		acc.refillAt = q.Clock.Now() + r.RetryAfter
 		acc.nextAsk = min(acc.refillAt, q.Clock.Now()+askInterval)
 	}
 }
