--- a/drive/scene/scene.go
+++ b/drive/scene/scene.go
@@ -118,7 +118,7 @@
 
 	clock   *magno.Clock
 	rand    *rand.Rand
-	routers []*route.Route
+	routers []*route.Router
 	engines []*engine
 	flights map[string]*flight
 	done    Result
@@ -197,7 +197,7 @@
 	s.rand = rand.New(rand.NewPCG(s.Seed, 1)) //nolint:gosec // no secret
 	s.flights = map[string]*flight{}
 	if s.Tuning == (route.Tuning{}) {
-		s.Tuning = route.Permitted()
+		s.Tuning = route.PermitTuning()
 	}
 	s.Shape.fill()
 	slices.SortStableFunc(s.Asks, func(a, b Ask) int { return int(a.At - b.At) })
@@ -218,7 +218,7 @@
 		s.engines = append(s.engines, e)
 	}
 	for i := range s.Entries {
-		s.routers = append(s.routers, &route.Route{Clock: s.clock, Seed: s.Seed + uint64(i), DataCentre: "x", Tuning: s.Tuning})
+		s.routers = append(s.routers, &route.Router{Clock: s.clock, Seed: s.Seed + uint64(i), DataCentre: "x", Tuning: s.Tuning})
 	}
 	s.list()
 }
--- a/drive/scene/scene_test.go
+++ b/drive/scene/scene_test.go
@@ -103,8 +103,8 @@
 	}
 	never := mean(func(seed uint64) *Scene {
 		s := scene(seed)
-		s.Tuning = route.Permitted()
-		s.Tuning.Margin = magno.Minute
+		s.Tuning = route.PermitTuning()
+		s.Tuning.LoadMargin = magno.Minute
 		return s
 	})
 	if r.InAim < 2*never.InAim {
--- a/entry/relay/job.go
+++ b/entry/relay/job.go
@@ -102,7 +102,7 @@
 
 // run sends the request until it has its answer.
 func (j *job) run() {
-	j.service = j.snap.Plan.Service(paths.Split(j.route, j.id))
+	j.service = j.snap.Plan.Service(paths.PickService(j.route, j.id))
 	if j.service == nil {
 		j.refuse(magno.Refuse(magno.KindNoUpstream, "the route's service isn't configured").Later(goneAfter))
 		return
--- a/entry/site/pools.go
+++ b/entry/site/pools.go
@@ -26,7 +26,7 @@
 }
 
 type pool struct {
-	router *route.Route
+	router *route.Router
 	allow  *allow.Budget
 }
 
@@ -36,15 +36,15 @@
 		return found
 	}
 	made := &pool{
-		router: &route.Route{
+		router: &route.Router{
 			Clock: p.clock, Seed: xxhash.Sum64String(p.set.Name), DataCentre: p.set.DataCentre,
 		},
 		allow: &allow.Budget{Clock: p.clock, Ratio: p.set.RetryRatio, Slack: p.set.RetrySlack, WindowLength: p.set.RetryWindow, StartedAt: p.since},
 	}
 	if s := p.book.Now().Plan.Service(service); s != nil && s.Engine != nil {
-		made.router.Tuning = route.Permitted()
+		made.router.Tuning = route.PermitTuning()
 	} else {
-		made.router.Tuning = route.Plain()
+		made.router.Tuning = route.PlainTuning()
 	}
 	if p.pools == nil {
 		p.pools = map[string]*pool{}
--- a/magno/admit/admit.go
+++ b/magno/admit/admit.go
@@ -74,9 +74,9 @@
 	maxAfter = 30 * magno.Second
 )
 
-// DefaultQueued bounds a queue in jobs. It guards memory: at the largest job
+// DefaultMaxQueued bounds a queue in jobs. It guards memory: at the largest job
 // record of about a kilobyte it is 4 MB.
-const DefaultQueued = 4096
+const DefaultMaxQueued = 4096
 
 // mostWanted bounds the adapters that are waited for, and with them the cost
 // of a decision: some of its steps look at each. One upstream's part of the
@@ -86,32 +86,32 @@
 // everyone is the key of the margin of all customers.
 const everyone = ""
 
-// View is what a decision depends on besides the job.
-type View struct {
+// State is what a decision depends on besides the job.
+type State struct {
 	// Queued counts queued jobs.
 	Queued int
 	// Free counts idle batch places.
 	Free int
-	// Held is the longest that the job is held back for a fuller batch.
-	Held magno.Millis
+	// Hold is the longest that the job is held back for a fuller batch.
+	Hold magno.Millis
 	// Ahead is the place time of the work that runs first.
 	Ahead magno.Millis
-	// Over is true when the job's customer or caller is over its share.
-	Over bool
-	// Load is the wait for the job's adapter, zero when it is loaded, and
+	// OverShare is true when the job's customer or caller is over its share.
+	OverShare bool
+	// LoadWait is the wait for the job's adapter, zero when it is loaded, and
 	// Patience the longest that the job is queued for.
-	Load     magno.Millis
+	LoadWait magno.Millis
 	Patience magno.Millis
 	// Wanted counts the adapters that queued jobs wait for, the job's own left
 	// out when others wait for it too.
 	Wanted int
 }
 
-// Gate admits jobs to one upstream. Its exported fields are set before use.
-type Gate struct {
+// Controller admits jobs to one upstream. Its exported fields are set before use.
+type Controller struct {
 	Limits magno.Limits
-	// Queued is the most jobs in the queue.
-	Queued int
+	// MaxQueued is the most jobs in the queue.
+	MaxQueued int
 
 	stretch float64
 	// margins holds one for each customer: their queues are served apart, and
@@ -125,19 +125,19 @@
 
 // factor is the margin in force for a customer: its own, or that of all, which
 // grows more slowly.
-func (g *Gate) factor(customer string) float64 {
+func (g *Controller) factor(customer string) float64 {
 	return max(g.margins[customer], g.margins[everyone], leastMargin)
 }
 
 // nominal is a run's time by the engine's own figures: a step for each token
 // and the share of steps that the prompt takes.
-func (g *Gate) nominal(prompt, output int) magno.Millis {
+func (g *Controller) nominal(prompt, output int) magno.Millis {
 	steps := output + 1 + prompt/max(g.Limits.Tokens, 1)
 	return magno.Millis(steps) * max(g.Limits.Step, 1)
 }
 
-// Run is how long the job is expected to hold its place.
-func (g *Gate) Run(job *magno.Job) magno.Millis {
+// EstimateRun is how long the job is expected to hold its place.
+func (g *Controller) EstimateRun(job *magno.Job) magno.Millis {
 	stretch := g.stretch
 	if stretch == 0 {
 		stretch = 1
@@ -145,8 +145,8 @@
 	return max(magno.Millis(float64(g.nominal(job.Prompt, job.Output))*stretch), 1)
 }
 
-// Ran takes the length of a run that ended well.
-func (g *Gate) Ran(job *magno.Job, took magno.Millis) {
+// ObserveRun takes the length of a run that ended well.
+func (g *Controller) ObserveRun(job *magno.Job, took magno.Millis) {
 	ratio := float64(took) / float64(g.nominal(job.Prompt, job.Output))
 	if g.stretch == 0 {
 		g.stretch = 1
@@ -155,8 +155,8 @@
 	g.stretch = min(max(g.stretch, minStretch), maxStretch)
 }
 
-// Ended takes whether an admitted job of a customer ended before its deadline.
-func (g *Gate) Ended(customer string, inTime bool) {
+// ObserveEnd takes whether an admitted job of a customer ended before its deadline.
+func (g *Controller) ObserveEnd(customer string, inTime bool) {
 	if g.margins == nil || len(g.margins) >= mostMargins {
 		g.margins = map[string]float64{}
 	}
@@ -169,39 +169,41 @@
 	g.move(everyone, lateForAll)
 }
 
-func (g *Gate) move(customer string, by float64) {
+func (g *Controller) move(customer string, by float64) {
 	g.margins[customer] = min(max(g.margins[customer]+by, leastMargin), maxMargin)
 }
 
-// Begun takes the harm that the wait for an adapter had done when its load
+// ObserveLoadStart takes the harm that the wait for an adapter had done when its load
 // began, in parts of the patience of those who waited.
-func (g *Gate) Begun(now magno.Millis, harm float64) {
-	level := g.Level(now)
+func (g *Controller) ObserveLoadStart(now magno.Millis, harm float64) {
+	level := g.LoadThreshold(now)
 	g.level, g.levelAt = level+loadGain*(min(harm, mostHarm)-level), now
 	g.loadMargin = max(g.loadMargin-loadDecay, 1)
 }
 
-// Level is the harm at which loads begin. Turns go to the most harmful wait of
+// LoadThreshold is the harm at which loads begin. Turns go to the most harmful wait of
 // the whole pool, so it is the pool's figure though it is measured here. It
 // fades when no load begins, or a level at which everything is refused would
 // stay for ever.
-func (g *Gate) Level(now magno.Millis) float64 {
+func (g *Controller) LoadThreshold(now magno.Millis) float64 {
 	return g.level * math.Exp2(-float64(now-g.levelAt)/float64(levelHalf))
 }
 
-// LoadLate takes that an admitted job ran out of time before its adapter came.
-func (g *Gate) LoadLate() { g.loadMargin = min(max(g.loadMargin, 1)+loadGrowth, maxMargin) }
+// ObserveLateLoad takes that an admitted job ran out of time before its adapter came.
+func (g *Controller) ObserveLateLoad() {
+	g.loadMargin = min(max(g.loadMargin, 1)+loadGrowth, maxMargin)
+}
 
-// LoadWait is the wait until an adapter's load begins, where the harm of its
+// EstimateLoadWait is the wait until an adapter's load begins, where the harm of its
 // wait takes wait to reach the level, and before others of this upstream come
 // first. It leaves out the load itself: with it, profiles of little patience
 // would be shut out by those of more, which bear a higher level.
-func (g *Gate) LoadWait(wait magno.Millis, before int) magno.Millis {
+func (g *Controller) EstimateLoadWait(wait magno.Millis, before int) magno.Millis {
 	return max(scale(wait, max(g.loadMargin, 1)), magno.Millis(before)*g.Limits.Load)
 }
 
-// Wait is how long ahead of place time takes, given free places.
-func (g *Gate) Wait(ahead magno.Millis, free int, run magno.Millis) magno.Millis {
+// EstimateWait is how long ahead of place time takes, given free places.
+func (g *Controller) EstimateWait(ahead magno.Millis, free int, run magno.Millis) magno.Millis {
 	places := magno.Millis(max(g.Limits.Batch, 1))
 	if free > 0 && ahead < magno.Millis(free)*run {
 		return 0
@@ -209,47 +211,47 @@
 	return (ahead + run) / places
 }
 
-// Offer returns nil when the job can be expected to end before its deadline.
-func (g *Gate) Offer(now magno.Millis, job *magno.Job, v View) *magno.Refusal {
+// Admit returns nil when the job can be expected to end before its deadline.
+func (g *Controller) Admit(now magno.Millis, job *magno.Job, v State) *magno.Refusal {
 	if job.Deadline <= now {
 		return magno.Refuse(magno.KindPast, "the deadline passed %d ms before", now-job.Deadline)
 	}
-	run := g.Run(job)
-	if v.Queued >= g.Queued {
-		wait := g.Wait(v.Ahead, 0, run)
+	run := g.EstimateRun(job)
+	if v.Queued >= g.MaxQueued {
+		wait := g.EstimateWait(v.Ahead, 0, run)
 		return magno.Refuse(magno.KindBusy, "%d jobs are queued", v.Queued).Later(after(job, wait/2))
 	}
 	margin := g.factor(job.Customer)
-	wait := g.Wait(v.Ahead, v.Free, run)
+	wait := g.EstimateWait(v.Ahead, v.Free, run)
 	far := min(float64(wait)/float64(farWait), 1)
-	place := max(scale(wait, margin+farMargin*far), v.Held)
+	place := max(scale(wait, margin+farMargin*far), v.Hold)
 	room := job.Deadline - now - scale(run, margin)
-	if room >= place && v.Load <= v.Patience && (v.Load == 0 || v.Wanted < mostWanted) {
+	if room >= place && v.LoadWait <= v.Patience && (v.LoadWait == 0 || v.Wanted < mostWanted) {
 		return nil
 	}
 	return g.refuse(job, v, room, place)
 }
 
-// Patience is the longest wait for an adapter that the job is queued for: most
+// LoadPatience is the longest wait for an adapter that the job is queued for: most
 // of what its deadline leaves with a Stall of 0, a few loads with 1. In
 // between it falls with the square, for most of the effect of a lower Stall
 // comes with the first steps.
-func (g *Gate) Patience(now magno.Millis, job *magno.Job) magno.Millis {
-	room := max(scale(job.Deadline-now-scale(g.Run(job), g.factor(job.Customer)), waitPart), 1)
+func (g *Controller) LoadPatience(now magno.Millis, job *magno.Job) magno.Millis {
+	room := max(scale(job.Deadline-now-scale(g.EstimateRun(job), g.factor(job.Customer)), waitPart), 1)
 	least := min(room, stallLoads*g.Limits.Load)
 	loose := (1 - job.Stall) * (1 - job.Stall)
 	return least + scale(room-least, loose)
 }
 
-func (g *Gate) refuse(job *magno.Job, v View, room, place magno.Millis) *magno.Refusal {
+func (g *Controller) refuse(job *magno.Job, v State, room, place magno.Millis) *magno.Refusal {
 	switch {
 	case room < 0:
 		return magno.Refuse(magno.KindBusy, "its run alone takes %d ms longer than its deadline leaves", -room).
-			Later(after(job, max(place, v.Load)))
+			Later(after(job, max(place, v.LoadWait)))
 	case place <= room:
-		return magno.Refuse(magno.KindLoading, "its adapter is expected in %d ms", v.Load).
-			Later(after(job, max(v.Load-v.Patience, g.Limits.Load)))
-	case v.Over:
+		return magno.Refuse(magno.KindLoading, "its adapter is expected in %d ms", v.LoadWait).
+			Later(after(job, max(v.LoadWait-v.Patience, g.Limits.Load)))
+	case v.OverShare:
 		return magno.Refuse(magno.KindShare, "its share of the queue takes %d ms", place).
 			Later(after(job, place-room))
 	default:
--- a/magno/admit/admit_test.go
+++ b/magno/admit/admit_test.go
@@ -7,8 +7,8 @@
 	"magnoliastall.example/magno"
 )
 
-func newGate() *Gate {
-	return &Gate{Queued: 100, Limits: magno.Limits{Batch: 10, Tokens: 100, Step: 10, Load: 500}}
+func newGate() *Controller {
+	return &Controller{MaxQueued: 100, Limits: magno.Limits{Batch: 10, Tokens: 100, Step: 10, Load: 500}}
 }
 
 // job runs for a second by the engine's figures.
@@ -20,23 +20,23 @@
 	tests := []struct {
 		name string
 		left magno.Millis
-		view View
+		view State
 		want magno.Kind
 	}{
-		{"room", 5000, View{Free: 1}, ""},
-		{"past", 0, View{Free: 1}, magno.KindPast},
-		{"run alone too long", 900, View{Free: 1}, magno.KindBusy},
-		{"behind others", 5000, View{Ahead: 60000}, magno.KindBusy},
-		{"behind its own", 5000, View{Ahead: 60000, Over: true}, magno.KindShare},
-		{"behind others with time", 30000, View{Ahead: 60000}, ""},
-		{"load in time", 5000, View{Free: 1, Load: 400, Patience: 500}, ""},
-		{"load too late", 5000, View{Free: 1, Load: 600, Patience: 500}, magno.KindLoading},
-		{"too many loads", 5000, View{Free: 1, Load: 400, Patience: 500, Wanted: mostWanted}, magno.KindLoading},
-		{"queue full", 30000, View{Queued: 100}, magno.KindBusy},
+		{"room", 5000, State{Free: 1}, ""},
+		{"past", 0, State{Free: 1}, magno.KindPast},
+		{"run alone too long", 900, State{Free: 1}, magno.KindBusy},
+		{"behind others", 5000, State{Ahead: 60000}, magno.KindBusy},
+		{"behind its own", 5000, State{Ahead: 60000, OverShare: true}, magno.KindShare},
+		{"behind others with time", 30000, State{Ahead: 60000}, ""},
+		{"load in time", 5000, State{Free: 1, LoadWait: 400, Patience: 500}, ""},
+		{"load too late", 5000, State{Free: 1, LoadWait: 600, Patience: 500}, magno.KindLoading},
+		{"too many loads", 5000, State{Free: 1, LoadWait: 400, Patience: 500, Wanted: mostWanted}, magno.KindLoading},
+		{"queue full", 30000, State{Queued: 100}, magno.KindBusy},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			r := newGate().Offer(1000, job("a", tt.left), tt.view)
+			r := newGate().Admit(1000, job("a", tt.left), tt.view)
 			if tt.want == "" {
 				if r != nil {
 					t.Fatalf("got %v", r)
@@ -55,7 +55,7 @@
 func TestAfterIsSpread(t *testing.T) {
 	seen := map[magno.Millis]bool{}
 	for i := range 100 {
-		r := newGate().Offer(1000, job(fmt.Sprint(i), 5000), View{Ahead: 60000})
+		r := newGate().Admit(1000, job(fmt.Sprint(i), 5000), State{Ahead: 60000})
 		if r.After < 1000 || r.After > 5000 {
 			t.Fatalf("come back after %d ms", r.After)
 		}
@@ -72,17 +72,17 @@
 	g := newGate()
 	j := job("a", 10000)
 	for range 100 {
-		g.Ran(j, 3000)
+		g.ObserveRun(j, 3000)
 	}
-	if run := g.Run(j); run < 2800 || run > 3200 {
+	if run := g.EstimateRun(j); run < 2800 || run > 3200 {
 		t.Fatalf("runs of 3000 ms are expected to take %d", run)
 	}
 	for range 10 {
-		g.Ended("b", false)
+		g.ObserveEnd("b", false)
 	}
 	high := g.factor("b")
 	for range 10000 {
-		g.Ended("b", true)
+		g.ObserveEnd("b", true)
 	}
 	if high < 1.5 || g.factor("b") != leastMargin {
 		t.Fatalf("margin %v after late jobs, %v later", high, g.factor("b"))
@@ -97,7 +97,7 @@
 	for _, stall := range []float64{0, 0.3, 0.6, 1} {
 		j := job("a", 60000)
 		j.Stall = stall
-		got := g.Patience(1000, j)
+		got := g.LoadPatience(1000, j)
 		if got >= last {
 			t.Fatalf("patience %d at %v is no less than before", got, stall)
 		}
--- a/magno/gate/gate_test.go
+++ b/magno/gate/gate_test.go
@@ -134,7 +134,7 @@
 		t.Fatalf("%d of 10 prompts were admitted", len(at))
 	}
 	p := &h.gate.pacer
-	event := p.engine.Event()
+	event := p.engine.EventInterval()
 	span := 250 - event
 	for i, from := range at {
 		tokens := 0
--- a/magno/gate/pace.go
+++ b/magno/gate/pace.go
@@ -46,7 +46,7 @@
 // still decided here.
 type pacer struct {
 	// engine estimates the engine's speed.
-	engine learn.Engine
+	engine learn.Estimator
 	// maxGap is the shortest pause allowed to any stream, zero for no limit.
 	maxGap magno.Millis
 	recent []prefill
@@ -73,13 +73,13 @@
 // unspaced reports whether the engine's own scheduling of prompts keeps the pauses of all
 // streams within what is allowed.
 func (p *pacer) unspaced() bool {
-	return p.maxGap == 0 || pauseSlack*float64(p.engine.Pause()) <= (1-p.tightening)*float64(p.maxGap)
+	return p.maxGap == 0 || pauseSlack*float64(p.engine.PrefillPause()) <= (1-p.tightening)*float64(p.maxGap)
 }
 
 // recordPause takes the longest pause of a stream that has ended, and the allowed one. Engines
 // that prefill in larger chunks than usual show only here.
 func (p *pacer) recordPause(longest, gap, now magno.Millis) {
-	p.engine.Paused(longest)
+	p.engine.ObservePause(longest)
 	p.lastPauseAt = now
 	if longest > gap {
 		p.tightening = min(p.tightening+tightenStep, 1-minGapShare)
@@ -91,13 +91,13 @@
 // longestPause is the average longest pause of a stream. It decays while there are no streams,
 // so that an engine that was slow is tried again.
 func (p *pacer) longestPause(now magno.Millis) magno.Millis {
-	return magno.Millis(float64(p.engine.Longest()) * math.Exp2(-float64(now-p.lastPauseAt)/float64(pauseHalfLife)))
+	return magno.Millis(float64(p.engine.LongestPause()) * math.Exp2(-float64(now-p.lastPauseAt)/float64(pauseHalfLife)))
 }
 
 // window returns the length of a spacing window, and the time in it that may be spent on
 // prefill.
 func (p *pacer) window() (span, budget magno.Millis) {
-	event := p.engine.Event()
+	event := p.engine.EventInterval()
 	span = max(p.maxGap-event, p.maxGap/2, 1)
 	budget = max(span-event-windowSlack, magno.Millis(minPrefillShare*float64(span)), 1)
 	return span, budget
@@ -157,15 +157,15 @@
 func (p *pacer) discard(tokens int) { p.unreadTokens = max(p.unreadTokens-tokens, 0) }
 
 // observe takes the engine's reported state at a time.
-func (p *pacer) observe(runs []learn.Run, at magno.Millis) {
-	p.engine.Look(learn.Look{At: at, Runs: runs, Read: p.doneTokens, Unread: p.unreadTokens, Since: p.busySince})
+func (p *pacer) observe(runs []learn.Stream, at magno.Millis) {
+	p.engine.Observe(learn.Sample{At: at, Streams: runs, Read: p.doneTokens, Unread: p.unreadTokens, ReadStart: p.busySince})
 	p.doneTokens, p.observedAt = 0, at
 }
 
 // reset drops the work of an engine that has stopped.
 func (p *pacer) reset() {
 	p.recent, p.unreadTokens, p.doneTokens = nil, 0, 0
-	p.engine.Forget()
+	p.engine.Reset()
 }
 
 // expectedWait estimates when a prompt behind the given number of tokens would be prefilled.
@@ -183,5 +183,5 @@
 
 // prefillTime is how long the given number of tokens takes to prefill.
 func (p *pacer) prefillTime(tokens int) magno.Millis {
-	return magno.Millis(float64(tokens) / p.engine.Rate())
+	return magno.Millis(float64(tokens) / p.engine.PrefillRate())
 }
--- a/magno/gate/seen.go
+++ b/magno/gate/seen.go
@@ -11,10 +11,10 @@
 // have been prefilled. Requests that reached the engine without a permit are included, since
 // they also show its step times.
 func (g *Gate) updateProgress(r *magno.Report, asked magno.Millis) {
-	runs := make([]learn.Run, 0, len(r.Runs))
+	runs := make([]learn.Stream, 0, len(r.Runs))
 	eventsByID := make(map[string]int, len(r.Runs))
 	for _, run := range r.Runs {
-		runs = append(runs, learn.Run{ID: run.ID, Events: run.Events})
+		runs = append(runs, learn.Stream{ID: run.ID, Events: run.Events})
 		eventsByID[run.ID] = run.Events
 	}
 	for id, run := range g.active {
--- a/magno/gate/slots.go
+++ b/magno/gate/slots.go
@@ -106,7 +106,7 @@
 // decodeTime is the time to generate the given number of output tokens.
 func (g *Gate) decodeTime(tokens int) magno.Millis {
 	e := &g.pacer.engine
-	return magno.Millis(float64(tokens) / float64(max(e.Stride, 1)) * float64(e.Usual()))
+	return magno.Millis(float64(tokens) / float64(max(e.Stride, 1)) * float64(e.MeanEventInterval()))
 }
 
 // remainingTime is how long a running request still uses its adapter. Callers' estimates are
--- a/magno/gate/waits.go
+++ b/magno/gate/waits.go
@@ -74,7 +74,7 @@
 		Kept:     g.inventory.keptHashes(),
 		KeptWait: next - g.inventory.coldLoadTime() + g.inventory.warmLoadTime(),
 		Coming:   g.pendingHashes(missing),
-		Rate:     math.Round(g.pacer.engine.Rate()),
+		Rate:     math.Round(g.pacer.engine.PrefillRate()),
 		Pause:    g.pacer.longestPause(now),
 	}
 }
--- a/magno/learn/learn.go
+++ b/magno/learn/learn.go
@@ -18,9 +18,9 @@
 import "magnoliastall.example/magno"
 
 const (
-	// PriorRate is how many prompt tokens an engine reads in a millisecond until
+	// PriorPrefillRate is how many prompt tokens an engine reads in a millisecond until
 	// it shows, which takes a dozen prompts.
-	PriorRate = 32.0
+	PriorPrefillRate = 32.0
 	// priorStep is the time of a step that reads nothing, in ms. priorPiece is how
 	// many tokens are read at most between two steps; nothing shows it. Where an
 	// engine reads more at once, the pauses of its streams must correct what rests
@@ -42,33 +42,33 @@
 	mostRate  = 500.0
 )
 
-// Run is a request that makes events.
-type Run struct {
+// Stream is a request that makes events.
+type Stream struct {
 	ID string
 	// Events is how many it made.
 	Events int
 }
 
-// Look is what an engine shows at a moment.
-type Look struct {
+// Sample is what an engine shows at a moment.
+type Sample struct {
 	At magno.Millis
-	// Runs make events. Their order doesn't matter.
-	Runs []Run
+	// Streams make events. Their order doesn't matter.
+	Streams []Stream
 	// Read is how many prompt tokens were read since the last look, Unread how
 	// many of those that it was given are still to be read.
 	Read, Unread int
-	// Since is when it was given the first of what is or was being read, where
+	// ReadStart is when it was given the first of what is or was being read, where
 	// nothing was unread at the last look.
-	Since magno.Millis
+	ReadStart magno.Millis
 }
 
-// Engine is what is known of one. The zero value knows priors only. It isn't
+// Estimator is what is known of one. The zero value knows priors only. It isn't
 // safe for concurrent use.
-type Engine struct {
+type Estimator struct {
 	// Stride is how many tokens a stream's event holds, at least 1 once set.
 	Stride int
 
-	last Look
+	last Sample
 	seen bool
 	// from is when the reading began that goes on, tokens what was read in it.
 	from   magno.Millis
@@ -83,40 +83,40 @@
 	pauses mean
 }
 
-// Rate is how many prompt tokens it reads in a millisecond, the steps between
+// PrefillRate is how many prompt tokens it reads in a millisecond, the steps between
 // pieces counted in.
-func (e *Engine) Rate() float64 {
-	return min(max(1/e.read.slope(1/PriorRate), leastRate), mostRate)
+func (e *Estimator) PrefillRate() float64 {
+	return min(max(1/e.read.slope(1/PriorPrefillRate), leastRate), mostRate)
 }
 
-// Event is the time of a stream's event while no prompt is read.
-func (e *Engine) Event() magno.Millis {
+// EventInterval is the time of a stream's event while no prompt is read.
+func (e *Estimator) EventInterval() magno.Millis {
 	return magno.Millis(e.calm.value(priorStep * float64(max(e.Stride, 1))))
 }
 
-// Pause is the time between two events of a stream while prompts are read
+// PrefillPause is the time between two events of a stream while prompts are read
 // without a break, piece by piece.
-func (e *Engine) Pause() magno.Millis {
-	return magno.Millis(float64(max(e.Stride, 1)) * priorPiece / e.Rate())
+func (e *Estimator) PrefillPause() magno.Millis {
+	return magno.Millis(float64(max(e.Stride, 1)) * priorPiece / e.PrefillRate())
 }
 
-// Usual is the time between two events of a stream as it is on average.
-func (e *Engine) Usual() magno.Millis {
+// MeanEventInterval is the time between two events of a stream as it is on average.
+func (e *Estimator) MeanEventInterval() magno.Millis {
 	return magno.Millis(e.usual.value(usualTimes * priorStep * float64(max(e.Stride, 1))))
 }
 
-// Paused takes the longest pause between two events of a stream that ended.
-func (e *Engine) Paused(longest magno.Millis) { e.pauses.add(float64(longest)) }
+// ObservePause takes the longest pause between two events of a stream that ended.
+func (e *Estimator) ObservePause(longest magno.Millis) { e.pauses.add(float64(longest)) }
 
-// Longest is the longest pause of a stream on average, zero before the first ended.
-func (e *Engine) Longest() magno.Millis { return magno.Millis(e.pauses.value()) }
+// LongestPause is the longest pause of a stream on average, zero before the first ended.
+func (e *Estimator) LongestPause() magno.Millis { return magno.Millis(e.pauses.value()) }
 
-// Forget drops the last look: what ran is gone. The estimates are kept, for an
+// Reset drops the last look: what ran is gone. The estimates are kept, for an
 // engine that starts anew is still of its kind.
-func (e *Engine) Forget() { e.seen, e.from, e.tokens = false, 0, 0 }
+func (e *Estimator) Reset() { e.seen, e.from, e.tokens = false, 0, 0 }
 
-// Look takes what the engine shows now.
-func (e *Engine) Look(l Look) {
+// Observe takes what the engine shows now.
+func (e *Estimator) Observe(l Sample) {
 	was, seen := e.last, e.seen
 	e.last, e.seen = l, true
 	span := l.At - was.At
@@ -125,7 +125,7 @@
 		return
 	}
 	e.reading(&was, &l)
-	runs, made := sumEvents(was.Runs, l.Runs)
+	runs, made := sumEvents(was.Streams, l.Streams)
 	e.usual.add(float64(span)*float64(runs), float64(made))
 	if was.Unread == 0 && l.Unread == 0 && l.Read == 0 {
 		e.calm.add(float64(span)*float64(runs), float64(made))
@@ -135,9 +135,9 @@
 // reading follows one from its begin to its end. How long it took beside its
 // tokens (the way to the engine, the step under way, the time until a report
 // shows it) is the same for short and long ones, so the slope tells the rate.
-func (e *Engine) reading(was, l *Look) {
+func (e *Estimator) reading(was, l *Sample) {
 	if was.Unread == 0 && (l.Unread > 0 || l.Read > 0) {
-		e.from, e.tokens = max(l.Since, was.At), 0
+		e.from, e.tokens = max(l.ReadStart, was.At), 0
 	}
 	if e.from == 0 {
 		return
@@ -155,7 +155,7 @@
 
 // sumEvents counts the runs that are in both looks, and the events that they
 // made between them.
-func sumEvents(was, is []Run) (runs, made int) {
+func sumEvents(was, is []Stream) (runs, made int) {
 	before := make(map[string]int, len(was))
 	for _, r := range was {
 		before[r.ID] = r.Events
--- a/magno/pack/gzip.go
+++ b/magno/pack/gzip.go
@@ -36,10 +36,10 @@
 	return out.Bytes(), nil
 }
 
-// Plain returns the text of a published value, which may be compressed. One
+// Decompress returns the text of a published value, which may be compressed. One
 // that grows over limit bytes is an error: a small damaged or hostile value
 // could otherwise fill the memory of every reader.
-func Plain(value []byte, limit int) ([]byte, error) {
+func Decompress(value []byte, limit int) ([]byte, error) {
 	if !bytes.HasPrefix(value, magic) {
 		return value, nil
 	}
--- a/magno/pack/gzip_test.go
+++ b/magno/pack/gzip_test.go
@@ -12,7 +12,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		got, err := Plain(value, len(text))
+		got, err := Decompress(value, len(text))
 		if err != nil || !bytes.Equal(got, text) {
 			t.Fatalf("%d bytes came back as %d, %v", len(text), len(got), err)
 		}
@@ -26,10 +26,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Plain(value, 1<<20); err == nil {
+	if _, err := Decompress(value, 1<<20); err == nil {
 		t.Fatal("taken")
 	}
-	if _, err := Plain(value[:len(value)/2], 20<<20); err == nil {
+	if _, err := Decompress(value[:len(value)/2], 20<<20); err == nil {
 		t.Fatal("a value that is cut off was taken")
 	}
 }
--- a/magno/pack/pack.go
+++ b/magno/pack/pack.go
@@ -83,7 +83,7 @@
 		if data, err = squeeze(data); err != nil {
 			return nil, err
 		}
-		shard := Shard{Name: name, Sum: Sum(data)}
+		shard := Shard{Name: name, Sum: Checksum(data)}
 		index.Shards = append(index.Shards, shard)
 		out = append(out, Value{Key: shard.Key(), Data: data})
 	}
@@ -97,5 +97,5 @@
 	return append(out, Value{Key: IndexKey, Data: data}), nil
 }
 
-// Sum returns the hash of a shard's bytes as the index states it.
-func Sum(data []byte) string { return fmt.Sprintf("%016x", xxhash.Sum64(data)) }
+// Checksum returns the hash of a shard's bytes as the index states it.
+func Checksum(data []byte) string { return fmt.Sprintf("%016x", xxhash.Sum64(data)) }
--- a/magno/paths/paths.go
+++ b/magno/paths/paths.go
@@ -50,9 +50,9 @@
 	return nil
 }
 
-// Split chooses the service of a request by its attempt, so that its copies
+// PickService chooses the service of a request by its attempt, so that its copies
 // within one attempt go to one service.
-func Split(r *magno.Route, attempt string) string {
+func PickService(r *magno.Route, attempt string) string {
 	if len(r.Parts) == 1 {
 		return r.Parts[0].Service
 	}
--- a/magno/paths/paths_test.go
+++ b/magno/paths/paths_test.go
@@ -39,8 +39,8 @@
 	n := map[string]int{}
 	for i := range 10000 {
 		id := fmt.Sprint("attempt", i)
-		service := Split(r, id)
-		if again := Split(r, id); again != service {
+		service := PickService(r, id)
+		if again := PickService(r, id); again != service {
 			t.Fatal("an attempt changed its service")
 		}
 		n[service]++
--- a/magno/place/place.go
+++ b/magno/place/place.go
@@ -128,8 +128,8 @@
 	}
 }
 
-// Demand counts one request for ref.
-func (s *Slots) Demand(ref magno.Ref, now magno.Millis) {
+// AddDemand counts one request for ref.
+func (s *Slots) AddDemand(ref magno.Ref, now magno.Millis) {
 	if ref != (magno.Ref{}) {
 		s.demands.Add(ref, demand{score: s.score(ref, now) + 1, at: now})
 	}
@@ -143,9 +143,9 @@
 	return d.score * math.Exp2(-float64(now-d.at)/float64(max(s.HalfLife, 1)))
 }
 
-// Usable tells whether a load of ref may be ordered: it isn't held, and no
+// Loadable tells whether a load of ref may be ordered: it isn't held, and no
 // failed load is being waited out.
-func (s *Slots) Usable(ref magno.Ref, now magno.Millis) bool {
+func (s *Slots) Loadable(ref magno.Ref, now magno.Millis) bool {
 	if ref == (magno.Ref{}) || s.slots[ref] != nil {
 		return false
 	}
@@ -153,8 +153,8 @@
 	return !ok || now >= f.until
 }
 
-// Retry is how long a failed load of ref is still waited out.
-func (s *Slots) Retry(ref magno.Ref, now magno.Millis) magno.Millis {
+// RetryDelay is how long a failed load of ref is still waited out.
+func (s *Slots) RetryDelay(ref magno.Ref, now magno.Millis) magno.Millis {
 	f, _ := s.failures.Peek(ref)
 	return max(f.until-now, 0)
 }
@@ -171,8 +171,8 @@
 // Free counts empty slots.
 func (s *Slots) Free() int { return s.Size - len(s.slots) }
 
-// Begin takes a free slot for the load of ref.
-func (s *Slots) Begin(ref magno.Ref) {
+// BeginLoad takes a free slot for the load of ref.
+func (s *Slots) BeginLoad(ref magno.Ref) {
 	s.slots[ref] = &slot{state: loading}
 	s.inFlight++
 }
@@ -220,9 +220,9 @@
 	}
 }
 
-// Lose forgets a loaded adapter that the upstream holds no more; one that is
+// Forget forgets a loaded adapter that the upstream holds no more; one that is
 // in use or in transition stays.
-func (s *Slots) Lose(ref magno.Ref) bool {
+func (s *Slots) Forget(ref magno.Ref) bool {
 	sl := s.slots[ref]
 	if sl == nil || sl.state != loaded || sl.pins > 0 {
 		return false
--- a/magno/place/place_test.go
+++ b/magno/place/place_test.go
@@ -15,10 +15,10 @@
 func held(n int) *Slots {
 	s := New(n, DefaultHalfLife, 1)
 	for i := range n {
-		s.Begin(ref(i))
+		s.BeginLoad(ref(i))
 		s.Loaded(ref(i), true, 0)
 		for range i {
-			s.Demand(ref(i), 0)
+			s.AddDemand(ref(i), 0)
 		}
 	}
 	return s
@@ -36,7 +36,7 @@
 		{"least demand", func(*Slots) {}, 1, none, ref(0), true},
 		{"old demand fades", func(s *Slots) {
 			for range 5 {
-				s.Demand(ref(0), 10*DefaultHalfLife)
+				s.AddDemand(ref(0), 10*DefaultHalfLife)
 			}
 		}, 1, none, ref(1), true},
 		{"in use for long", func(s *Slots) { s.Pin(ref(0), 0, magno.Hour) }, 1, none, ref(1), true},
@@ -44,7 +44,7 @@
 			s.Pin(ref(0), 10*DefaultHalfLife, 100)
 			for i := 1; i < 3; i++ {
 				for range 50 {
-					s.Demand(ref(i), 10*DefaultHalfLife)
+					s.AddDemand(ref(i), 10*DefaultHalfLife)
 				}
 			}
 		}, 1, none, ref(0), false},
@@ -73,13 +73,13 @@
 	s := New(1, DefaultHalfLife, 1)
 	now, waits := magno.Millis(0), []magno.Millis{}
 	for range 12 {
-		if !s.Usable(ref(0), now) {
+		if !s.Loadable(ref(0), now) {
 			t.Fatal("not usable after its wait")
 		}
-		s.Begin(ref(0))
+		s.BeginLoad(ref(0))
 		s.Loaded(ref(0), false, now)
-		wait := s.Retry(ref(0), now)
-		if s.Usable(ref(0), now) || s.Free() != 1 {
+		wait := s.RetryDelay(ref(0), now)
+		if s.Loadable(ref(0), now) || s.Free() != 1 {
 			t.Fatal("tried again at once, or the slot is lost")
 		}
 		waits = append(waits, wait)
--- a/magno/plain/plain.go
+++ b/magno/plain/plain.go
@@ -25,20 +25,20 @@
 	headerLimit = 16 << 10
 )
 
-// Plain is a plain service as its agent sees it. It implements
+// Upstream is a plain service as its agent sees it. It implements
 // magno.Upstream; the orders about adapters do nothing.
-type Plain struct {
+type Upstream struct {
 	// Address is the service's IP and port.
 	Address string
 	Client  *http.Client
 }
 
 func init() {
-	magno.Register(magno.SortUpstream, string(magno.PoolPlain), func() any { return &Plain{} })
+	magno.Register(magno.SortUpstream, string(magno.PoolPlain), func() any { return &Upstream{} })
 }
 
 // SetAddress sets where the service listens; it takes no fence.
-func (p *Plain) SetAddress(address string, _ int64) {
+func (p *Upstream) SetAddress(address string, _ int64) {
 	p.Address = address
 	p.Client = &http.Client{CheckRedirect: model.NewClient().CheckRedirect, Transport: &http.Transport{
 		DialContext:            (&net.Dialer{Timeout: time.Second}).DialContext,
@@ -51,7 +51,7 @@
 
 // Run makes the call. Unless the request was never written, an error means
 // that it may have run.
-func (p *Plain) Run(ctx context.Context, w magno.Work, emit func(magno.Piece)) (magno.Result, error) {
+func (p *Upstream) Run(ctx context.Context, w magno.Work, emit func(magno.Piece)) (magno.Result, error) {
 	var written atomic.Bool
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { written.Store(true) }}
 	ctx = httptrace.WithClientTrace(ctx, trace)
@@ -106,13 +106,13 @@
 }
 
 // Load does nothing.
-func (p *Plain) Load(context.Context, magno.Ref, int64) error { return nil }
+func (p *Upstream) Load(context.Context, magno.Ref, int64) error { return nil }
 
 // Unload does nothing.
-func (p *Plain) Unload(context.Context, magno.Ref, int64) error { return nil }
+func (p *Upstream) Unload(context.Context, magno.Ref, int64) error { return nil }
 
 // Probe implements magno.Upstream.
-func (p *Plain) Probe(ctx context.Context) (magno.Probe, error) {
+func (p *Upstream) Probe(ctx context.Context) (magno.Probe, error) {
 	var r struct {
 		Boot  int64 `json:"boot"`
 		Batch int   `json:"batch"`
--- a/magno/plain/plain_test.go
+++ b/magno/plain/plain_test.go
@@ -58,7 +58,7 @@
 		{"redirect", "HTTP/1.1 302 Found\r\nLocation: http://127.0.0.1:1/\r\nContent-Length: 0\r\n\r\n", magno.KindFailed, magno.RunUnknown},
 	}
 	for _, tt := range tests {
-		p := &Plain{}
+		p := &Upstream{}
 		p.SetAddress(serve(t, tt.answer), 0)
 		check(t, tt.name, p, tt.kind, tt.run)
 	}
@@ -67,12 +67,12 @@
 		t.Fatal(err)
 	}
 	_ = listener.Close()
-	p := &Plain{}
+	p := &Upstream{}
 	p.SetAddress(listener.Addr().String(), 0)
 	check(t, "gone", p, magno.KindNoUpstream, magno.RunNo)
 }
 
-func check(t *testing.T, name string, p *Plain, kind magno.Kind, run magno.Run) {
+func check(t *testing.T, name string, p *Upstream, kind magno.Kind, run magno.Run) {
 	t.Helper()
 	emitted := ""
 	result, err := p.Run(context.Background(), magno.Work{Path: "c", Body: "b"}, func(piece magno.Piece) { emitted += piece.Text })
--- a/magno/route/bench_test.go
+++ b/magno/route/bench_test.go
@@ -74,7 +74,7 @@
 	}
 }
 
-func loadedRoute(targets, adapters int) (*Route, []magno.Ref) {
+func loadedRoute(targets, adapters int) (*Router, []magno.Ref) {
 	r, _ := newRoute(targets)
 	refs := make([]magno.Ref, adapters)
 	for i := range refs {
--- a/magno/route/choose.go
+++ b/magno/route/choose.go
@@ -25,12 +25,12 @@
 }
 
 // Route returns names in order of preference, at most a few.
-func (r *Route) Route(q magno.Query) []string { return r.Choose(q).Names }
+func (r *Router) Route(q magno.Query) []string { return r.Choose(q).Names }
 
 // Choose returns names in order of preference, at most a few, and how long a wait
 // the first is worth. The work is the same in a fleet of any size: a fixed number
 // of candidates is looked at.
-func (r *Route) Choose(q magno.Query) magno.Choice {
+func (r *Router) Choose(q magno.Query) magno.Choice {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.setup()
@@ -76,7 +76,7 @@
 
 // any adds candidates for work without an adapter: any target will do, so
 // each request looks at its own few.
-func (r *Route) any(q *query) {
+func (r *Router) any(q *query) {
 	key := r.rand.Uint64()
 	for nth := range 2 * most {
 		r.add(q, r.ring.find(key, nth), 0)
@@ -85,14 +85,14 @@
 
 // addHolders adds targets that hold the adapter. A prompt's start chooses the
 // first of them, so that its cached prefix is found again.
-func (r *Route) addHolders(q *query) {
+func (r *Router) addHolders(q *query) {
 	list := r.holders[q.hash]
 	if len(list) == 0 {
 		return
 	}
 	first, step := r.rand.Uint64(), magno.Millis(0)
 	if q.Prefix != 0 {
-		first, step = mix(q.Prefix), r.Tuning.Prefix
+		first, step = mix(q.Prefix), r.Tuning.PrefixStep
 	}
 	first %= uint64(len(list))
 	for i := range min(held, len(list)) {
@@ -102,7 +102,7 @@
 }
 
 // addKeepers adds targets that have the adapter in their memory.
-func (r *Route) addKeepers(q *query) {
+func (r *Router) addKeepers(q *query) {
 	list := r.keepers[q.hash]
 	for _, p := range list[:min(kept, len(list))] {
 		r.add(q, p, 0)
@@ -120,7 +120,7 @@
 // each would be full as soon as its load ends. So the candidates begin at one of as
 // many as there are replicas: their number doubles with each load, and an adapter
 // with one replica or none still has the same home for all.
-func (r *Route) addHashed(q *query) {
+func (r *Router) addHashed(q *query) {
 	skip, found, extra := 0, 0, magno.Millis(0)
 	if n := len(r.holders[q.hash]); n > 1 {
 		skip = r.rand.IntN(n)
@@ -139,15 +139,15 @@
 		if !r.add(q, p, extra) {
 			continue
 		}
-		extra += r.Tuning.Order
-		if ready && lateAt(q, p) < float64(r.Tuning.Order) {
+		extra += r.Tuning.HashStep
+		if ready && lateAt(q, p) < float64(r.Tuning.HashStep) {
 			found++
 		}
 	}
 }
 
 // add adds a candidate once; it returns whether it did.
-func (r *Route) add(q *query, p *peer, extra magno.Millis) bool {
+func (r *Router) add(q *query, p *peer, extra magno.Millis) bool {
 	if p == nil || !p.usable() || slices.Contains(q.Avoid, p.name) {
 		return false
 	}
@@ -164,13 +164,13 @@
 
 // costOf is the time that work is expected to take at p, over that at an idle
 // target that holds the adapter.
-func (r *Route) costOf(q *query, p *peer) float64 {
+func (r *Router) costOf(q *query, p *peer) float64 {
 	wait := r.busyAt(p) + r.waitAt(q, p)
 	if slow := p.factor(q.now) - 1; slow > 0 {
 		wait += slow * math.Exp(r.pace) * float64(q.Work)
 	}
 	if p.dc != q.DataCentre {
-		wait += float64(r.Tuning.Far)
+		wait += float64(r.Tuning.RemoteCost)
 	}
 	return wait + lateAt(q, p)
 }
@@ -192,16 +192,16 @@
 
 // busyAt is the cost of work sent since the last report, and of all that p has
 // to do.
-func (r *Route) busyAt(p *peer) float64 {
+func (r *Router) busyAt(p *peer) float64 {
 	cost := r.cost
 	if p.report.Rate > 0 {
 		cost = 1 / p.report.Rate
 	}
-	return (float64(p.fresh) + r.Tuning.Busy*float64(max(p.report.Work, p.open))) * cost
+	return (float64(p.fresh) + r.Tuning.WorkWeight*float64(max(p.report.Work, p.open))) * cost
 }
 
 // waitAt is the wait that p reported, aged, for a place and for the adapter.
-func (r *Route) waitAt(q *query, p *peer) float64 {
+func (r *Router) waitAt(q *query, p *peer) float64 {
 	wait := float64(p.placeWait(q.Customer)) * half(q.now-p.at, reportHalf)
 	if q.hash == 0 {
 		return wait
@@ -210,11 +210,11 @@
 		return wait
 	}
 	if _, coming := slices.BinarySearch(p.report.Coming, q.hash); coming {
-		return max(wait, float64(r.Tuning.Load))
+		return max(wait, float64(r.Tuning.MinLoad))
 	}
 	if _, kept := slices.BinarySearch(p.report.Kept, q.hash); kept {
-		return max(wait, float64(min(p.report.KeptWait, q.most))) + float64(r.Tuning.Margin)
+		return max(wait, float64(min(p.report.KeptWait, q.most))) + float64(r.Tuning.LoadMargin)
 	}
-	load := min(max(p.report.LoadWait, r.Tuning.Load), q.most)
-	return max(wait, float64(load)) + float64(r.Tuning.Margin)
+	load := min(max(p.report.LoadWait, r.Tuning.MinLoad), q.most)
+	return max(wait, float64(load)) + float64(r.Tuning.LoadMargin)
 }
--- a/magno/route/home.go
+++ b/magno/route/home.go
@@ -27,7 +27,7 @@
 	homeTries = 4
 )
 
-var _ magno.Homer = (*Route)(nil)
+var _ magno.Homer = (*Router)(nil)
 
 // home is a candidate for a key: the fewest steps of wait first, then by hash.
 type home struct {
@@ -45,7 +45,7 @@
 // is safe. An adapter has as many homes as upstreams hold it, and one more
 // once their waits exceed a load; with a fixed number its hottest adapters
 // would find their homes full beside idle upstreams.
-func (r *Route) Homes(asked magno.Query, key string, n int) []string {
+func (r *Router) Homes(asked magno.Query, key string, n int) []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.setup()
@@ -72,7 +72,7 @@
 
 // homesOf lists the holders of an adapter and its hash candidates in the
 // key's order.
-func (r *Route) homesOf(asked magno.Query, key uint64) []home {
+func (r *Router) homesOf(asked magno.Query, key uint64) []home {
 	q := &query{Query: asked, now: r.Clock.Now(), hash: asked.Ref.Hash(), most: homeLoad}
 	holders := r.holders[q.hash]
 	homes := make([]home, 0, homeHeld+hashed)
--- a/magno/route/home_test.go
+++ b/magno/route/home_test.go
@@ -20,7 +20,7 @@
 // reports of load. Both entries must bring it to the same agent first, or the
 // second one has to ask the witnesses what the first did.
 func TestHomesAgreeBetweenEntries(t *testing.T) {
-	a, b := &Route{Seed: 1}, &Route{Seed: 2}
+	a, b := &Router{Seed: 1}, &Router{Seed: 2}
 	a.Update(targets(13))
 	b.Update(targets(13))
 	for i := range 13 {
@@ -45,7 +45,7 @@
 // One agent leaves. Only its own keys may move: others would lose the ledger
 // that knows them.
 func TestHomesMoveOnlyWithTheirTarget(t *testing.T) {
-	r := &Route{}
+	r := &Router{}
 	r.Update(targets(13))
 	before := map[string]string{}
 	for i := range 500 {
@@ -65,7 +65,7 @@
 func BenchmarkHomes(b *testing.B) {
 	for _, n := range []int{18, 10000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			r := &Route{}
+			r := &Router{}
 			r.Update(targets(n))
 			for i := 0; b.Loop(); i++ {
 				r.Homes(magno.Query{Ref: magno.Ref{Adapter: "a"}}, fmt.Sprint(i), 3)
--- a/magno/route/route.go
+++ b/magno/route/route.go
@@ -52,23 +52,23 @@
 
 // Tuning holds what measurements set; zero values mean the defaults.
 type Tuning struct {
-	// Margin is how much longer than a load the wait at the holders must be
+	// LoadMargin is how much longer than a load the wait at the holders must be
 	// until another target loads the adapter, in milliseconds.
-	Margin magno.Millis
-	// Order is the cost of each further hash candidate: entries agree on the
+	LoadMargin magno.Millis
+	// HashStep is the cost of each further hash candidate: entries agree on the
 	// first unless its wait is longer by that much.
-	Order magno.Millis
-	// Prefix is the cost of leaving the holder that a prompt's start chooses.
-	Prefix magno.Millis
-	// Far is the cost of another data centre.
-	Far magno.Millis
-	// Busy is the share of a target's outstanding work that counts as cost.
-	Busy float64
-	// Load is the least wait for a load that counts, whatever was reported.
-	Load magno.Millis
-	// Token is by how many milliseconds a token of work delays others at a
+	HashStep magno.Millis
+	// PrefixStep is the cost of leaving the holder that a prompt's start chooses.
+	PrefixStep magno.Millis
+	// RemoteCost is the cost of another data centre.
+	RemoteCost magno.Millis
+	// WorkWeight is the share of a target's outstanding work that counts as cost.
+	WorkWeight float64
+	// MinLoad is the least wait for a load that counts, whatever was reported.
+	MinLoad magno.Millis
+	// TokenDelay is by how many milliseconds a token of work delays others at a
 	// target; zero means that it is learned from answers.
-	Token float64
+	TokenDelay float64
 }
 
 // Defaults, with their grounds in docs/DECIDE.md.
@@ -83,11 +83,11 @@
 )
 
 func init() {
-	magno.Register(magno.SortRouter, Plugin, func() any { return &Route{} })
+	magno.Register(magno.SortRouter, Plugin, func() any { return &Router{} })
 }
 
-// Route implements magno.Router. Its exported fields are set before use.
-type Route struct {
+// Router implements magno.Router. Its exported fields are set before use.
+type Router struct {
 	// Clock may be nil: the machine's clock.
 	Clock *magno.Clock
 	// Seed makes the choice among equals differ between entries.
@@ -109,20 +109,20 @@
 	list []scored
 }
 
-func (r *Route) setup() {
+func (r *Router) setup() {
 	if r.rand != nil {
 		return
 	}
 	t := &r.Tuning
-	defaultTo(&t.Margin, defaultMargin)
-	defaultTo(&t.Order, defaultOrder)
-	defaultTo(&t.Prefix, defaultPrefix)
-	defaultTo(&t.Far, defaultFar)
-	defaultTo(&t.Load, defaultLoad)
-	if t.Busy == 0 {
-		t.Busy = defaultBusy
+	defaultTo(&t.LoadMargin, defaultMargin)
+	defaultTo(&t.HashStep, defaultOrder)
+	defaultTo(&t.PrefixStep, defaultPrefix)
+	defaultTo(&t.RemoteCost, defaultFar)
+	defaultTo(&t.MinLoad, defaultLoad)
+	if t.WorkWeight == 0 {
+		t.WorkWeight = defaultBusy
 	}
-	r.cost = t.Token
+	r.cost = t.TokenDelay
 	r.rand = rand.New(rand.NewPCG(r.Seed, 2))
 	r.peers, r.holders, r.keepers = map[string]*peer{}, index{}, index{}
 	r.ring = newRing(nil)
@@ -135,7 +135,7 @@
 }
 
 // Update replaces the targets. What is known of those that stay is kept.
-func (r *Route) Update(targets []magno.Target) {
+func (r *Router) Update(targets []magno.Target) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.setup()
@@ -162,7 +162,7 @@
 }
 
 // Report takes the backlog that rode on an answer of name.
-func (r *Route) Report(name string, b magno.Backlog) {
+func (r *Router) Report(name string, b magno.Backlog) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	p := r.peers[name]
@@ -174,14 +174,14 @@
 }
 
 // hold brings the indexes up to what p reported.
-func (r *Route) hold(p *peer, held, kept []uint32) {
+func (r *Router) hold(p *peer, held, kept []uint32) {
 	r.holders.change(p, p.report.Warm, held)
 	r.keepers.change(p, p.report.Kept, kept)
 	p.report.Warm, p.report.Kept = held, kept
 }
 
 // Sent tells that work was sent; less than none takes back what was not.
-func (r *Route) Sent(name string, work int) {
+func (r *Router) Sent(name string, work int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if p := r.peers[name]; p != nil {
@@ -192,7 +192,7 @@
 
 // Ended tells that work was answered after took; ok is false when the target
 // failed or couldn't be reached.
-func (r *Route) Ended(name string, work int, took magno.Millis, ok bool) {
+func (r *Router) Ended(name string, work int, took magno.Millis, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	p := r.peers[name]
@@ -206,7 +206,7 @@
 	if !ok || work <= 0 || took < refusedIn {
 		return
 	}
-	if r.Tuning.Token > 0 {
+	if r.Tuning.TokenDelay > 0 {
 		return
 	}
 	pace := math.Log(float64(took) / float64(work))
@@ -225,4 +225,4 @@
 // any run on an engine, more than a way there and back.
 const refusedIn = 20 * magno.Millis(1)
 
-var _ magno.Chooser = (*Route)(nil)
+var _ magno.Chooser = (*Router)(nil)
--- a/magno/route/route_test.go
+++ b/magno/route/route_test.go
@@ -19,9 +19,9 @@
 	return targets
 }
 
-func newRoute(n int) (*Route, *magno.Clock) {
+func newRoute(n int) (*Router, *magno.Clock) {
 	clock := magno.NewClock(1_000_000)
-	r := &Route{Clock: clock, Seed: 1}
+	r := &Router{Clock: clock, Seed: 1}
 	r.Update(fleet(n))
 	return r, clock
 }
@@ -130,7 +130,7 @@
 }
 
 // first counts how many of n routes name each target first.
-func first(r *Route, n int, q magno.Query) map[string]int {
+func first(r *Router, n int, q magno.Query) map[string]int {
 	counts := map[string]int{}
 	for range n {
 		if names := r.Route(q); len(names) > 0 {
@@ -271,7 +271,7 @@
 // which all others wait for as well.
 func TestKeptAdapterIsLoadedWhereItIsKept(t *testing.T) {
 	clock := magno.NewClock(1_000_000)
-	r := &Route{Clock: clock, Seed: 1, Tuning: Permitted()}
+	r := &Router{Clock: clock, Seed: 1, Tuning: PermitTuning()}
 	r.Update(fleet(18))
 	home := r.Route(magno.Query{Ref: ref(1)})[0]
 	keeper := "u3"
@@ -299,7 +299,7 @@
 // and the difference; told so, it can say when that has changed since its report.
 func TestChoiceTellsWhatTheFirstIsWorth(t *testing.T) {
 	clock := magno.NewClock(1_000_000)
-	r := &Route{Clock: clock, Seed: 1, Tuning: Permitted()}
+	r := &Router{Clock: clock, Seed: 1, Tuning: PermitTuning()}
 	r.Update(fleet(2))
 	warm := []uint32{ref(1).Hash()}
 	r.Report("u0", magno.Backlog{Warm: warm, Wait: 100})
@@ -318,7 +318,7 @@
 // ask, it would take the place of one that is well, and requests were refused since
 // all that they asked were down.
 func TestTargetThatIsDownIsNotNamed(t *testing.T) {
-	r := &Route{Clock: magno.NewClock(magno.Hour)}
+	r := &Router{Clock: magno.NewClock(magno.Hour)}
 	var targets []magno.Target
 	for i := range 20 {
 		targets = append(targets, magno.Target{Name: fmt.Sprint("t", i)})
@@ -341,7 +341,7 @@
 // among them. They take seconds to load it. If they counted as candidates, its
 // requests would go on waiting at a full holder beside idle engines.
 func TestTargetsWithoutBaseModelDoNotCount(t *testing.T) {
-	r := &Route{Clock: magno.NewClock(magno.Hour)}
+	r := &Router{Clock: magno.NewClock(magno.Hour)}
 	targets := fleet(20)
 	r.Update(targets)
 	q := magno.Query{Ref: magno.Ref{Adapter: "m/a"}}
@@ -364,7 +364,7 @@
 	for _, c := range []struct{ holders, least, most int }{{0, 1, 1}, {1, 1, 1}, {4, 3, 4}, {12, 8, 12}} {
 		next := map[string]bool{}
 		for seed := range uint64(60) {
-			r := &Route{Clock: magno.NewClock(magno.Hour), Seed: seed}
+			r := &Router{Clock: magno.NewClock(magno.Hour), Seed: seed}
 			r.Update(fleet(60))
 			for i := range c.holders {
 				r.Report(fmt.Sprint("u", i), magno.Backlog{Warm: []uint32{q.Ref.Hash()}, Wait: magno.Minute})
--- a/magno/route/tuning.go
+++ b/magno/route/tuning.go
@@ -31,13 +31,15 @@
 	plainBusy = 1.0
 )
 
-// Permitted is the tuning for engines whose agents let each request begin, and
+// PermitTuning is the tuning for engines whose agents let each request begin, and
 // tell how fast prompts are read.
-func Permitted() Tuning {
+func PermitTuning() Tuning {
 	return Tuning{
-		Margin: loadMargin, Order: nextHome, Prefix: prefixStep, Far: farCost, Load: leastLoad, Token: 1 / learn.PriorRate,
+		LoadMargin: loadMargin, HashStep: nextHome, PrefixStep: prefixStep, RemoteCost: farCost, MinLoad: leastLoad, TokenDelay: 1 / learn.PriorPrefillRate,
 	}
 }
 
-// Plain is the tuning for services whose requests differ little.
-func Plain() Tuning { return Tuning{Far: farCost, Token: plainToken, Busy: plainBusy} }
+// PlainTuning is the tuning for services whose requests differ little.
+func PlainTuning() Tuning {
+	return Tuning{RemoteCost: farCost, TokenDelay: plainToken, WorkWeight: plainBusy}
+}
--- a/magno/sched/loads.go
+++ b/magno/sched/loads.go
@@ -37,13 +37,13 @@
 		s.queue.MarkUnready(victim)
 		return append(orders, magno.Order{Kind: magno.OrderUnload, Ref: victim})
 	}
-	if s.queue.Queued(s.reservedFor) > 0 && s.slots.Usable(s.reservedFor, now) {
+	if s.queue.Queued(s.reservedFor) > 0 && s.slots.Loadable(s.reservedFor, now) {
 		ref = s.reservedFor
 	}
 	s.turnUntil, s.reservedFor = 0, magno.Ref{}
-	s.slots.Begin(ref)
+	s.slots.BeginLoad(ref)
 	s.loadStarted = now
-	s.gate.Begun(now, harm)
+	s.gate.ObserveLoadStart(now, harm)
 	return append(orders, magno.Order{Kind: magno.OrderLoad, Ref: ref})
 }
 
@@ -53,7 +53,7 @@
 	if s.slots.InFlight() > 0 || s.queue.Unready() == 0 || s.Limits.Slots <= 0 {
 		return share.PendingLoad{}, false
 	}
-	return s.queue.MostHarmful(now, func(ref magno.Ref) bool { return s.slots.Usable(ref, now) })
+	return s.queue.MostHarmful(now, func(ref magno.Ref) bool { return s.slots.Loadable(ref, now) })
 }
 
 // victim returns the adapter to evict for a pending load with the given harm. An
--- a/magno/sched/next.go
+++ b/magno/sched/next.go
@@ -32,12 +32,12 @@
 	for it := s.queue.Expired(now); it != nil; it = s.queue.Expired(now) {
 		s.queue.Remove(it.Job.ID)
 		if s.slots.Ready(it.Job.Ref) {
-			s.gate.Ended(it.Job.Customer, false)
+			s.gate.ObserveEnd(it.Job.Customer, false)
 		} else {
-			s.gate.LoadLate()
+			s.gate.ObserveLateLoad()
 		}
 		r := magno.Refuse(magno.KindDeadline, "it can't end before its deadline any more").
-			Later(s.gate.Wait(s.queue.ReadyRun(), 0, it.Run))
+			Later(s.gate.EstimateWait(s.queue.ReadyRun(), 0, it.Run))
 		orders = append(orders, magno.Order{Kind: magno.OrderRefuse, Job: it.Job, Ref: it.Job.Ref, Refusal: r})
 	}
 	return orders
--- a/magno/sched/report.go
+++ b/magno/sched/report.go
@@ -37,7 +37,7 @@
 		work += max(r.job.Prompt+r.job.Output-r.generated, 0)
 	}
 	b := magno.Backlog{
-		Wait:   s.gate.Wait(s.queue.ReadyRun(), s.batcher.FreePlaces(len(s.runs)), magno.Millis(s.meanRun)),
+		Wait:   s.gate.EstimateWait(s.queue.ReadyRun(), s.batcher.FreePlaces(len(s.runs)), magno.Millis(s.meanRun)),
 		Queued: s.queue.Len(), Running: len(s.runs), Work: work,
 		Pinned: s.slots.Pinned(), Held: s.slots.Held(),
 		Customer: s.queue.Customers(), Waits: s.waitsByCustomer(),
@@ -56,7 +56,7 @@
 	run := magno.Millis(s.meanRun)
 	ahead := s.queue.AheadByCustomer()
 	for name, work := range ahead {
-		ahead[name] = s.gate.Wait(work, s.batcher.FreePlaces(len(s.runs)), run)
+		ahead[name] = s.gate.EstimateWait(work, s.batcher.FreePlaces(len(s.runs)), run)
 	}
 	return ahead
 }
--- a/magno/sched/sched.go
+++ b/magno/sched/sched.go
@@ -77,7 +77,7 @@
 	Tuning   Tuning
 
 	queue   *share.Queue
-	gate    admit.Gate
+	gate    admit.Controller
 	batcher batch.Batcher
 	slots   *place.Slots
 	// runs holds the started jobs by ID. Each job with an adapter holds one pin on it.
@@ -106,7 +106,7 @@
 		return
 	}
 	t := &s.Tuning
-	setDefault(&t.MaxQueued, admit.DefaultQueued)
+	setDefault(&t.MaxQueued, admit.DefaultMaxQueued)
 	setDefault(&t.Boost, share.DefaultBoost)
 	setDefault(&t.Fill, batch.DefaultFill)
 	setDefault(&t.Hold, batch.DefaultHold)
@@ -118,7 +118,7 @@
 		s.Suspects = &crash.Suspects{Clock: s.Clock}
 	}
 	s.queue = share.New(s.Weights, t.Boost)
-	s.gate = admit.Gate{Limits: s.Limits, Queued: t.MaxQueued}
+	s.gate = admit.Controller{Limits: s.Limits, MaxQueued: t.MaxQueued}
 	s.batcher = batch.Batcher{Batch: s.Limits.Batch, Fill: t.Fill, Hold: s.batchHold(), LongShare: t.LongShare}
 	s.slots = place.New(s.Limits.Slots, t.HalfLife, s.Seed)
 	s.runs = map[string]*run{}
@@ -156,29 +156,29 @@
 		return magno.Refuse(magno.KindSuspect, "requests like it crashed upstreams")
 	}
 	now := s.Clock.Now()
-	s.slots.Demand(job.Ref, now)
-	run := s.gate.Run(&job)
-	if r := s.gate.Offer(now, &job, s.admissionView(&job, run, now)); r != nil {
+	s.slots.AddDemand(job.Ref, now)
+	run := s.gate.EstimateRun(&job)
+	if r := s.gate.Admit(now, &job, s.admissionView(&job, run, now)); r != nil {
 		return r
 	}
-	it := &share.Item{Job: job, Run: run, Patience: s.gate.Patience(now, &job), Long: s.isLong(run), Exclusive: s.Suspects.MustRunAlone(job.Print)}
+	it := &share.Item{Job: job, Run: run, Patience: s.gate.LoadPatience(now, &job), Long: s.isLong(run), Exclusive: s.Suspects.MustRunAlone(job.Print)}
 	s.queue.Add(it, s.slots.Ready(job.Ref), job.Deadline-run)
 	return nil
 }
 
 // admissionView collects what the admission of a job depends on.
-func (s *Sched) admissionView(job *magno.Job, run, now magno.Millis) admit.View {
+func (s *Sched) admissionView(job *magno.Job, run, now magno.Millis) admit.State {
 	ahead := s.queue.Ahead(job, run)
-	patience := s.gate.Patience(now, job)
+	patience := s.gate.LoadPatience(now, job)
 	s.meanPatience += meanGain * (float64(patience) - s.meanPatience)
 	wanted := s.queue.Unready()
 	if s.queue.Queued(job.Ref) > 0 {
 		wanted = 0
 	}
-	return admit.View{
+	return admit.State{
 		Wanted: wanted,
 		Queued: s.queue.Len(), Free: s.batcher.FreePlaces(len(s.runs)),
-		Held: s.batcher.MaxHold(job), Ahead: ahead.Run, Over: ahead.OverShare, Load: s.loadWait(job.Ref, patience, now), Patience: patience,
+		Hold: s.batcher.MaxHold(job), Ahead: ahead.Run, OverShare: ahead.OverShare, LoadWait: s.loadWait(job.Ref, patience, now), Patience: patience,
 	}
 }
 
@@ -190,12 +190,12 @@
 	case s.slots.Loading(ref):
 		return max(s.Limits.Load-(now-s.loadStarted), 1)
 	}
-	level := s.gate.Level(now)
+	level := s.gate.LoadThreshold(now)
 	if w, ok := s.mostHarmful(now); ok {
 		level = max(level, w.Harm/float64(w.Jobs)) // the mean harm that queued jobs have by now
 	}
 	wait, before := s.queue.TimeToHarm(level, ref, patience, now)
-	return s.gate.LoadWait(wait, before) + s.slots.Retry(ref, now)
+	return s.gate.EstimateLoadWait(wait, before) + s.slots.RetryDelay(ref, now)
 }
 
 // Tokens records that a running job generated n more tokens.
@@ -226,8 +226,8 @@
 	if r.generated > 0 {
 		r.job.Output = r.generated
 	}
-	s.gate.Ran(&r.job, now-r.started)
-	s.gate.Ended(r.job.Customer, now <= r.job.Deadline)
+	s.gate.ObserveRun(&r.job, now-r.started)
+	s.gate.ObserveEnd(r.job.Customer, now <= r.job.Deadline)
 	s.Suspects.Clear(r.job.Print)
 }
 
--- a/magno/sched/tuner.go
+++ b/magno/sched/tuner.go
@@ -37,7 +37,7 @@
 	now := s.Clock.Now()
 	known := s.slots.Holds()
 	for ref, pinned := range known {
-		if !pinned && !slices.Contains(held, ref) && s.slots.Lose(ref) {
+		if !pinned && !slices.Contains(held, ref) && s.slots.Forget(ref) {
 			s.queue.MarkUnready(ref)
 		}
 	}
@@ -45,7 +45,7 @@
 		if _, ok := known[ref]; ok || s.slots.Free() <= 0 {
 			continue
 		}
-		s.slots.Begin(ref)
+		s.slots.BeginLoad(ref)
 		if s.slots.Loaded(ref, true, now) {
 			s.queue.MarkReady(ref)
 		}
--- a/magno/watch/load.go
+++ b/magno/watch/load.go
@@ -134,10 +134,10 @@
 	if err != nil {
 		return check.Shard{}, err
 	}
-	if sum := pack.Sum(data); sum != s.Sum {
+	if sum := pack.Checksum(data); sum != s.Sum {
 		return check.Shard{}, fmt.Errorf("shard %s has sum %s, the index says %s", s.Name, sum, s.Sum)
 	}
-	text, err := pack.Plain(data, check.MaxShard)
+	text, err := pack.Decompress(data, check.MaxShard)
 	return check.Shard{Name: s.Name, Text: text}, err
 }
 
--- a/magno/watch/reader.go
+++ b/magno/watch/reader.go
@@ -242,7 +242,7 @@
 	if r.revision < 0 {
 		r.revision = revision
 	}
-	if data, err = pack.Plain(data, check.MaxShard); err != nil {
+	if data, err = pack.Decompress(data, check.MaxShard); err != nil {
 		return err
 	}
 	var index pack.Index
--- a/magno/watch/reader_test.go
+++ b/magno/watch/reader_test.go
@@ -238,12 +238,12 @@
 
 	values, _ := pack.Pack(*sample(3, 300))
 	var index pack.Index
-	plain, err := pack.Plain(values[len(values)-1].Data, 1<<20)
+	plain, err := pack.Decompress(values[len(values)-1].Data, 1<<20)
 	if err != nil || json.Unmarshal(plain, &index) != nil {
 		t.Fatal("the index can't be read")
 	}
 	double := []byte(`{"customers": [{"name": "delta", "weight": 9}]}`)
-	index.Shards = append(index.Shards, pack.Shard{Name: "more", Sum: pack.Sum(double)})
+	index.Shards = append(index.Shards, pack.Shard{Name: "more", Sum: pack.Checksum(double)})
 	text, _ := json.Marshal(index)
 	s.set(func() {
 		for _, v := range values {
