--- a/magno/learn/fit.go
+++ b/magno/learn/fit.go
@@ -3,39 +3,38 @@
 import "math"
 
 const (
-	// priorSpan is the time, in ms, that the prior of a ratio weighs as much as,
-	// and halfSpan that in which what was seen counts half.
-	priorSpan = 1000.0
-	halfSpan  = 20_000.0
-	// priorSpread is the sum of squared differences of tokens that the prior of a
-	// slope weighs as much as: a dozen prompts of usual spread.
+	// priorSpan is the weight of a ratio's prior, in ms, and spanHalfLife the time, in
+	// ms, in which observations count half.
+	priorSpan    = 1000.0
+	spanHalfLife = 20_000.0
+	// priorSpread is the weight of a slope's prior, as a sum of squared differences of
+	// tokens: a dozen prompts of usual spread.
 	priorSpread = 12 * 1000.0 * 1000.0
-	// keepSample is what each further sample leaves of the weight of those
-	// before: some hundred count.
-	keepSample = 0.99
+	// sampleDecay multiplies the weight of earlier samples at each new one: about a
+	// hundred count.
+	sampleDecay = 0.99
 )
 
-// ratio is a sum of milliseconds over a sum of what was done in them. Both decay
-// with the time that is added, so that recent looks count more.
+// ratio is a sum of milliseconds over a count of what was done in them. Both decay with
+// the time that is added, so that recent samples count more.
 type ratio struct {
 	span, done float64
 }
 
-// add takes so many milliseconds in which so much was done.
+// add records span milliseconds in which done units were done.
 func (r *ratio) add(span, done float64) {
-	keep := math.Exp2(-span / halfSpan)
-	r.span = r.span*keep + span
-	r.done = r.done*keep + done
+	decay := math.Exp2(-span / spanHalfLife)
+	r.span = r.span*decay + span
+	r.done = r.done*decay + done
 }
 
-// value is the milliseconds for one, which is prior until more was seen.
+// value returns the milliseconds per unit, which is prior until enough was observed.
 func (r *ratio) value(prior float64) float64 {
 	return (priorSpan + r.span) / (priorSpan/prior + r.done)
 }
 
-// keepPause is what each further stream leaves of the weight of those before: about ten
-// count.
-const keepPause = 0.9
+// pauseDecay multiplies the weight of earlier streams at each new one: about ten count.
+const pauseDecay = 0.9
 
 // mean is the average of decaying samples.
 type mean struct {
@@ -43,8 +42,8 @@
 }
 
 func (m *mean) add(x float64) {
-	m.n = m.n*keepPause + 1
-	m.sum = m.sum*keepPause + x
+	m.n = m.n*pauseDecay + 1
+	m.sum = m.sum*pauseDecay + x
 }
 
 // value is zero before the first sample.
@@ -61,19 +60,19 @@
 }
 
 func (l *line) add(x, y float64) {
-	l.n = l.n*keepSample + 1
-	l.x = l.x*keepSample + x
-	l.y = l.y*keepSample + y
-	l.xx = l.xx*keepSample + x*x
-	l.xy = l.xy*keepSample + x*y
+	l.n = l.n*sampleDecay + 1
+	l.x = l.x*sampleDecay + x
+	l.y = l.y*sampleDecay + y
+	l.xx = l.xx*sampleDecay + x*x
+	l.xy = l.xy*sampleDecay + x*y
 }
 
-// slope is the line's, which is prior until samples differ enough in x.
+// slope returns the line's slope, which is prior until samples differ enough in x.
 func (l *line) slope(prior float64) float64 {
 	if l.n == 0 {
 		return prior
 	}
-	spread := l.xx - l.x*l.x/l.n
-	both := l.xy - l.x*l.y/l.n
-	return (both + prior*priorSpread) / (spread + priorSpread)
+	varX := l.xx - l.x*l.x/l.n
+	covXY := l.xy - l.x*l.y/l.n
+	return (covXY + prior*priorSpread) / (varX + priorSpread)
 }
--- a/magno/learn/learn.go
+++ b/magno/learn/learn.go
@@ -1,171 +1,172 @@
-// Package learn estimates an engine's own figures from what it shows.
+// Package learn estimates an engine's speed from its reports.
 //
-//	Look (what runs, what is unread) --> line, ratio --> Rate, Event, Pause
+//	Observe (streams, unread) --> line, ratio --> PrefillRate, EventInterval, PrefillPause
 //
-// Load pattern: engines of one kind read 25 prompt tokens in a millisecond, of
-// another 40 and more; they read in pieces between the steps that make the
-// tokens of all that runs, so the same clump of prompts stops the streams of one
-// for 260 ms and those of another for 390. Without this package a constant names
-// one of them, and prompts are spaced on engines whose streams need no spacing.
+// Engines of one kind read 25 prompt tokens in a millisecond, those of another 40 and
+// more. They read prompts in chunks between the steps that generate the tokens of all
+// streams, so the same burst of prompts stops the streams of one for 260 ms and those
+// of another for 390. A constant would fit one kind only, and prompts would be spaced
+// on engines whose streams need no spacing.
 //
-// Each estimate begins with a prior that weighs as much as a second or so of
-// work, and what was seen counts half after a while, so a change of the engine
-// shows within seconds of work. A look after a long silence (a suspended machine)
-// tells nothing, and no estimate leaves the bounds of any engine, so one that
-// reports nonsense can spoil its own pace only that far.
+// Each estimate begins with a prior that weighs as much as about a second of work, and
+// observations decay, so a change of the engine shows within seconds of work. Samples
+// after a long gap, such as a suspended machine, are ignored. Estimates are bounded to
+// the range of real engines, so that an engine that reports invalid values distorts its
+// own pace only that far.
 package learn
 
 import "magnoliastall.example/magno"
 
 const (
-	// PriorPrefillRate is how many prompt tokens an engine reads in a millisecond until
-	// it shows, which takes a dozen prompts.
+	// PriorPrefillRate is how many prompt tokens an engine is assumed to read in a
+	// millisecond until its own rate is known, which takes a dozen prompts.
 	PriorPrefillRate = 32.0
-	// priorStep is the time of a step that reads nothing, in ms. priorPiece is how
-	// many tokens are read at most between two steps; nothing shows it. Where an
-	// engine reads more at once, the pauses of its streams must correct what rests
-	// on it.
-	priorStep  = 7.0
-	priorPiece = 2048.0
-	// usualTimes is by how much steps that read lengthen a usual event until the
-	// engine shows: it reads half of the time.
-	usualTimes = 2.0
-	// longestLook is the time between two looks beyond which they tell nothing:
-	// several of the slowest reports.
-	longestLook = 400 * magno.Millis(1)
-	// longestRead is when a reading that goes on without a break is counted, and
+	// priorStepTime is the time of a step without prefill, in ms. priorChunk is the
+	// most tokens read between two steps, which no report shows. Where an engine reads
+	// larger chunks, the observed pauses of its streams must correct the estimates that
+	// depend on it.
+	priorStepTime = 7.0
+	priorChunk    = 2048.0
+	// priorEventFactor is by how much prefill lengthens an average event until the
+	// engine's own figure is known: engines read half of the time.
+	priorEventFactor = 2.0
+	// maxSampleGap is the time between two samples beyond which they are ignored:
+	// several intervals of the slowest reports.
+	maxSampleGap = 400 * magno.Millis(1)
+	// maxPrefillSpan is when a prefill that goes on without a break is recorded, and
 	// another one begun.
-	longestRead = 600 * magno.Millis(1)
-	// leastRate and mostRate bound the estimates of any engine, in tokens a
-	// millisecond.
-	leastRate = 2.0
-	mostRate  = 500.0
+	maxPrefillSpan = 600 * magno.Millis(1)
+	// minRate and maxRate bound the estimates of any engine, in tokens per millisecond.
+	minRate = 2.0
+	maxRate = 500.0
 )
 
-// Stream is a request that makes events.
+// Stream is a request that generates events.
 type Stream struct {
 	ID string
-	// Events is how many it made.
+	// Events is how many it has generated.
 	Events int
 }
 
-// Sample is what an engine shows at a moment.
+// Sample is an engine's state at one moment.
 type Sample struct {
 	At magno.Millis
-	// Streams make events. Their order doesn't matter.
+	// Streams generate events. Their order doesn't matter.
 	Streams []Stream
-	// Read is how many prompt tokens were read since the last look, Unread how
-	// many of those that it was given are still to be read.
+	// Read is how many prompt tokens were read since the last sample, Unread how many
+	// that the engine was given are still to be read.
 	Read, Unread int
-	// ReadStart is when it was given the first of what is or was being read, where
-	// nothing was unread at the last look.
+	// ReadStart is when the engine was given the first of the prompts that are or were
+	// being read, where nothing was unread at the last sample.
 	ReadStart magno.Millis
 }
 
-// Estimator is what is known of one. The zero value knows priors only. It isn't
-// safe for concurrent use.
+// Estimator holds the estimates for one engine. The zero value knows priors only. It
+// isn't safe for concurrent use.
 type Estimator struct {
-	// Stride is how many tokens a stream's event holds, at least 1 once set.
+	// Stride is how many tokens a stream's event holds; less than 1 counts as 1.
 	Stride int
 
-	last Sample
-	seen bool
-	// from is when the reading began that goes on, tokens what was read in it.
-	from   magno.Millis
-	tokens int
-	// read is the time of readings over their tokens, calm milliseconds over
-	// events of one stream while nothing is read.
-	read line
-	calm ratio
-	// usual is milliseconds over events of one stream, whatever else goes on.
-	usual ratio
-	// pauses are the longest ones of streams.
-	pauses mean
+	last    Sample
+	hasLast bool
+	// prefillStart is when the prefill in progress began, prefillTokens what was read
+	// in it.
+	prefillStart  magno.Millis
+	prefillTokens int
+	// prefill is the time of prefills over their tokens. idleEvents is the time per
+	// event of a stream while no prompt is read.
+	prefill      line
+	decodeEvents ratio
+	// allEvents is the time per event of a stream, with and without prefill.
+	allEvents ratio
+	// longestPauses averages the longest pause of each stream.
+	longestPauses mean
 }
 
-// PrefillRate is how many prompt tokens it reads in a millisecond, the steps between
-// pieces counted in.
+// PrefillRate returns how many prompt tokens the engine reads in a millisecond,
+// including the steps between chunks.
 func (e *Estimator) PrefillRate() float64 {
-	return min(max(1/e.read.slope(1/PriorPrefillRate), leastRate), mostRate)
+	return min(max(1/e.prefill.slope(1/PriorPrefillRate), minRate), maxRate)
 }
 
-// EventInterval is the time of a stream's event while no prompt is read.
+// EventInterval returns the time of a stream's event while no prompt is read.
 func (e *Estimator) EventInterval() magno.Millis {
-	return magno.Millis(e.calm.value(priorStep * float64(max(e.Stride, 1))))
+	return magno.Millis(e.decodeEvents.value(priorStepTime * float64(max(e.Stride, 1))))
 }
 
-// PrefillPause is the time between two events of a stream while prompts are read
-// without a break, piece by piece.
+// PrefillPause returns the time between two events of a stream while prompts are read
+// without a break, chunk by chunk.
 func (e *Estimator) PrefillPause() magno.Millis {
-	return magno.Millis(float64(max(e.Stride, 1)) * priorPiece / e.PrefillRate())
+	return magno.Millis(float64(max(e.Stride, 1)) * priorChunk / e.PrefillRate())
 }
 
-// MeanEventInterval is the time between two events of a stream as it is on average.
+// MeanEventInterval returns the average time between two events of a stream.
 func (e *Estimator) MeanEventInterval() magno.Millis {
-	return magno.Millis(e.usual.value(usualTimes * priorStep * float64(max(e.Stride, 1))))
+	return magno.Millis(e.allEvents.value(priorEventFactor * priorStepTime * float64(max(e.Stride, 1))))
 }
 
-// ObservePause takes the longest pause between two events of a stream that ended.
-func (e *Estimator) ObservePause(longest magno.Millis) { e.pauses.add(float64(longest)) }
+// ObservePause records the longest pause between two events of a stream that ended.
+func (e *Estimator) ObservePause(longest magno.Millis) { e.longestPauses.add(float64(longest)) }
 
-// LongestPause is the longest pause of a stream on average, zero before the first ended.
-func (e *Estimator) LongestPause() magno.Millis { return magno.Millis(e.pauses.value()) }
+// LongestPause returns the average of the streams' longest pauses, zero before the
+// first stream ended.
+func (e *Estimator) LongestPause() magno.Millis { return magno.Millis(e.longestPauses.value()) }
 
-// Reset drops the last look: what ran is gone. The estimates are kept, for an
-// engine that starts anew is still of its kind.
-func (e *Estimator) Reset() { e.seen, e.from, e.tokens = false, 0, 0 }
+// Reset drops the last sample after a restart of the engine. The estimates are kept,
+// since a restarted engine is still of the same kind.
+func (e *Estimator) Reset() { e.hasLast, e.prefillStart, e.prefillTokens = false, 0, 0 }
 
-// Observe takes what the engine shows now.
-func (e *Estimator) Observe(l Sample) {
-	was, seen := e.last, e.seen
-	e.last, e.seen = l, true
-	span := l.At - was.At
-	if !seen || span <= 0 || span > longestLook {
-		e.from, e.tokens = 0, 0
+// Observe records a sample.
+func (e *Estimator) Observe(s Sample) {
+	previous, hasLast := e.last, e.hasLast
+	e.last, e.hasLast = s, true
+	span := s.At - previous.At
+	if !hasLast || span <= 0 || span > maxSampleGap {
+		e.prefillStart, e.prefillTokens = 0, 0
 		return
 	}
-	e.reading(&was, &l)
-	runs, made := sumEvents(was.Streams, l.Streams)
-	e.usual.add(float64(span)*float64(runs), float64(made))
-	if was.Unread == 0 && l.Unread == 0 && l.Read == 0 {
-		e.calm.add(float64(span)*float64(runs), float64(made))
+	e.observePrefill(&previous, &s)
+	streams, events := sumEvents(previous.Streams, s.Streams)
+	e.allEvents.add(float64(span)*float64(streams), float64(events))
+	if previous.Unread == 0 && s.Unread == 0 && s.Read == 0 {
+		e.decodeEvents.add(float64(span)*float64(streams), float64(events))
 	}
 }
 
-// reading follows one from its begin to its end. How long it took beside its
-// tokens (the way to the engine, the step under way, the time until a report
-// shows it) is the same for short and long ones, so the slope tells the rate.
-func (e *Estimator) reading(was, l *Sample) {
-	if was.Unread == 0 && (l.Unread > 0 || l.Read > 0) {
-		e.from, e.tokens = max(l.ReadStart, was.At), 0
+// observePrefill follows a prefill from its start to its end. The overhead in its time
+// (the way to the engine, the step under way, the delay until a report shows it) is the
+// same for short and long ones, so the slope gives the rate.
+func (e *Estimator) observePrefill(previous, s *Sample) {
+	if previous.Unread == 0 && (s.Unread > 0 || s.Read > 0) {
+		e.prefillStart, e.prefillTokens = max(s.ReadStart, previous.At), 0
 	}
-	if e.from == 0 {
+	if e.prefillStart == 0 {
 		return
 	}
-	e.tokens += l.Read
-	if l.Unread > 0 && l.At-e.from < longestRead {
+	e.prefillTokens += s.Read
+	if s.Unread > 0 && s.At-e.prefillStart < maxPrefillSpan {
 		return
 	}
-	e.read.add(float64(e.tokens), float64(l.At-e.from))
-	e.from, e.tokens = 0, 0
-	if l.Unread > 0 {
-		e.from = l.At
+	e.prefill.add(float64(e.prefillTokens), float64(s.At-e.prefillStart))
+	e.prefillStart, e.prefillTokens = 0, 0
+	if s.Unread > 0 {
+		e.prefillStart = s.At
 	}
 }
 
-// sumEvents counts the runs that are in both looks, and the events that they
-// made between them.
-func sumEvents(was, is []Stream) (runs, made int) {
-	before := make(map[string]int, len(was))
-	for _, r := range was {
-		before[r.ID] = r.Events
+// sumEvents counts the streams that are in both samples, and the events that they
+// generated between them.
+func sumEvents(previous, current []Stream) (streams, events int) {
+	before := make(map[string]int, len(previous))
+	for _, s := range previous {
+		before[s.ID] = s.Events
 	}
-	for _, r := range is {
-		n, ok := before[r.ID]
-		if ok && r.Events >= n {
-			runs++
-			made += r.Events - n
+	for _, s := range current {
+		n, ok := before[s.ID]
+		if ok && s.Events >= n {
+			streams++
+			events += s.Events - n
 		}
 	}
-	return runs, made
+	return streams, events
 }
