--- a/magno/route/bench_test.go
+++ b/magno/route/bench_test.go
@@ -7,7 +7,7 @@
 	"magnoliastall.example/magno"
 )
 
-// BenchmarkRoute measures one decision with reports in and work under way.
+// BenchmarkRoute measures one decision with reports present and work under way.
 func BenchmarkRoute(b *testing.B) {
 	for _, targets := range []int{18, 10000} {
 		for _, adapters := range []int{3000, 130000} {
@@ -26,7 +26,7 @@
 	}
 }
 
-// BenchmarkHomesHeld measures the homes of a key of an adapter that some hold.
+// BenchmarkHomesHeld measures Homes for an adapter that some targets hold.
 func BenchmarkHomesHeld(b *testing.B) {
 	for _, targets := range []int{18, 10000} {
 		b.Run(fmt.Sprintf("targets=%d", targets), func(b *testing.B) {
@@ -80,11 +80,11 @@
 	for i := range refs {
 		refs[i] = ref(i)
 	}
-	held := make([][]uint32, targets)
+	loaded := make([][]uint32, targets)
 	for i := range 8 * targets {
-		held[i%targets] = append(held[i%targets], refs[i%adapters].Hash())
+		loaded[i%targets] = append(loaded[i%targets], refs[i%adapters].Hash())
 	}
-	for i, warm := range held {
+	for i, warm := range loaded {
 		r.Report(fmt.Sprintf("u%d", i), magno.Backlog{Wait: magno.Millis(i % 50), Warm: sorted(warm)})
 	}
 	return r, refs
--- a/magno/route/choose.go
+++ b/magno/route/choose.go
@@ -7,29 +7,30 @@
 	"magnoliastall.example/magno"
 )
 
-// scored is a candidate with its cost in milliseconds.
-type scored struct {
+// candidate is a target with the cost of sending the request there, in milliseconds.
+type candidate struct {
 	peer *peer
 	cost float64
-	// eased is true when a failing target is passed over this time.
-	eased bool
+	// demoted is true when recent failures exclude the target from this choice; it then
+	// sorts after all others.
+	demoted bool
 }
 
-// query is a magno.Query with what all candidates share.
+// query is a magno.Query with values that are the same for all candidates.
 type query struct {
 	magno.Query
 	now  magno.Millis
 	hash uint32
-	// most bounds the reported wait for a load.
-	most magno.Millis
+	// maxLoadWait caps the reported wait for an adapter load.
+	maxLoadWait magno.Millis
 }
 
-// Route returns names in order of preference, at most a few.
+// Route returns at most maxNames target names in order of preference.
 func (r *Router) Route(q magno.Query) []string { return r.Choose(q).Names }
 
-// Choose returns names in order of preference, at most a few, and how long a wait
-// the first is worth. The work is the same in a fleet of any size: a fixed number
-// of candidates is looked at.
+// Choose returns at most maxNames target names in order of preference, and the wait up
+// to which the first is still the better choice. It considers a fixed number of
+// candidates, so its cost doesn't grow with the fleet.
 func (r *Router) Choose(q magno.Query) magno.Choice {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -37,34 +38,34 @@
 	if q.DataCentre == "" {
 		q.DataCentre = r.DataCentre
 	}
-	r.list = r.list[:0]
-	full := query{Query: q, now: r.Clock.Now(), most: magno.Hour}
+	r.candidates = r.candidates[:0]
+	full := query{Query: q, now: r.Clock.Now(), maxLoadWait: magno.Hour}
 	if q.Ref == (magno.Ref{}) {
-		r.any(&full)
+		r.addRandom(&full)
 	} else {
 		full.hash = q.Ref.Hash()
 		r.addHolders(&full)
-		r.addKeepers(&full)
+		r.addMemHolders(&full)
 		r.addHashed(&full)
 	}
-	slices.SortStableFunc(r.list, compare)
-	names := make([]string, 0, most)
-	for _, s := range r.list[:min(most, len(r.list))] {
+	slices.SortStableFunc(r.candidates, compare)
+	names := make([]string, 0, maxNames)
+	for _, s := range r.candidates[:min(maxNames, len(r.candidates))] {
 		names = append(names, s.peer.name)
 	}
 	c := magno.Choice{Names: names}
 	if len(names) > 1 {
-		first, second := r.list[0], r.list[1]
-		c.Most = magno.Millis(r.waitAt(&full, first.peer)+max(second.cost-first.cost, 0)) + mostSlack
+		first, second := r.candidates[0], r.candidates[1]
+		c.Most = magno.Millis(r.expectedWait(&full, first.peer)+max(second.cost-first.cost, 0)) + waitSlack
 	}
 	return c
 }
 
-func compare(a, b scored) int {
+func compare(a, b candidate) int {
 	switch {
-	case a.eased != b.eased && b.eased:
+	case a.demoted != b.demoted && b.demoted:
 		return -1
-	case a.eased != b.eased:
+	case a.demoted != b.demoted:
 		return 1
 	case a.cost < b.cost:
 		return -1
@@ -74,17 +75,18 @@
 	return 0
 }
 
-// any adds candidates for work without an adapter: any target will do, so
-// each request looks at its own few.
-func (r *Router) any(q *query) {
+// addRandom adds candidates for work without an adapter. Any target can serve it, so
+// each request draws its own few.
+func (r *Router) addRandom(q *query) {
 	key := r.rand.Uint64()
-	for nth := range 2 * most {
+	for nth := range 2 * maxNames {
 		r.add(q, r.ring.find(key, nth), 0)
 	}
 }
 
-// addHolders adds targets that hold the adapter. A prompt's start chooses the
-// first of them, so that its cached prefix is found again.
+// addHolders adds targets that have the adapter loaded. The hash of the prompt's prefix
+// selects the first of them, so that requests that share a prefix find it in an
+// engine's cache.
 func (r *Router) addHolders(q *query) {
 	list := r.holders[q.hash]
 	if len(list) == 0 {
@@ -95,38 +97,40 @@
 		first, step = mix(q.Prefix), r.Tuning.PrefixStep
 	}
 	first %= uint64(len(list))
-	for i := range min(held, len(list)) {
+	for i := range min(maxHolders, len(list)) {
 		p := list[(int(first)+i)%len(list)]
 		r.add(q, p, magno.Millis(i)*step)
 	}
 }
 
-// addKeepers adds targets that have the adapter in their memory.
-func (r *Router) addKeepers(q *query) {
-	list := r.keepers[q.hash]
-	for _, p := range list[:min(kept, len(list))] {
+// addMemHolders adds targets that have the adapter in host memory and load it without
+// the weight store.
+func (r *Router) addMemHolders(q *query) {
+	list := r.memHolders[q.hash]
+	for _, p := range list[:min(maxMemHolders, len(list))] {
 		r.add(q, p, 0)
 	}
 }
 
-// addHashed adds the adapter's hash candidates among the targets that don't hold
-// it. When the query avoids some, as many more are looked at. Those without their base
-// model don't count: they take seconds to load it, and a request that knew only of such
-// would wait at a full holder beside idle targets. Nor do those whose streams pause for
-// too long.
+// addHashed adds the adapter's hash candidates, the targets that come first on the ring
+// for its hash and don't hold it. For each target that the query avoids, one more is
+// considered. Targets without their base model are added but not counted: loading it
+// takes seconds, and a request that knew no other candidate would wait at a full holder
+// beside idle targets. Targets whose streams pause for too long aren't counted either.
 //
-// Load pattern: one adapter becomes hot within a second, and needs a dozen replicas.
-// If all entries took the same next one, replicas would come one after the other, and
-// each would be full as soon as its load ends. So the candidates begin at one of as
-// many as there are replicas: their number doubles with each load, and an adapter
-// with one replica or none still has the same home for all.
+// An adapter that becomes hot within a second needs a dozen replicas. If all entries
+// chose the same next target, the replicas would be made one after the other, and each
+// would be full as soon as its load ends. With n replicas, the candidates therefore
+// begin at a random one of the first n: the number of replicas can double with each
+// load, while an adapter with one replica or none has the same candidates on all
+// entries.
 func (r *Router) addHashed(q *query) {
 	skip, found, extra := 0, 0, magno.Millis(0)
 	if n := len(r.holders[q.hash]); n > 1 {
 		skip = r.rand.IntN(n)
 	}
-	most := hashed + len(q.Avoid)
-	for nth := 0; nth < reach+2*len(q.Avoid) && found < most; nth++ {
+	limit := hashCandidates + len(q.Avoid)
+	for nth := 0; nth < maxHashScan+2*len(q.Avoid) && found < limit; nth++ {
 		p := r.ring.find(uint64(q.hash), nth)
 		if p == nil || p.holds(q.hash) {
 			continue
@@ -140,69 +144,72 @@
 			continue
 		}
 		extra += r.Tuning.HashStep
-		if ready && lateAt(q, p) < float64(r.Tuning.HashStep) {
+		if ready && pauseCost(q, p) < float64(r.Tuning.HashStep) {
 			found++
 		}
 	}
 }
 
-// add adds a candidate once; it returns whether it did.
+// add appends a candidate and reports whether it did. Targets that are unusable,
+// avoided by the query or already listed are left out.
 func (r *Router) add(q *query, p *peer, extra magno.Millis) bool {
 	if p == nil || !p.usable() || slices.Contains(q.Avoid, p.name) {
 		return false
 	}
-	for i := range r.list {
-		if r.list[i].peer == p {
+	for i := range r.candidates {
+		if r.candidates[i].peer == p {
 			return false
 		}
 	}
-	share := p.share(q.now)
-	r.list = append(r.list, scored{peer: p, cost: r.costOf(q, p) + float64(extra),
-		eased: share < 1 && r.rand.Float64() >= share})
+	weight := p.updateWeight(q.now)
+	r.candidates = append(r.candidates, candidate{peer: p, cost: r.expectedCost(q, p) + float64(extra),
+		demoted: weight < 1 && r.rand.Float64() >= weight})
 	return true
 }
 
-// costOf is the time that work is expected to take at p, over that at an idle
-// target that holds the adapter.
-func (r *Router) costOf(q *query, p *peer) float64 {
-	wait := r.busyAt(p) + r.waitAt(q, p)
-	if slow := p.factor(q.now) - 1; slow > 0 {
-		wait += slow * math.Exp(r.pace) * float64(q.Work)
+// expectedCost returns the time that the work is expected to take at p beyond that at
+// an idle target that holds the adapter.
+func (r *Router) expectedCost(q *query, p *peer) float64 {
+	wait := r.workCost(p) + r.expectedWait(q, p)
+	if excess := p.slowdown(q.now) - 1; excess > 0 {
+		wait += excess * math.Exp(r.logPace) * float64(q.Work)
 	}
 	if p.dc != q.DataCentre {
 		wait += float64(r.Tuning.RemoteCost)
 	}
-	return wait + lateAt(q, p)
+	return wait + pauseCost(q, p)
 }
 
-// lateAt is what the pauses of streams at p cost: as much as a wait as long as the aim,
-// where they make the answer late for certain.
+// pauseCost returns the cost of stream pauses at p: q.Aim, the time within which the
+// first event is due, times the share of streams expected to pause for longer than
+// q.Gap.
 //
-// Load pattern: some engines of a pool take two or three times as long as others for an
-// event. They look idle, for nothing waits there, and their answers begin in time; but
-// whenever a prompt is read between two events, the pause is longer than the route allows.
-// The longest pauses of an engine's streams are spread about exponentially, so their
-// average tells how many of them exceed that.
-func lateAt(q *query, p *peer) float64 {
+// Some engines of a pool take two or three times as long for an event as others. They
+// look idle, since nothing queues there and their answers begin in time, but whenever a
+// prompt is read between two events, the pause is longer than the route allows. The
+// longest pauses of an engine's streams are distributed about exponentially, so their
+// average gives the share that exceeds the limit.
+func pauseCost(q *query, p *peer) float64 {
 	if q.Gap <= 0 || p.report.Pause <= 0 {
 		return 0
 	}
 	return float64(q.Aim) * math.Exp(-float64(q.Gap)/float64(p.report.Pause))
 }
 
-// busyAt is the cost of work sent since the last report, and of all that p has
-// to do.
-func (r *Router) busyAt(p *peer) float64 {
-	cost := r.cost
+// workCost returns the delay caused by work sent since the last report, and by a share
+// of all outstanding work at p.
+func (r *Router) workCost(p *peer) float64 {
+	tokenDelay := r.tokenDelay
 	if p.report.Rate > 0 {
-		cost = 1 / p.report.Rate
+		tokenDelay = 1 / p.report.Rate
 	}
-	return (float64(p.fresh) + r.Tuning.WorkWeight*float64(max(p.report.Work, p.open))) * cost
+	return (float64(p.sentWork) + r.Tuning.WorkWeight*float64(max(p.report.Work, p.outstanding))) * tokenDelay
 }
 
-// waitAt is the wait that p reported, aged, for a place and for the adapter.
-func (r *Router) waitAt(q *query, p *peer) float64 {
-	wait := float64(p.placeWait(q.Customer)) * half(q.now-p.at, reportHalf)
+// expectedWait returns the wait that p reported for a place in the batch and for the
+// adapter. The wait for a place decays with the age of the report.
+func (r *Router) expectedWait(q *query, p *peer) float64 {
+	wait := float64(p.queueWait(q.Customer)) * decay(q.now-p.reportedAt, reportHalfLife)
 	if q.hash == 0 {
 		return wait
 	}
@@ -212,9 +219,9 @@
 	if _, coming := slices.BinarySearch(p.report.Coming, q.hash); coming {
 		return max(wait, float64(r.Tuning.MinLoad))
 	}
-	if _, kept := slices.BinarySearch(p.report.Kept, q.hash); kept {
-		return max(wait, float64(min(p.report.KeptWait, q.most))) + float64(r.Tuning.LoadMargin)
+	if _, inMemory := slices.BinarySearch(p.report.Kept, q.hash); inMemory {
+		return max(wait, float64(min(p.report.KeptWait, q.maxLoadWait))) + float64(r.Tuning.LoadMargin)
 	}
-	load := min(max(p.report.LoadWait, r.Tuning.MinLoad), q.most)
+	load := min(max(p.report.LoadWait, r.Tuning.MinLoad), q.maxLoadWait)
 	return max(wait, float64(load)) + float64(r.Tuning.LoadMargin)
 }
--- a/magno/route/home_test.go
+++ b/magno/route/home_test.go
@@ -16,9 +16,9 @@
 	return list
 }
 
-// A caller sends a receipt again through another entry, which has other
-// reports of load. Both entries must bring it to the same agent first, or the
-// second one has to ask the witnesses what the first did.
+// A keyed request is repeated through another entry, which has seen other answers and
+// failures. Both entries must select the same agent first, or the second agent has to
+// ask the witnesses what the first one did.
 func TestHomesAgreeBetweenEntries(t *testing.T) {
 	a, b := &Router{Seed: 1}, &Router{Seed: 2}
 	a.Update(targets(13))
@@ -32,18 +32,18 @@
 		key := fmt.Sprintf("key %d", i)
 		for _, r := range []magno.Ref{ref, {}} {
 			if x, y := a.Homes(magno.Query{Ref: r}, key, 3), b.Homes(magno.Query{Ref: r}, key, 3); !slices.Equal(x, y) || len(x) != 3 {
-				t.Fatalf("%v and %v", x, y)
+				t.Fatalf("the entries choose %v and %v", x, y)
 			}
 		}
 		used[a.Homes(magno.Query{Ref: ref}, key, 1)[0]] = true
 	}
-	if len(used) != homeSpread {
+	if len(used) != coldHomes {
 		t.Errorf("keys of one adapter are spread over %d targets", len(used))
 	}
 }
 
-// One agent leaves. Only its own keys may move: others would lose the ledger
-// that knows them.
+// When an agent leaves, only its own keys may move: others would lose the ledger that
+// has them.
 func TestHomesMoveOnlyWithTheirTarget(t *testing.T) {
 	r := &Router{}
 	r.Update(targets(13))
--- a/magno/route/index.go
+++ b/magno/route/index.go
@@ -3,24 +3,24 @@
 // index maps an adapter's hash to the targets that reported it.
 type index map[uint32][]*peer
 
-// change brings the index from what p reported before up to what it reports now;
-// both lists are in ascending order.
-func (x index) change(p *peer, was, is []uint32) {
-	for len(was) > 0 || len(is) > 0 {
+// update replaces the hashes that p reported before by those that it reports now; both
+// lists are in ascending order.
+func (x index) update(p *peer, old, current []uint32) {
+	for len(old) > 0 || len(current) > 0 {
 		switch {
-		case len(is) == 0 || (len(was) > 0 && was[0] < is[0]):
-			x.drop(was[0], p)
-			was = was[1:]
-		case len(was) == 0 || is[0] < was[0]:
-			x[is[0]] = append(x[is[0]], p)
-			is = is[1:]
+		case len(current) == 0 || (len(old) > 0 && old[0] < current[0]):
+			x.remove(old[0], p)
+			old = old[1:]
+		case len(old) == 0 || current[0] < old[0]:
+			x[current[0]] = append(x[current[0]], p)
+			current = current[1:]
 		default:
-			was, is = was[1:], is[1:]
+			old, current = old[1:], current[1:]
 		}
 	}
 }
 
-func (x index) drop(hash uint32, p *peer) {
+func (x index) remove(hash uint32, p *peer) {
 	list := x[hash]
 	for i, other := range list {
 		if other == p {
--- a/magno/route/peer.go
+++ b/magno/route/peer.go
@@ -8,122 +8,127 @@
 )
 
 const (
-	// reportHalf is the age at which a reported wait counts half: queues turn over
+	// reportHalfLife is the age at which a reported wait counts half: queues turn over
 	// within seconds.
-	reportHalf = 20 * magno.Second
+	reportHalfLife = 20 * magno.Second
 
-	// slowGain weighs a new answer in a target's pace; ten or so count.
-	slowGain = 0.1
-	// paceGain weighs it in the pool's: a hundred or so count.
+	// slownessGain is the weight of a new answer in a target's slowness, an average
+	// over about ten answers.
+	slownessGain = 0.1
+	// paceGain is the weight of a new answer in the pool's pace, an average over about
+	// a hundred.
 	paceGain = 0.01
-	// slowHalf is the time in which an unused target's slowness counts half,
-	// so that one that was slow is tried again, first with little.
-	slowHalf = 10 * magno.Second
-
-	// failCut is by how much a failure cuts the share that a target gets.
-	failCut = 0.5
-	// leastEase is the least share: one request in fifty finds out whether
-	// the target is well again.
-	leastEase = 0.02
-	// easeStep is what each good answer gives back, easeHalf the time in
-	// which half of the rest comes back without any.
-	easeStep = 0.02
-	easeHalf = 5 * magno.Second
-	// mostStrikes bounds how far failures that follow each other slow the
-	// way back: each doubles easeHalf. strikeKeep is how long one counts.
-	mostStrikes = 5
-	strikeKeep  = 5 * magno.Minute
+	// slownessHalfLife is the time in which the slowness of an unused target counts
+	// half, so that a target that was slow is tried again, at first with few requests.
+	slownessHalfLife = 10 * magno.Second
+
+	// failureFactor multiplies the weight of a target at each failure.
+	failureFactor = 0.5
+	// minWeight is the lowest weight: one request in fifty finds out whether the target
+	// has recovered.
+	minWeight = 0.02
+	// weightStep is added to the weight for each successful answer. recoveryHalfLife is
+	// the time in which half of the missing weight returns without any.
+	weightStep       = 0.02
+	recoveryHalfLife = 5 * magno.Second
+	// maxOutages bounds how often outages in succession double recoveryHalfLife.
+	// outageMemory is the time without a failure after which they are no longer
+	// counted.
+	maxOutages   = 5
+	outageMemory = 5 * magno.Minute
 )
 
-// peer is what is known of one target.
+// peer is the router's state of one target.
 type peer struct {
 	name    string
 	dc      string
 	leaving bool
 
 	report magno.Backlog
-	// at is when report came.
-	at magno.Millis
-	// fresh is the work sent since then, open all that wasn't answered.
-	fresh int
-	open  int
-
-	// slow is the logarithm of the target's pace over the pool's.
-	slow   float64
-	slowAt magno.Millis
-
-	// ease is the share of its requests that the target gets, 0 to 1.
-	ease     float64
-	easeAt   magno.Millis
-	strikes  int
-	strikeAt magno.Millis
+	// reportedAt is when report arrived.
+	reportedAt magno.Millis
+	// sentWork is the work sent since then, outstanding all that wasn't answered, in
+	// tokens.
+	sentWork    int
+	outstanding int
+
+	// slowness is the logarithm of the target's time per token over the pool's.
+	slowness   float64
+	slownessAt magno.Millis
+
+	// weight is the share of its requests that the target gets, 0 to 1.
+	weight   float64
+	weightAt magno.Millis
+	outages  int
+	failedAt magno.Millis
 }
 
-func half(age, life magno.Millis) float64 {
+func decay(age, halfLife magno.Millis) float64 {
 	if age <= 0 {
 		return 1
 	}
-	return math.Exp2(-float64(age) / float64(life))
+	return math.Exp2(-float64(age) / float64(halfLife))
 }
 
-// usable tells whether work may be sent there. A choice of upstreams that are all
-// known to be down would have the work refused beside others that are well.
+// usable reports whether work may be sent to p. A choice that names only targets known
+// to be down would have the request refused although others can serve it.
 func (p *peer) usable() bool { return !p.leaving && !p.report.Down }
 
-// holds tells whether the adapter was in the last report.
+// holds reports whether the adapter was loaded according to the last report.
 func (p *peer) holds(hash uint32) bool {
-	_, held := slices.BinarySearch(p.report.Warm, hash)
-	return held
+	_, loaded := slices.BinarySearch(p.report.Warm, hash)
+	return loaded
 }
 
-// share returns ease, brought up to now.
-func (p *peer) share(now magno.Millis) float64 {
-	if p.ease < 1 {
-		life := easeHalf << min(p.strikes, mostStrikes)
-		p.ease = 1 - (1-p.ease)*half(now-p.easeAt, life)
-		p.easeAt = now
-		if p.ease > 0.99 {
-			p.ease = 1
+// updateWeight adds the recovery until now to the weight and returns it.
+func (p *peer) updateWeight(now magno.Millis) float64 {
+	if p.weight < 1 {
+		halfLife := recoveryHalfLife << min(p.outages, maxOutages)
+		p.weight = 1 - (1-p.weight)*decay(now-p.weightAt, halfLife)
+		p.weightAt = now
+		if p.weight > 0.99 {
+			p.weight = 1
 		}
 	}
-	return p.ease
+	return p.weight
 }
 
-// ended takes whether an answer came. A target that flaps, failing again soon
-// after it came back, gets its share back more slowly each time.
-func (p *peer) ended(now magno.Millis, ok bool) {
-	share := p.share(now)
+// recordResult updates the weight after an answer or a failure. A target that flaps,
+// failing again soon after it recovered, regains its weight more slowly each time.
+func (p *peer) recordResult(now magno.Millis, ok bool) {
+	weight := p.updateWeight(now)
 	if ok {
-		p.ease, p.easeAt = min(share+easeStep, 1), now
+		p.weight, p.weightAt = min(weight+weightStep, 1), now
 		return
 	}
-	if now-p.strikeAt > strikeKeep {
-		p.strikes = 0
+	if now-p.failedAt > outageMemory {
+		p.outages = 0
 	}
-	if share > failCut { // several failures at once are one strike
-		p.strikes++
+	if weight > failureFactor { // failures in quick succession are one outage
+		p.outages++
 	}
-	p.strikeAt = now
-	p.ease, p.easeAt = max(share*failCut, leastEase), now
+	p.failedAt = now
+	p.weight, p.weightAt = max(weight*failureFactor, minWeight), now
 }
 
-// paced takes the logarithm of an answer's time a token over the pool's.
-func (p *peer) paced(now magno.Millis, ratio float64) {
-	p.slow *= half(now-p.slowAt, slowHalf)
-	p.slow += slowGain * (ratio - p.slow)
-	p.slowAt = now
+// recordPace updates the slowness by the logarithm of an answer's time per token over
+// the pool's.
+func (p *peer) recordPace(now magno.Millis, logRatio float64) {
+	p.slowness *= decay(now-p.slownessAt, slownessHalfLife)
+	p.slowness += slownessGain * (logRatio - p.slowness)
+	p.slownessAt = now
 }
 
-// factor is how many times as long as elsewhere work takes, at least 1.
-func (p *peer) factor(now magno.Millis) float64 {
-	return math.Exp(max(p.slow*half(now-p.slowAt, slowHalf), 0))
+// slowdown returns how many times as long as elsewhere work takes at p, at least 1.
+func (p *peer) slowdown(now magno.Millis) float64 {
+	return math.Exp(max(p.slowness*decay(now-p.slownessAt, slownessHalfLife), 0))
 }
 
-// placeWait is the reported wait for a place of one customer's work. A queue
-// full of one customer's jobs is short for the others; by its whole length,
-// they would keep to the targets where they wait themselves, and get nothing
-// of the rest.
-func (p *peer) placeWait(customer string) magno.Millis {
+// queueWait returns the reported wait of a customer's work for a place in the batch. A
+// queue full of one customer's jobs is short for the others: judged by its whole
+// length, their work would stay at targets where it already waits and get nothing of
+// the rest.
+func (p *peer) queueWait(customer string) magno.Millis {
 	if customer == "" || p.report.Waits == nil {
 		return p.report.Wait
 	}
--- a/magno/route/ring.go
+++ b/magno/route/ring.go
@@ -7,22 +7,22 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// probes is how many points a key looks at to find its target. With 21 the
-// fullest target has about 5% more keys than the mean, at one point a target
-// (Appleton and O'Reilly, multi-probe consistent hashing, 2015); rings with
-// one probe need hundreds of points a target for that, and as much longer to
-// build after each change of the fleet.
+// probes is the number of points that are looked up to find a key's target. With 21
+// probes and one point per target, the fullest target has about 5% more keys than the
+// mean (Appleton and O'Reilly, Multi-probe consistent hashing, 2015). A ring with a
+// single probe needs hundreds of points per target for that, and takes as many times
+// longer to rebuild after each change of the fleet.
 const probes = 21
 
-// golden spreads consecutive numbers over all 64 bits.
-const golden = 0x9e3779b97f4a7c15
+// goldenRatio is 2^64 over the golden ratio; multiples of it spread over all 64 bits.
+const goldenRatio = 0x9e3779b97f4a7c15
 
-// ring maps keys to targets; a target that comes or goes moves only its own
-// keys. It isn't changed once built.
+// ring maps keys to targets by consistent hashing: a target that is added or removed
+// moves only its own keys. A ring is immutable.
 type ring struct {
 	points []point
-	// starts[x] is the first point whose top bits are x or more; with about a
-	// point each, finding one takes the same time in a fleet of any size.
+	// starts[x] is the first point whose top bits are x or more. There is about one
+	// point for each x, so a lookup takes the same time in a fleet of any size.
 	starts []int32
 	shift  uint
 }
@@ -56,7 +56,7 @@
 	return r
 }
 
-// mix is the finisher of splitmix64.
+// mix is the finalizer of splitmix64.
 func mix(x uint64) uint64 {
 	x = (x ^ (x >> 30)) * 0xbf58476d1ce4e5b9
 	x = (x ^ (x >> 27)) * 0x94d049bb133111eb
@@ -68,11 +68,11 @@
 	if len(r.points) == 0 {
 		return nil
 	}
-	key = mix(key + uint64(nth)*golden)
+	key = mix(key + uint64(nth)*goldenRatio)
 	var best *peer
-	least := ^uint64(0)
+	minDistance := ^uint64(0)
 	for i := range uint64(probes) {
-		h := mix(key + i*golden)
+		h := mix(key + i*goldenRatio)
 		at := int(r.starts[h>>r.shift])
 		for at < len(r.points) && r.points[at].hash < h {
 			at++
@@ -80,8 +80,8 @@
 		if at == len(r.points) {
 			at = 0
 		}
-		if d := r.points[at].hash - h; d <= least {
-			best, least = r.points[at].peer, d
+		if d := r.points[at].hash - h; d <= minDistance {
+			best, minDistance = r.points[at].peer, d
 		}
 	}
 	return best
--- a/magno/route/route_test.go
+++ b/magno/route/route_test.go
@@ -33,9 +33,9 @@
 
 func ref(i int) magno.Ref { return magno.Ref{Adapter: fmt.Sprintf("ad%d", i), Version: "1"} }
 
-// The platform's list changes while requests are under way. Work must go only
-// to targets that are listed, not leaving and not tried before, and there must
-// be a target whenever one is left.
+// The list of targets changes while requests are under way. Work must go only to
+// targets that are listed, not leaving and not tried before, and a target must be named
+// whenever one is left.
 func TestRoutesNameUsableTargets(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r, clock := newRoute(0)
@@ -80,7 +80,7 @@
 						left++
 					}
 				}
-				if (len(names) == 0) != (left == 0) || len(names) > most {
+				if (len(names) == 0) != (left == 0) || len(names) > maxNames {
 					t.Fatalf("got %v, %d usable", names, left)
 				}
 				for i, name := range names {
@@ -93,7 +93,7 @@
 	})
 }
 
-// Many adapters and no reports yet. If the ring favoured a target, its slots
+// There are many adapters and no reports yet. If the ring favoured a target, its slots
 // would turn over while others stood idle.
 func TestRingIsEven(t *testing.T) {
 	r, _ := newRoute(18)
@@ -108,8 +108,8 @@
 	}
 }
 
-// A target comes. Only its own adapters may move, or every slot of the fleet
-// would be loaded anew.
+// When a target is added, only its own adapters may move, or every slot of the fleet
+// would be reloaded.
 func TestRingMovesFewKeys(t *testing.T) {
 	before, _ := newRoute(100)
 	after, _ := newRoute(101)
@@ -140,8 +140,8 @@
 	return counts
 }
 
-// An adapter is held by a target that hashing would not choose. Its requests
-// must go there, and elsewhere only when its wait exceeds a load.
+// An adapter is held by a target that isn't its hash candidate. Its requests must go
+// there, and elsewhere only when the wait there exceeds a load.
 func TestHoldersFirstUntilBusy(t *testing.T) {
 	r, _ := newRoute(18)
 	home := r.Route(magno.Query{Ref: ref(1)})[0]
@@ -155,13 +155,13 @@
 	if got := first(r, 100, q); got[holder] != 100 {
 		t.Fatalf("got %v, held by %s", got, holder)
 	}
-	r.Report(holder, magno.Backlog{Warm: warm, Wait: defaultLoad})
+	r.Report(holder, magno.Backlog{Warm: warm, Wait: defaultMinLoad})
 	if got := first(r, 100, q); got[holder] != 100 {
-		t.Fatalf("left a wait that is no longer than a load: %v", got)
+		t.Fatalf("got %v with a wait no longer than a load, want the holder", got)
 	}
-	r.Report(holder, magno.Backlog{Warm: warm, Wait: 2 * (defaultLoad + defaultMargin)})
+	r.Report(holder, magno.Backlog{Warm: warm, Wait: 2 * (defaultMinLoad + defaultLoadMargin)})
 	if got := first(r, 100, q); got[holder] != 0 {
-		t.Fatalf("stayed with a wait of two loads: %v", got)
+		t.Fatalf("got %v with a wait of two loads at the holder", got)
 	}
 	r.Report(holder, magno.Backlog{})
 	if got := first(r, 100, q); got[home] != 100 {
@@ -169,10 +169,10 @@
 	}
 }
 
-// A target is full of one customer's work, the holder of another's adapter has
-// a shorter queue, all of it that customer's own. Its work must go to the
-// first, where it is next; by the length of the whole queues it would pile up
-// at the holder and be refused there.
+// One target is full of one customer's work. The holder of another customer's adapter
+// has a shorter queue, all of it that customer's own. Its work must go to the first
+// target, where it is next in fair order: judged by the length of whole queues, it
+// would pile up at the holder and be refused there.
 func TestWaitIsThatOfTheCustomer(t *testing.T) {
 	r, _ := newRoute(2)
 	warm := []uint32{ref(1).Hash()}
@@ -190,9 +190,8 @@
 	}
 }
 
-// A target flaps: it fails, comes back, and fails again. Callers must meet it
-// seldom while it fails, and it must get its share back gradually, more slowly
-// the second time.
+// A target flaps: it fails, recovers and fails again. It must get few requests while it
+// fails, and regain its share gradually, more slowly the second time.
 func TestFlappingTargetComesBackGradually(t *testing.T) {
 	r, clock := newRoute(2)
 	for _, name := range []string{"u0", "u1"} {
@@ -208,27 +207,27 @@
 			r.Ended("u0", 1, 10, false)
 		}
 		if down := share(); down > 0.1*usual {
-			t.Fatalf("a failing target keeps %v of %v", down, usual)
+			t.Fatalf("a failing target gets a share of %v, %v before", down, usual)
 		}
-		clock.Advance(2 * easeHalf)
+		clock.Advance(2 * recoveryHalfLife)
 		after[round] = share()
 		if after[round] > 0.9*usual || after[round] == 0 {
-			t.Fatalf("%v of %v is back at once", after[round], usual)
+			t.Fatalf("share of %v soon after the failures, %v before", after[round], usual)
 		}
 		clock.Advance(magno.Minute)
 	}
 	if after[1] >= after[0] {
-		t.Fatalf("back to %v after the first fault, to %v after the second", after[0], after[1])
+		t.Fatalf("share of %v after the first outage, %v after the second", after[0], after[1])
 	}
 	clock.Advance(magno.Hour)
 	if now := share(); math.Abs(now-usual) > 0.1 {
-		t.Fatalf("an hour later it has %v of %v", now, usual)
+		t.Fatalf("share of %v after an hour, %v before", now, usual)
 	}
 }
 
-// A target takes four times as long as the others for the same work, and says
-// nothing of it. Work must move to the others.
-func TestSlowTargetIsEasedOff(t *testing.T) {
+// A target takes four times as long as the others for the same work and doesn't report
+// it. Work must move to the others.
+func TestSlowTargetGetsLessWork(t *testing.T) {
 	r, _ := newRoute(2)
 	for _, name := range []string{"u0", "u1"} {
 		r.Report(name, magno.Backlog{Warm: []uint32{ref(1).Hash()}})
@@ -238,12 +237,12 @@
 		r.Ended("u0", 100, 4000, true)
 	}
 	if got := first(r, 1000, magno.Query{Ref: ref(1), Work: 100}); got["u0"] > 100 {
-		t.Fatalf("the slow target gets %d of 1000", got["u0"])
+		t.Fatalf("the slow target gets %d of 1000 requests", got["u0"])
 	}
 }
 
-// Requests, answers and changes of the list come on many goroutines. Run with
-// the race detector this finds state that isn't guarded.
+// Requests, answers and changes of the list come on many goroutines. With the race
+// detector this finds state that isn't guarded.
 func TestConcurrentUse(t *testing.T) {
 	r, _ := newRoute(18)
 	done := make(chan struct{})
@@ -266,38 +265,39 @@
 	}
 }
 
-// A rare adapter is asked for again. One target has it in its own memory still and
-// loads it in a tenth of the time; its hash target would fetch it from the store,
-// which all others wait for as well.
-func TestKeptAdapterIsLoadedWhereItIsKept(t *testing.T) {
+// A rare adapter is requested again. One target still has it in host memory and loads
+// it in a tenth of the time; the hash candidate would fetch it from the weight store,
+// for which all others wait as well.
+func TestAdapterInMemoryIsLoadedThere(t *testing.T) {
 	clock := magno.NewClock(1_000_000)
 	r := &Router{Clock: clock, Seed: 1, Tuning: PermitTuning()}
 	r.Update(fleet(18))
 	home := r.Route(magno.Query{Ref: ref(1)})[0]
-	keeper := "u3"
-	if home == keeper {
-		keeper = "u4"
+	memHolder := "u3"
+	if home == memHolder {
+		memHolder = "u4"
 	}
 	for i := range 18 {
 		r.Report(fmt.Sprint("u", i), magno.Backlog{LoadWait: 250, KeptWait: 25})
 	}
-	r.Report(keeper, magno.Backlog{LoadWait: 250, KeptWait: 25, Kept: []uint32{ref(1).Hash()}})
-	if got := first(r, 100, magno.Query{Ref: ref(1)}); got[keeper] != 100 {
-		t.Errorf("got %v, kept by %s", got, keeper)
+	r.Report(memHolder, magno.Backlog{LoadWait: 250, KeptWait: 25, Kept: []uint32{ref(1).Hash()}})
+	if got := first(r, 100, magno.Query{Ref: ref(1)}); got[memHolder] != 100 {
+		t.Errorf("got %v, the adapter is in memory on %s", got, memHolder)
 	}
-	r.Report(keeper, magno.Backlog{LoadWait: 2250, KeptWait: 2025, Kept: []uint32{ref(1).Hash()}})
+	r.Report(memHolder, magno.Backlog{LoadWait: 2250, KeptWait: 2025, Kept: []uint32{ref(1).Hash()}})
 	if got := first(r, 100, magno.Query{Ref: ref(1)}); got[home] != 100 {
-		t.Errorf("got %v while the keeper has no slot for two seconds", got)
+		t.Errorf("got %v while the target with the adapter in memory has no slot for two seconds", got)
 	}
-	r.Report(keeper, magno.Backlog{})
-	if len(r.keepers) != 0 {
-		t.Errorf("%d adapters count as kept by nobody", len(r.keepers))
+	r.Report(memHolder, magno.Backlog{})
+	if len(r.memHolders) != 0 {
+		t.Errorf("%d adapters still indexed as in memory", len(r.memHolders))
 	}
 }
 
-// Two holders of an adapter differ in their waits. The first is worth its own wait
-// and the difference; told so, it can say when that has changed since its report.
-func TestChoiceTellsWhatTheFirstIsWorth(t *testing.T) {
+// Two holders of an adapter have different waits. The choice must report the wait up to
+// which the first is better, so that the first can tell when its wait has grown beyond
+// that since its report.
+func TestChoiceReportsLongestUsefulWait(t *testing.T) {
 	clock := magno.NewClock(1_000_000)
 	r := &Router{Clock: clock, Seed: 1, Tuning: PermitTuning()}
 	r.Update(fleet(2))
@@ -306,17 +306,17 @@
 	r.Report("u1", magno.Backlog{Warm: warm, Wait: 400})
 	c := r.Choose(magno.Query{Ref: ref(1)})
 	if c.Names[0] != "u0" || c.Most < 395 || c.Most > 425 {
-		t.Errorf("got %+v, want u0 for as long as the other's 400 ms and a little", c)
+		t.Errorf("got %+v, want u0 up to a wait of about 400 ms", c)
 	}
 	r.Update(fleet(1))
 	if c := r.Choose(magno.Query{Ref: ref(1)}); c.Most != 0 {
-		t.Errorf("an only target is worth %d ms, want any", c.Most)
+		t.Errorf("got a limit of %d ms with a single target, want none", c.Most)
 	}
 }
 
-// An engine crashes and its agent says so. Named among the few that a request may
-// ask, it would take the place of one that is well, and requests were refused since
-// all that they asked were down.
+// An engine crashes and its agent reports it. If it were named among the few targets
+// that a request may try, it would displace one that works, and requests were refused
+// because all targets that they tried were down.
 func TestTargetThatIsDownIsNotNamed(t *testing.T) {
 	r := &Router{Clock: magno.NewClock(magno.Hour)}
 	var targets []magno.Target
@@ -333,32 +333,32 @@
 	}
 	r.Report(home, magno.Backlog{Warm: []uint32{q.Ref.Hash()}})
 	if names := r.Route(q); names[0] != home {
-		t.Errorf("named %v, and %s is back with the adapter", names, home)
+		t.Errorf("named %v although %s is up again and holds the adapter", names, home)
 	}
 }
 
-// Engines join a fleet without their base model, and an adapter's next homes are
-// among them. They take seconds to load it. If they counted as candidates, its
-// requests would go on waiting at a full holder beside idle engines.
+// Engines join a fleet without their base model, which takes seconds to load, and they
+// are an adapter's next hash candidates. If they counted, its requests would keep
+// waiting at a full holder beside idle engines.
 func TestTargetsWithoutBaseModelDoNotCount(t *testing.T) {
 	r := &Router{Clock: magno.NewClock(magno.Hour)}
 	targets := fleet(20)
 	r.Update(targets)
 	q := magno.Query{Ref: magno.Ref{Adapter: "m/a"}}
-	empty := r.Route(q)[:hashed]
-	for _, name := range empty {
+	loading := r.Route(q)[:hashCandidates]
+	for _, name := range loading {
 		r.Report(name, magno.Backlog{BaseWait: 3000, LoadWait: 3250})
 	}
 	names := r.Route(q)
-	if len(names) < 2*hashed || slices.Contains(empty, names[0]) || slices.Contains(empty, names[1]) {
-		t.Errorf("named %v while %v load their base model", names, empty)
+	if len(names) < 2*hashCandidates || slices.Contains(loading, names[0]) || slices.Contains(loading, names[1]) {
+		t.Errorf("named %v while %v load their base model", names, loading)
 	}
 }
 
-// An adapter becomes hot. Its holders are full, and all entries look for the next
-// one within the same moment. With several holders they must not all find the same,
-// or its replicas come one after the other, each full as soon as it is there; with
-// one, they must, or a rare adapter is loaded twice.
+// An adapter becomes hot, its holders are full, and all entries look for the next one
+// at the same moment. With several holders they must not all choose the same, or
+// replicas are made one after the other, each full as soon as it is loaded. With one or
+// none they must, or a rare adapter is loaded twice.
 func TestReplicasOfAHotAdapterDouble(t *testing.T) {
 	q := magno.Query{Ref: magno.Ref{Adapter: "m/a"}}
 	for _, c := range []struct{ holders, least, most int }{{0, 1, 1}, {1, 1, 1}, {4, 3, 4}, {12, 8, 12}} {
@@ -372,7 +372,7 @@
 			next[r.Route(q)[0]] = true
 		}
 		if len(next) < c.least || len(next) > c.most {
-			t.Errorf("%d holders: %d different next ones, want %d to %d", c.holders, len(next), c.least, c.most)
+			t.Errorf("%d holders: %d different next targets, want %d to %d", c.holders, len(next), c.least, c.most)
 		}
 	}
 }
--- a/magno/route/tuning.go
+++ b/magno/route/tuning.go
@@ -5,41 +5,43 @@
 	"magnoliastall.example/magno/learn"
 )
 
-// How upstreams are chosen whose agents let each request begin.
+// Parameters for engines whose agents grant a permit for each request.
 const (
-	// loadMargin is how much longer than a load the wait at the holders of an
-	// adapter must be until another engine loads it.
+	// loadMargin is how much longer than a load the wait at the holders of an adapter
+	// must be until another engine loads it.
 	loadMargin = 50 * magno.Millis(1)
-	// leastLoad is the least that a load counts: the quarter of a second that one
-	// takes from the weight store.
-	leastLoad = 250 * magno.Millis(1)
-	// nextHome is the cost of an adapter's second home where none holds it.
-	nextHome = 40 * magno.Millis(1)
-	// prefixStep is the cost of leaving the holder that read the prompt's start.
+	// minLoad is the lower bound of the wait for a load: one from the weight store
+	// takes a quarter of a second.
+	minLoad = 250 * magno.Millis(1)
+	// hashStep is the cost of an adapter's second hash candidate where no engine holds
+	// it.
+	hashStep = 40 * magno.Millis(1)
+	// prefixStep is the cost of leaving the holder that has read the prompt's prefix.
 	prefixStep = 10 * magno.Millis(1)
-	// farCost is that of another data centre, in milliseconds: a round trip of
-	// two, and bytes that cost.
-	farCost = 3 * magno.Millis(1)
+	// remoteCost is the cost of another data centre: a round trip of 2 ms, and traffic
+	// that is charged for.
+	remoteCost = 3 * magno.Millis(1)
 )
 
-// How plain upstreams are chosen.
+// Parameters for plain services.
 const (
-	// plainToken is by how much one request delays others at a plain service,
-	// in milliseconds: about its work over its places.
-	plainToken = 5.0
-	// plainBusy counts all of what is outstanding there.
-	plainBusy = 1.0
+	// plainTokenDelay is by how many milliseconds one request delays others at a plain
+	// service: about its run time over the number of places.
+	plainTokenDelay = 5.0
+	// plainWorkWeight counts all outstanding work.
+	plainWorkWeight = 1.0
 )
 
-// PermitTuning is the tuning for engines whose agents let each request begin, and
-// tell how fast prompts are read.
+// PermitTuning returns the tuning for engines whose agents grant a permit for each
+// request and report how fast prompts are read.
 func PermitTuning() Tuning {
 	return Tuning{
-		LoadMargin: loadMargin, HashStep: nextHome, PrefixStep: prefixStep, RemoteCost: farCost, MinLoad: leastLoad, TokenDelay: 1 / learn.PriorPrefillRate,
+		LoadMargin: loadMargin, HashStep: hashStep, PrefixStep: prefixStep, RemoteCost: remoteCost, MinLoad: minLoad, TokenDelay: 1 / learn.PriorPrefillRate,
 	}
 }
 
-// PlainTuning is the tuning for services whose requests differ little.
+// PlainTuning returns the tuning for plain services, whose requests differ little in
+// cost.
 func PlainTuning() Tuning {
-	return Tuning{RemoteCost: farCost, TokenDelay: plainToken, WorkWeight: plainBusy}
+	return Tuning{RemoteCost: remoteCost, TokenDelay: plainTokenDelay, WorkWeight: plainWorkWeight}
 }
