--- a/magno/place/place.go
+++ b/magno/place/place.go
@@ -1,14 +1,13 @@
-// Package place decides which adapters are in an upstream's few slots.
+// Package place decides which adapters occupy an upstream's few slots.
 //
-// Load pattern: thousands of adapters with skewed popularity that shifts
-// within the hour, and a few slots. Without it hot adapters are thrown out for
-// one request to a cold one and loaded again seconds later, and a failing load
-// is tried again at once by every upstream.
+// Thousands of adapters with skewed popularity, which shifts within the hour, share a
+// few slots. Naive eviction drops a hot adapter for one request to a cold one and
+// reloads it seconds later, and after a failed load every upstream retries at once.
 //
-// The victim is the unpinned adapter with the least recent demand. Demand
-// decays by half in HalfLife, so an adapter that was hot an hour ago goes
-// before one that is warm now. Every load costs the same, so the reload cost
-// is in the choice as demand times one constant and drops out.
+// The victim is the unpinned adapter with the least recent demand. Demand decays by
+// half in HalfLife, so an adapter that was hot an hour ago is evicted before one that
+// is warm now. All loads cost the same, so the cost of a reload is a constant factor of
+// demand and is left out.
 package place
 
 import (
@@ -22,17 +21,17 @@
 )
 
 const (
-	// DefaultHalfLife is the time in which demand counts half; grounds in
-	// docs/DECIDE.md.
+	// DefaultHalfLife is the time in which demand counts half; docs/DECIDE.md gives the
+	// reasons.
 	DefaultHalfLife = 2 * magno.Minute
-	// mostDemand bounds the adapters whose demand is known.
-	mostDemand = 8192
-
-	// firstRetry is the wait after a failed load; it doubles up to lastRetry.
-	firstRetry = 250 * magno.Millis(1)
-	lastRetry  = 30 * magno.Second
-	// mostFailed bounds the adapters whose failures are known.
-	mostFailed = 1024
+	// maxDemands bounds the adapters whose demand is tracked.
+	maxDemands = 8192
+
+	// minRetryDelay is the delay after a failed load; it doubles up to maxRetryDelay.
+	minRetryDelay = 250 * magno.Millis(1)
+	maxRetryDelay = 30 * magno.Second
+	// maxFailures bounds the adapters whose failed loads are tracked.
+	maxFailures = 1024
 )
 
 type state int
@@ -46,13 +45,13 @@
 
 type slot struct {
 	state state
-	// pins counts started jobs that use the adapter; it is never evicted
-	// while pins is over zero.
+	// pins counts started jobs that use the adapter; it is never evicted while pins is
+	// over zero.
 	pins int
-	// used is when it was last pinned or loaded.
-	used magno.Millis
-	// until is when the last of its jobs is expected to end.
-	until magno.Millis
+	// lastUsed is when it was last pinned, unpinned or loaded.
+	lastUsed magno.Millis
+	// busyUntil is when the last of its jobs is expected to end.
+	busyUntil magno.Millis
 }
 
 type demand struct {
@@ -61,14 +60,13 @@
 }
 
 type failure struct {
-	count int
-	until magno.Millis
+	count   int
+	retryAt magno.Millis
 }
 
-// Slots is the state of one upstream's slots. Its exported fields are set
-// before use.
+// Slots is the state of one upstream's slots. Its exported fields are set before use.
 type Slots struct {
-	// Size is the number of slots; there are never more adapters held.
+	// Size is the number of slots, and the most adapters held.
 	Size int
 	// HalfLife is the time in which demand counts half.
 	HalfLife magno.Millis
@@ -82,20 +80,20 @@
 	inFlight int
 	// pinned counts slots with pins.
 	pinned int
-	// warm caches Warm; nil means that it has to be made again.
+	// warm caches the result of Warm; nil means that it has to be rebuilt.
 	warm []uint32
 }
 
 // New returns empty slots.
 func New(size int, halfLife magno.Millis, seed uint64) *Slots {
 	s := &Slots{Size: size, HalfLife: halfLife, Seed: seed, slots: map[magno.Ref]*slot{}}
-	s.demands, _ = simplelru.NewLRU[magno.Ref, demand](mostDemand, nil)
-	s.failures, _ = simplelru.NewLRU[magno.Ref, failure](mostFailed, nil)
+	s.demands, _ = simplelru.NewLRU[magno.Ref, demand](maxDemands, nil)
+	s.failures, _ = simplelru.NewLRU[magno.Ref, failure](maxFailures, nil)
 	s.rand = rand.New(rand.NewPCG(seed, 1))
 	return s
 }
 
-// Ready tells whether a job of ref may start; work without adapter always may.
+// Ready reports whether a job of ref may start; work without an adapter always may.
 func (s *Slots) Ready(ref magno.Ref) bool {
 	if ref == (magno.Ref{}) {
 		return true
@@ -104,26 +102,26 @@
 	return sl != nil && sl.state == loaded
 }
 
-// Pin holds ref in its slot until Unpin, which is expected after run.
+// Pin keeps ref in its slot until Unpin, which is expected after run.
 func (s *Slots) Pin(ref magno.Ref, now, run magno.Millis) {
 	if sl := s.slots[ref]; sl != nil {
 		if sl.pins == 0 {
 			s.pinned++
 		}
 		sl.pins++
-		sl.used = now
-		sl.until = max(sl.until, now+run)
+		sl.lastUsed = now
+		sl.busyUntil = max(sl.busyUntil, now+run)
 	}
 }
 
-// Unpin frees one pin.
+// Unpin releases one pin.
 func (s *Slots) Unpin(ref magno.Ref, now magno.Millis) {
 	if sl := s.slots[ref]; sl != nil && sl.pins > 0 {
 		sl.pins--
-		sl.used = now
+		sl.lastUsed = now
 		if sl.pins == 0 {
 			s.pinned--
-			sl.until = 0
+			sl.busyUntil = 0
 		}
 	}
 }
@@ -143,32 +141,32 @@
 	return d.score * math.Exp2(-float64(now-d.at)/float64(max(s.HalfLife, 1)))
 }
 
-// Loadable tells whether a load of ref may be ordered: it isn't held, and no
-// failed load is being waited out.
+// Loadable reports whether a load of ref may be ordered: it has no slot, and the delay
+// after a failed load has passed.
 func (s *Slots) Loadable(ref magno.Ref, now magno.Millis) bool {
 	if ref == (magno.Ref{}) || s.slots[ref] != nil {
 		return false
 	}
 	f, ok := s.failures.Peek(ref)
-	return !ok || now >= f.until
+	return !ok || now >= f.retryAt
 }
 
-// RetryDelay is how long a failed load of ref is still waited out.
+// RetryDelay returns how much of the delay after a failed load of ref is left.
 func (s *Slots) RetryDelay(ref magno.Ref, now magno.Millis) magno.Millis {
 	f, _ := s.failures.Peek(ref)
-	return max(f.until-now, 0)
+	return max(f.retryAt-now, 0)
 }
 
-// Loading tells whether ref is being loaded.
+// Loading reports whether ref is being loaded.
 func (s *Slots) Loading(ref magno.Ref) bool {
 	sl := s.slots[ref]
 	return sl != nil && sl.state == loading
 }
 
-// InFlight counts loads and evictions that have not ended.
+// InFlight returns the number of loads and evictions that have not ended.
 func (s *Slots) InFlight() int { return s.inFlight }
 
-// Free counts empty slots.
+// Free returns the number of empty slots.
 func (s *Slots) Free() int { return s.Size - len(s.slots) }
 
 // BeginLoad takes a free slot for the load of ref.
@@ -177,9 +175,10 @@
 	s.inFlight++
 }
 
-// Loaded ends a load; it tells whether ref is ready now. A failed one frees
-// the slot and is waited out for a time that doubles with each failure and is
-// spread by half, or all upstreams would try a failing store in step.
+// Loaded ends a load and reports whether ref is ready now. A failed load frees the slot
+// and delays the next one by a time that doubles with each failure. The delay has a
+// jitter of half, since otherwise all upstreams would retry at a failing weight store
+// in step.
 func (s *Slots) Loaded(ref magno.Ref, ok bool, now magno.Millis) bool {
 	sl := s.slots[ref]
 	if sl == nil || sl.state != loading {
@@ -187,20 +186,20 @@
 	}
 	s.inFlight--
 	if ok {
-		sl.state, sl.used = loaded, now
+		sl.state, sl.lastUsed = loaded, now
 		s.warm = nil
 		s.failures.Remove(ref)
 		return true
 	}
 	delete(s.slots, ref)
 	f, _ := s.failures.Peek(ref)
-	wait := min(firstRetry<<min(f.count, 10), lastRetry)
+	wait := min(minRetryDelay<<min(f.count, 10), maxRetryDelay)
 	wait = wait/2 + magno.Millis(s.rand.Int64N(int64(wait)))
-	s.failures.Add(ref, failure{count: f.count + 1, until: now + wait})
+	s.failures.Add(ref, failure{count: f.count + 1, retryAt: now + wait})
 	return false
 }
 
-// Evict begins the eviction of an unpinned adapter.
+// Evict begins the eviction of an unpinned adapter and reports whether it did.
 func (s *Slots) Evict(ref magno.Ref) bool {
 	sl := s.slots[ref]
 	if sl == nil || sl.pins > 0 || (sl.state != loaded && sl.state != draining) {
@@ -220,8 +219,8 @@
 	}
 }
 
-// Forget forgets a loaded adapter that the upstream holds no more; one that is
-// in use or in transition stays.
+// Forget drops a loaded adapter that the upstream no longer holds, and reports whether
+// it did. An adapter that is in use or being loaded or evicted stays.
 func (s *Slots) Forget(ref magno.Ref) bool {
 	sl := s.slots[ref]
 	if sl == nil || sl.state != loaded || sl.pins > 0 {
@@ -231,14 +230,14 @@
 	return true
 }
 
-// Drain stops new jobs of ref, so that its pins come to an end.
+// Drain stops new jobs of ref, so that its pins are released.
 func (s *Slots) Drain(ref magno.Ref) {
 	if sl := s.slots[ref]; sl != nil && sl.state == loaded {
 		sl.state = draining
 	}
 }
 
-// Undrain takes new jobs for a draining adapter again and returns it.
+// Undrain accepts new jobs for a draining adapter again and returns it.
 func (s *Slots) Undrain() (magno.Ref, bool) {
 	for ref, sl := range s.slots {
 		if sl.state == draining {
@@ -249,17 +248,17 @@
 	return magno.Ref{}, false
 }
 
-// Reset empties the slots: the upstream restarted. What was being loaded or
-// evicted is gone with it.
+// Reset empties the slots after a restart of the upstream. Loads and evictions in
+// flight are dropped.
 func (s *Slots) Reset() {
 	s.slots = map[magno.Ref]*slot{}
 	s.inFlight, s.pinned, s.warm = 0, 0, nil
 }
 
-// Held counts slots in use, Pinned those that are pinned.
+// Held returns the number of slots in use.
 func (s *Slots) Held() int { return len(s.slots) }
 
-// Pinned counts slots that started jobs use.
+// Pinned returns the number of slots that started jobs use.
 func (s *Slots) Pinned() int { return s.pinned }
 
 // Holds lists the loaded adapters and whether each is pinned.
@@ -273,8 +272,8 @@
 	return holds
 }
 
-// Warm lists the hashes of the loaded adapters in ascending order. The slice
-// isn't changed once returned.
+// Warm returns the hashes of the loaded adapters in ascending order. A returned slice
+// is never modified.
 func (s *Slots) Warm() []uint32 {
 	if s.warm != nil || len(s.slots) == 0 {
 		return s.warm
