--- a/magno/pack/gzip.go
+++ b/magno/pack/gzip.go
@@ -8,18 +8,17 @@
 	"github.com/cockroachdb/errors"
 )
 
-// gzipFrom is the size in bytes from which a value is compressed. A reader
-// fetches the index and a shard for each change: at 130,000 adapters these are
-// 95 kB plain, 59 kB a second at 54,000 changes a day, three times what a
-// process may use.
-const gzipFrom = 4 << 10
+// minGzipSize is the size in bytes from which a value is compressed. A reader fetches
+// the index and a shard for each change: at 130,000 adapters these are 95 kB
+// uncompressed, 59 kB/s at 54,000 changes a day, three times what a process may use.
+const minGzipSize = 4 << 10
 
-// magic begins every gzip text and no JSON text.
-var magic = []byte{0x1f, 0x8b}
+// gzipMagic begins every gzip stream and no JSON text.
+var gzipMagic = []byte{0x1f, 0x8b}
 
-// squeeze returns the value as it is published.
-func squeeze(plain []byte) ([]byte, error) {
-	if len(plain) < gzipFrom {
+// compress returns the value in the form in which it is published.
+func compress(plain []byte) ([]byte, error) {
+	if len(plain) < minGzipSize {
 		return plain, nil
 	}
 	var out bytes.Buffer
@@ -36,23 +35,23 @@
 	return out.Bytes(), nil
 }
 
-// Decompress returns the text of a published value, which may be compressed. One
-// that grows over limit bytes is an error: a small damaged or hostile value
+// Decompress returns the text of a published value, which may be compressed. A value
+// that expands to more than limit bytes is an error: a small damaged or hostile value
 // could otherwise fill the memory of every reader.
 func Decompress(value []byte, limit int) ([]byte, error) {
-	if !bytes.HasPrefix(value, magic) {
+	if !bytes.HasPrefix(value, gzipMagic) {
 		return value, nil
 	}
 	r, err := gzip.NewReader(bytes.NewReader(value))
 	if err != nil {
-		return nil, errors.Wrap(err, "value")
+		return nil, errors.Wrap(err, "read gzip header of value")
 	}
 	plain, err := io.ReadAll(io.LimitReader(r, int64(limit)+1))
 	if err != nil {
-		return nil, errors.Wrap(err, "value")
+		return nil, errors.Wrap(err, "decompress value")
 	}
 	if len(plain) > limit {
-		return nil, errors.Newf("the value holds more than %d bytes", limit)
+		return nil, errors.Newf("value expands to more than %d bytes", limit)
 	}
 	return plain, nil
 }
