--- a/magno/paths/paths.go
+++ b/magno/paths/paths.go
@@ -1,9 +1,9 @@
-// Package paths finds the route of a request by its host and path, and the
-// service that a split route sends it to.
+// Package paths finds the route of a request by its host and path, and picks the
+// service where a route splits its traffic.
 //
-// Load pattern: every request, over a few to several hundred routes. A lookup
-// costs one map access for each slash of the path, however many routes there
-// are; comparing prefixes in a list took time in proportion to their number.
+// Every request is matched, against a few to several hundred routes. A lookup costs one
+// map access for each slash of the path, however many routes there are; a linear scan
+// of the prefixes took time in proportion to their number.
 package paths
 
 import (
@@ -14,7 +14,7 @@
 	"magnoliastall.example/magno"
 )
 
-// Table maps hosts and path prefixes to routes. It isn't changed once built.
+// Table maps hosts and path prefixes to routes. It is immutable.
 type Table struct {
 	routes map[key]*magno.Route
 }
@@ -33,8 +33,8 @@
 	return t
 }
 
-// Find returns the route with the longest prefix that begins the path, nil when
-// there is none. A port in host doesn't count.
+// Find returns the route with the longest prefix of path, or nil when there is none. A
+// port in host is ignored.
 func (t *Table) Find(host, path string) *magno.Route {
 	host, _, _ = strings.Cut(strings.ToLower(host), ":")
 	for end := len(path); end > 0; {
@@ -50,8 +50,8 @@
 	return nil
 }
 
-// PickService chooses the service of a request by its attempt, so that its copies
-// within one attempt go to one service.
+// PickService picks the service of a request by the hash of its attempt ID, so that all
+// copies of one attempt go to the same service.
 func PickService(r *magno.Route, attempt string) string {
 	if len(r.Parts) == 1 {
 		return r.Parts[0].Service
@@ -60,12 +60,12 @@
 	for _, p := range r.Parts {
 		total += p.Weight
 	}
-	at := float64(xxhash.Sum64String(attempt)>>11) / (1 << 53) * total
+	point := float64(xxhash.Sum64String(attempt)>>11) / (1 << 53) * total
 	for _, p := range r.Parts {
-		if at < p.Weight {
+		if point < p.Weight {
 			return p.Service
 		}
-		at -= p.Weight
+		point -= p.Weight
 	}
 	return r.Parts[len(r.Parts)-1].Service
 }
--- a/magno/paths/paths_test.go
+++ b/magno/paths/paths_test.go
@@ -34,14 +34,14 @@
 	}
 }
 
-func TestSplitByWeight(t *testing.T) {
+func TestPickServiceByWeight(t *testing.T) {
 	r := &magno.Route{Parts: []magno.Part{{Service: "a", Weight: 90}, {Service: "b", Weight: 10}}}
 	n := map[string]int{}
 	for i := range 10000 {
 		id := fmt.Sprint("attempt", i)
 		service := PickService(r, id)
 		if again := PickService(r, id); again != service {
-			t.Fatal("an attempt changed its service")
+			t.Fatal("two services for one attempt")
 		}
 		n[service]++
 	}
