--- a/magno/plain/plain.go
+++ b/magno/plain/plain.go
@@ -1,6 +1,6 @@
-// Package plain speaks to a plain service: one HTTP call, one answer. Some
-// calls may not be repeated, so an answer that was lost is unknown, never
-// sent again from here.
+// Package plain calls a plain service: one HTTP request, one answer. Some calls may not
+// be repeated, so a call whose answer was lost has an unknown outcome and isn't retried
+// here.
 package plain
 
 import (
@@ -18,15 +18,15 @@
 	"magnoliastall.example/magno/model"
 )
 
-// Limits on what a service may answer, in bytes.
+// Limits on a service's answer, in bytes.
 const (
-	answerLimit = 1 << 20
-	errorLimit  = 4 << 10 // of an error that are kept
-	headerLimit = 16 << 10
+	maxAnswerBytes = 1 << 20
+	maxErrorBytes  = 4 << 10 // of an error's body that are kept
+	maxHeaderBytes = 16 << 10
 )
 
-// Upstream is a plain service as its agent sees it. It implements
-// magno.Upstream; the orders about adapters do nothing.
+// Upstream is a plain service as its agent sees it. It implements magno.Upstream; loads
+// and unloads of adapters do nothing.
 type Upstream struct {
 	// Address is the service's IP and port.
 	Address string
@@ -37,20 +37,20 @@
 	magno.Register(magno.SortUpstream, string(magno.PoolPlain), func() any { return &Upstream{} })
 }
 
-// SetAddress sets where the service listens; it takes no fence.
+// SetAddress sets the service's address and ignores the fence.
 func (p *Upstream) SetAddress(address string, _ int64) {
 	p.Address = address
 	p.Client = &http.Client{CheckRedirect: model.NewClient().CheckRedirect, Transport: &http.Transport{
 		DialContext:            (&net.Dialer{Timeout: time.Second}).DialContext,
-		MaxResponseHeaderBytes: headerLimit,
-		// A kept connection that the service has closed meanwhile would leave
-		// in doubt whether a call arrived; a new one each time does not.
+		MaxResponseHeaderBytes: maxHeaderBytes,
+		// When the service has closed a connection that is reused, it is unknown
+		// whether the call arrived. A new connection for each call avoids that.
 		DisableKeepAlives: true,
 	}}
 }
 
-// Run makes the call. Unless the request was never written, an error means
-// that it may have run.
+// Run makes the call. Once a connection was made, a transport error means that the call
+// may have run.
 func (p *Upstream) Run(ctx context.Context, w magno.Work, emit func(magno.Piece)) (magno.Result, error) {
 	var written atomic.Bool
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { written.Store(true) }}
@@ -65,35 +65,36 @@
 	req.Header.Set("X-Request-Id", w.Job.ID)
 	resp, err := p.Client.Do(req)
 	if err != nil {
-		return magno.Result{}, lost(written.Load(), err)
+		return magno.Result{}, transportError(written.Load(), err)
 	}
 	defer resp.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(resp.Body, answerLimit+1))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes+1))
 	if err != nil {
-		return magno.Result{}, lost(true, err)
+		return magno.Result{}, transportError(true, err)
 	}
 	if resp.StatusCode != http.StatusOK {
-		return magno.Result{}, answered(resp.StatusCode, string(body[:min(len(body), errorLimit)]))
+		return magno.Result{}, statusError(resp.StatusCode, string(body[:min(len(body), maxErrorBytes)]))
 	}
-	if len(body) > answerLimit {
-		return magno.Result{}, magno.Refuse(magno.KindFailed, "the upstream's answer is over %d bytes", answerLimit)
+	if len(body) > maxAnswerBytes {
+		return magno.Result{}, magno.Refuse(magno.KindFailed, "the upstream's answer is over %d bytes", maxAnswerBytes)
 	}
 	if resp.ContentLength < 0 && len(resp.TransferEncoding) == 0 {
-		// Its end is the connection's, which is also what a cut looks like.
+		// The answer ends with the connection, so a truncated one looks the same as a
+		// whole one.
 		return magno.Result{}, magno.Refuse(magno.KindInterrupted, "the upstream's answer doesn't say where it ends")
 	}
 	emit(magno.Piece{Text: string(body), Tokens: 1})
 	return magno.Result{Text: string(body), Type: resp.Header.Get("Content-Type"), Output: 1}, nil
 }
 
-func lost(written bool, err error) error {
+func transportError(written bool, err error) error {
 	if !written {
 		return magno.Refuse(magno.KindNoUpstream, "the upstream can't be reached: %v", err)
 	}
 	return magno.Refuse(magno.KindUnknown, "the upstream's answer was lost: %v", err)
 }
 
-func answered(status int, body string) error {
+func statusError(status int, body string) error {
 	switch status {
 	case http.StatusTooManyRequests:
 		return magno.Refuse(magno.KindBusy, "the upstream answered %d: %s", status, body)
@@ -111,13 +112,13 @@
 // Unload does nothing.
 func (p *Upstream) Unload(context.Context, magno.Ref, int64) error { return nil }
 
-// Probe implements magno.Upstream.
+// Probe reads the service's report.
 func (p *Upstream) Probe(ctx context.Context) (magno.Probe, error) {
 	var r struct {
 		Boot  int64 `json:"boot"`
 		Batch int   `json:"batch"`
 	}
-	if err := fetch.JSON(ctx, p.Client, "http://"+p.Address+"/report", answerLimit, &r); err != nil {
+	if err := fetch.JSON(ctx, p.Client, "http://"+p.Address+"/report", maxAnswerBytes, &r); err != nil {
 		return magno.Probe{}, err
 	}
 	return magno.Probe{Boot: r.Boot, Limits: magno.Limits{Slots: 1, Batch: r.Batch, Tokens: r.Batch, Step: 5}}, nil
--- a/magno/plain/plain_test.go
+++ b/magno/plain/plain_test.go
@@ -10,8 +10,8 @@
 	"magnoliastall.example/magno"
 )
 
-// serve answers one connection with raw bytes after the request's header; an
-// empty answer is a connection that ends without one.
+// serve answers one connection with raw bytes after it has read the request. With an
+// empty answer it closes the connection.
 func serve(t *testing.T, answer string) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -33,9 +33,9 @@
 
 func status(line string) string { return "HTTP/1.1 " + line + "\r\nContent-Length: 0\r\n\r\n" }
 
-// A receipt service takes the call and its connection is cut, or its answer is
-// too long or stops in the middle. The caller must neither be told that
-// nothing ran nor get a part of the answer for the whole.
+// A service takes the call and its connection is cut, or its answer is too long or
+// truncated. The caller must neither be told that nothing ran nor get a part of the
+// answer as the whole.
 func TestRunOfAnswer(t *testing.T) {
 	const ok = "HTTP/1.1 200 OK\r\n"
 	tests := []struct {
@@ -49,7 +49,7 @@
 		{"cut by length", ok + "Content-Length: 9\r\n\r\nhi", magno.KindUnknown, magno.RunUnknown},
 		{"cut by chunks", ok + "Transfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n", magno.KindUnknown, magno.RunUnknown},
 		{"no stated end", ok + "\r\nhi", magno.KindInterrupted, magno.RunUnknown},
-		{"too long", ok + "Content-Length: 1048577\r\n\r\n" + strings.Repeat("x", answerLimit+1), magno.KindFailed, magno.RunYes},
+		{"too long", ok + "Content-Length: 1048577\r\n\r\n" + strings.Repeat("x", maxAnswerBytes+1), magno.KindFailed, magno.RunYes},
 		{"429", status("429 Many"), magno.KindBusy, magno.RunNo},
 		{"400", status("400 Bad"), magno.KindMalformed, magno.RunUnknown},
 		{"404", status("404 None"), magno.KindMalformed, magno.RunUnknown},
