--- a/entry/daemon/daemon.go
+++ b/entry/daemon/daemon.go
@@ -30,7 +30,7 @@
 	opts    *option.Option
 	routers *routers
 	front   *front.Front
-	lease   *lease.Lease
+	lease   *lease.Manager
 }
 
 // Main runs an entry and returns its exit code.
@@ -70,7 +70,7 @@
 		Events: e.Events, Attempts: opts.Attempts, DataCentre: opts.DataCentre,
 	}
 	h := &homes{self: e.Self, fleet: e.Fleet, store: e.Store}
-	e.lease = &lease.Lease{
+	e.lease = &lease.Manager{
 		Self: opts.Peer, Mesh: e.Mesh, Homes: h.of, Count: h.count, Limit: h.limit, Clock: e.Clock, Log: log,
 	}
 	e.lease.Open()
--- a/entry/desk/desk.go
+++ b/entry/desk/desk.go
@@ -65,26 +65,26 @@
 	heldFor = 10 * magno.Second
 )
 
-// ErrDead tells that the agent doesn't answer.
-var ErrDead = errors.New("the agent doesn't answer")
+// ErrAgentLost tells that the agent doesn't answer.
+var ErrAgentLost = errors.New("the agent doesn't answer")
 
-// Desk is the duty. Fields are set before Run.
-type Desk struct {
+// Client is the duty. Fields are set before Run.
+type Client struct {
 	// Self is this instance's name.
 	Self  string
 	Mesh  *wire.Mesh
 	Book  *view.Book
 	Clock *magno.Clock
 	Log   *slog.Logger
-	// Port is where agents listen, the same on all machines.
-	Port int
+	// AgentPort is where agents listen, the same on all machines.
+	AgentPort int
 	// Addr is this entry's own address. Mates lists those of all entries of its data
 	// centre, its own among them, in the order in which they are to ask agents; nil
 	// where it is the only one.
-	Addr  string
-	Mates func() []string
-	// Reported is told each backlog by the incarnation's key.
-	Reported func(service, key string, b magno.Backlog)
+	Addr    string
+	Entries func() []string
+	// OnBacklog is told each backlog by the incarnation's key.
+	OnBacklog func(service, key string, b magno.Backlog)
 
 	// answers are what agents answered and mates don't know yet.
 	answers chan gate.StatusReply
@@ -103,16 +103,16 @@
 }
 
 // Name implements magno.Duty.
-func (d *Desk) Name() string { return "desk" }
+func (d *Client) Name() string { return "desk" }
 
 // Open takes the methods on the mesh, before either runs.
-func (d *Desk) Open() {
+func (d *Client) Open() {
 	d.answers = make(chan gate.StatusReply, mostAnswers)
-	d.Mesh.Handle(MethodWord, d.onWord)
+	d.Mesh.Handle(MethodForward, d.onWord)
 }
 
 // Run polls agents until ctx ends.
-func (d *Desk) Run(ctx context.Context) error {
+func (d *Client) Run(ctx context.Context) error {
 	d.polls = metrics.GetOrCreateCounter("agent_polls_total")
 	d.fails = metrics.GetOrCreateCounter("agent_poll_failures_total")
 	ticks := time.NewTicker(pollEvery.Span())
@@ -146,7 +146,7 @@
 }
 
 // ask asks the agents whose turn it is.
-func (d *Desk) ask(ctx context.Context, working *sync.WaitGroup) {
+func (d *Client) ask(ctx context.Context, working *sync.WaitGroup) {
 	d.seat(d.Book.Now())
 	for _, s := range d.due() {
 		working.Add(1)
@@ -159,7 +159,7 @@
 
 // seat brings the seats up to the list, when that has changed: comparing what
 // every agent is to be told is too much to do at each tick.
-func (d *Desk) seat(snap *view.Snapshot) {
+func (d *Client) seat(snap *view.Snapshot) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if snap.Plan == nil || snap == d.snap {
@@ -177,7 +177,7 @@
 		s := old[r.Key()]
 		if s == nil {
 			s = &seat{
-				addr: net.JoinHostPort(host, strconv.Itoa(d.Port)), hash: xxhash.Sum64String(r.Key()),
+				addr: net.JoinHostPort(host, strconv.Itoa(d.AgentPort)), hash: xxhash.Sum64String(r.Key()),
 				lost: make(chan struct{}), heard: d.Clock.Now(),
 			}
 		}
@@ -191,7 +191,7 @@
 }
 
 // due lists the agents to ask now.
-func (d *Desk) due() []*seat {
+func (d *Client) due() []*seat {
 	share := d.share()
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -250,7 +250,7 @@
 }
 
 // poll asks one agent, and tells it what it doesn't know yet.
-func (d *Desk) poll(ctx context.Context, s *seat) {
+func (d *Client) poll(ctx context.Context, s *seat) {
 	ctx, cancel := context.WithTimeout(ctx, pollTime.Span())
 	defer cancel()
 	d.mu.Lock()
@@ -276,7 +276,7 @@
 	d.heard(s, &reply, held)
 }
 
-func (d *Desk) missed(s *seat, err error) {
+func (d *Client) missed(s *seat, err error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	s.misses++
@@ -291,7 +291,7 @@
 }
 
 // heard takes an agent's state, told to an entry that had the list held.
-func (d *Desk) heard(s *seat, reply *gate.StatusReply, held uint64) {
+func (d *Client) heard(s *seat, reply *gate.StatusReply, held uint64) {
 	d.mu.Lock()
 	reply.Restore(held, &s.status)
 	if s.dead {
@@ -307,15 +307,15 @@
 	mine, b := reply.Replica == key, reply.Backlog
 	b.Down = s.down()
 	d.mu.Unlock()
-	if mine && d.Reported != nil {
-		d.Reported(service, key, b)
+	if mine && d.OnBacklog != nil {
+		d.OnBacklog(service, key, b)
 	}
 }
 
-// Unreached tells that an engine couldn't be connected to. With its agent dead too
+// ReportUnreachable tells that an engine couldn't be connected to. With its agent dead too
 // the machine is gone: what it held is no longer there, and nothing is sent to it
 // until its agent answers again.
-func (d *Desk) Unreached(key string) {
+func (d *Client) ReportUnreachable(key string) {
 	d.mu.Lock()
 	s := d.seats[key]
 	if s == nil || !s.dead || s.unreached {
@@ -326,13 +326,13 @@
 	service := s.replica.Service
 	d.Log.Info("engine unreached", "replica", key, "addr", s.addr)
 	d.mu.Unlock()
-	if d.Reported != nil {
-		d.Reported(service, key, magno.Backlog{Down: true})
+	if d.OnBacklog != nil {
+		d.OnBacklog(service, key, magno.Backlog{Down: true})
 	}
 }
 
 // hurry has an agent asked at the next tick that wasn't heard since.
-func (d *Desk) hurry(s *seat, since magno.Millis) {
+func (d *Client) hurry(s *seat, since magno.Millis) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if s.heard < since && !s.dead {
@@ -342,7 +342,7 @@
 
 // Holds tells whether an engine held a model or adapter when its agent was
 // last heard, and that the agent hasn't been silent for long.
-func (d *Desk) Holds(key, name string) bool {
+func (d *Client) Holds(key, name string) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	s := d.seats[key]
@@ -360,7 +360,7 @@
 
 // Down tells whether the engine is known not to answer, or to have started
 // anew since the list named this incarnation.
-func (d *Desk) Down(key string) bool {
+func (d *Client) Down(key string) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	s := d.seats[key]
--- a/entry/desk/desk_test.go
+++ b/entry/desk/desk_test.go
@@ -75,7 +75,7 @@
 	})
 }
 
-func start(t *testing.T, a *agent) (*Desk, context.CancelFunc) {
+func start(t *testing.T, a *agent) (*Client, context.CancelFunc) {
 	t.Helper()
 	clock := magno.NewSteady()
 	served := &wire.Mesh{Listen: "127.0.0.1:0", Clock: clock}
@@ -90,7 +90,7 @@
 		{Key: "plan", Revision: 1, Plan: &magno.Plan{Version: 1, Services: []magno.Service{{Name: "s", Engine: &magno.Engine{Batch: 1}}}}},
 		{Key: "r", Revision: 1, Replica: &magno.Replica{ID: "r", Service: "s", Address: "127.0.0.1:1", DataCentre: "x", Slots: 1}},
 	}, 1, true)
-	d := &Desk{Self: "e", Mesh: &wire.Mesh{Clock: clock}, Book: book, Clock: clock, Log: slog.New(slog.DiscardHandler), Port: number}
+	d := &Client{Self: "e", Mesh: &wire.Mesh{Clock: clock}, Book: book, Clock: clock, Log: slog.New(slog.DiscardHandler), AgentPort: number}
 	d.Open()
 	ctx, cancel := context.WithCancel(context.Background())
 	gone, lose := context.WithCancel(ctx)
@@ -152,7 +152,7 @@
 		d.mu.Unlock()
 		ctx, leave := context.WithCancel(context.Background())
 		leave()
-		if _, err := d.Permit(ctx, key, gate.Request{ID: "1"}); err == nil {
+		if _, err := d.Acquire(ctx, key, gate.Request{ID: "1"}); err == nil {
 			t.Fatal("a caller that left got a permit")
 		}
 		d.mu.Lock()
@@ -172,7 +172,7 @@
 	d, _ := start(t, a)
 	until(t, "the agent", d.heardOnce)
 	permit := func() {
-		if _, err := d.Permit(context.Background(), key, gate.Request{ID: "1"}); err != nil {
+		if _, err := d.Acquire(context.Background(), key, gate.Request{ID: "1"}); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -200,7 +200,7 @@
 	until(t, "the agent's state", d.heardOnce)
 	got := make(chan error, 1)
 	go func() {
-		_, err := d.Permit(context.Background(), key, gate.Request{ID: "1"})
+		_, err := d.Acquire(context.Background(), key, gate.Request{ID: "1"})
 		got <- err
 	}()
 	a.mu.Lock()
@@ -208,7 +208,7 @@
 	a.mu.Unlock()
 	select {
 	case err := <-got:
-		if !errors.Is(err, ErrDead) {
+		if !errors.Is(err, ErrAgentLost) {
 			t.Fatalf("got %v, want ErrDead", err)
 		}
 	case <-time.After(time.Minute):
@@ -224,16 +224,16 @@
 	until(t, "the agent's state", func() bool { return d.Holds(key, "m/a") })
 	got := make(chan error, 1)
 	go func() {
-		_, err := d.Permit(context.Background(), key, gate.Request{ID: "1"})
+		_, err := d.Acquire(context.Background(), key, gate.Request{ID: "1"})
 		got <- err
 	}()
 	lose()
-	if err := <-got; !errors.Is(err, ErrDead) {
+	if err := <-got; !errors.Is(err, ErrAgentLost) {
 		t.Fatalf("got %v, want ErrDead", err)
 	}
 	until(t, "the loss", func() bool {
-		_, err := d.Permit(context.Background(), key, gate.Request{ID: "2"})
-		return errors.Is(err, ErrDead)
+		_, err := d.Acquire(context.Background(), key, gate.Request{ID: "2"})
+		return errors.Is(err, ErrAgentLost)
 	})
 	if !d.Holds(key, "m/a") {
 		t.Error("what the engine held is forgotten with its agent")
@@ -248,7 +248,7 @@
 	until(t, "the agent's state", func() bool { return !d.Down(key) && d.heardOnce() })
 	ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
 	defer cancel()
-	if _, err := d.Permit(ctx, key, gate.Request{ID: "1"}); err == nil {
+	if _, err := d.Acquire(ctx, key, gate.Request{ID: "1"}); err == nil {
 		t.Fatal("the wait ended without an error")
 	}
 	until(t, "the word of it", func() bool {
@@ -258,7 +258,7 @@
 	})
 }
 
-func (d *Desk) heardOnce() bool {
+func (d *Client) heardOnce() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	s := d.seats[key]
--- a/entry/desk/lost_test.go
+++ b/entry/desk/lost_test.go
@@ -14,9 +14,9 @@
 )
 
 // fleet is a desk with so many agents that all answered a moment ago.
-func fleet(n int) (*Desk, *magno.Clock) {
+func fleet(n int) (*Client, *magno.Clock) {
 	clock := magno.NewClock(magno.Hour)
-	d := &Desk{Clock: clock, Log: slog.New(slog.DiscardHandler), seats: map[string]*seat{}}
+	d := &Client{Clock: clock, Log: slog.New(slog.DiscardHandler), seats: map[string]*seat{}}
 	for i := range n {
 		r := &magno.Replica{ID: strconv.Itoa(i), Service: "s"}
 		s := &seat{replica: r, asked: clock.Now(), heard: clock.Now(), lost: make(chan struct{}), hash: xxhash.Sum64String(r.Key())}
@@ -27,7 +27,7 @@
 }
 
 // asks tells which agents are asked at the next tick.
-func asks(d *Desk, clock *magno.Clock, key string) bool {
+func asks(d *Client, clock *magno.Clock, key string) bool {
 	clock.Advance(pollEvery)
 	asked := false
 	for _, s := range d.due() {
@@ -81,11 +81,11 @@
 	d, clock := fleet(2)
 	key := "1@0"
 	var told []magno.Backlog
-	d.Reported = func(_, _ string, b magno.Backlog) { told = append(told, b) }
+	d.OnBacklog = func(_, _ string, b magno.Backlog) { told = append(told, b) }
 	status := d.seats[key].status
 	status.Backlog.Warm = []uint32{magno.Ref{Adapter: "m/a"}.Hash()}
 	d.heard(d.seats[key], &status, 0)
-	d.Unreached(key)
+	d.ReportUnreachable(key)
 	if !d.Holds(key, "m/a") {
 		t.Fatal("an engine whose agent answers counts as gone")
 	}
@@ -95,7 +95,7 @@
 	if !d.Holds(key, "m/a") {
 		t.Fatal("an agent that is silent alone takes its engine away")
 	}
-	d.Unreached(key)
+	d.ReportUnreachable(key)
 	if d.Holds(key, "m/a") || !told[len(told)-1].Down {
 		t.Errorf("the engine still counts, told %+v", told)
 	}
@@ -131,7 +131,7 @@
 		t.Errorf("the one before holds %v, is down %v; this one holds %v, is down %v",
 			d.Holds(before, "m/a"), d.Down(before), d.Holds(now, "m/a"), d.Down(now))
 	}
-	if _, err := d.Permit(t.Context(), before, gate.Request{ID: "1"}); !errors.Is(err, ErrDead) {
+	if _, err := d.Acquire(t.Context(), before, gate.Request{ID: "1"}); !errors.Is(err, ErrAgentLost) {
 		t.Errorf("a permit for the one before ends with %v", err)
 	}
 }
--- a/entry/desk/permit.go
+++ b/entry/desk/permit.go
@@ -10,14 +10,14 @@
 	"magnoliastall.example/magno/wire"
 )
 
-// Permit asks that a request may begin at a replica, and waits. ErrDead means
+// Acquire asks that a request may begin at a replica, and waits. ErrAgentLost means
 // that nobody decided.
-func (d *Desk) Permit(ctx context.Context, key string, ask gate.Request) (*gate.PermitReply, error) {
+func (d *Client) Acquire(ctx context.Context, key string, ask gate.Request) (*gate.PermitReply, error) {
 	d.mu.Lock()
 	s := d.seats[key]
 	if s == nil || s.dead {
 		d.mu.Unlock()
-		return nil, ErrDead
+		return nil, ErrAgentLost
 	}
 	s.used = d.Clock.Now()
 	lost, addr := s.lost, s.addr
@@ -40,9 +40,9 @@
 			d.hurry(s, d.Clock.Now())
 		}
 		if !wire.NotSent(err) {
-			d.End(key, gate.EndCall{ID: ask.ID}) // it may have been let through since
+			d.Release(key, gate.EndCall{ID: ask.ID}) // it may have been let through since
 		}
-		return nil, errors.Mark(err, ErrDead)
+		return nil, errors.Mark(err, ErrAgentLost)
 	}
 	d.heard(s, &reply.Status, call.ListsHash)
 	d.mu.Lock()
@@ -53,7 +53,7 @@
 
 // wait ends the wait for a permit once its agent is lost, and finds out whether an
 // agent that doesn't answer is.
-func (d *Desk) wait(s *seat, lost, stop chan struct{}, cancel context.CancelFunc) {
+func (d *Client) wait(s *seat, lost, stop chan struct{}, cancel context.CancelFunc) {
 	asked := d.Clock.Now()
 	silent := time.NewTimer(pollTime.Span())
 	defer silent.Stop()
@@ -70,9 +70,9 @@
 	}
 }
 
-// End tells the agent that a request ended. If the word is lost, the agent
+// Release tells the agent that a request ended. If the word is lost, the agent
 // forgets the request at its deadline.
-func (d *Desk) End(key string, call gate.EndCall) {
+func (d *Client) Release(key string, call gate.EndCall) {
 	d.mu.Lock()
 	s := d.seats[key]
 	d.mu.Unlock()
--- a/entry/desk/share.go
+++ b/entry/desk/share.go
@@ -13,8 +13,8 @@
 	"magnoliastall.example/magno/wire"
 )
 
-// MethodWord is between entries of one data centre: Word, a notification.
-const MethodWord = "word"
+// MethodForward is between entries of one data centre: Word, a notification.
+const MethodForward = "word"
 
 const (
 	// matesHalve is by how much the pause between two polls of an agent is shorter
@@ -31,9 +31,9 @@
 	mostAnswers = 256
 )
 
-// Word is what an entry passes on: the answers of agents that it asked.
-type Word struct {
-	Answers []gate.StatusReply `json:"answers"`
+// StatusBatch is what an entry passes on: the answers of agents that it asked.
+type StatusBatch struct {
+	Statuses []gate.StatusReply `json:"answers"`
 }
 
 // share tells which agents this entry asks for its data centre.
@@ -51,12 +51,12 @@
 	others []uint64
 }
 
-func (d *Desk) share() share {
+func (d *Client) share() share {
 	sh := share{asks: true, own: xxhash.Sum64String(d.Addr)}
-	if d.Mates == nil {
+	if d.Entries == nil {
 		return sh
 	}
-	mates := d.Mates()
+	mates := d.Entries()
 	askers := mates[:min(len(mates), mostAskers)]
 	sh.asks = slices.Contains(askers, d.Addr)
 	for _, addr := range askers {
@@ -100,7 +100,7 @@
 
 // tell has an agent's answer passed on. Where too many wait it is left out: the others
 // ask the agent themselves after a while.
-func (d *Desk) tell(a gate.StatusReply) {
+func (d *Client) tell(a gate.StatusReply) {
 	select {
 	case d.answers <- a:
 	default:
@@ -108,14 +108,14 @@
 }
 
 // pass tells the other entries of this data centre what agents answered.
-func (d *Desk) pass(ctx context.Context, working *sync.WaitGroup, answers []gate.StatusReply) {
-	if len(answers) == 0 || d.Mates == nil {
+func (d *Client) pass(ctx context.Context, working *sync.WaitGroup, answers []gate.StatusReply) {
+	if len(answers) == 0 || d.Entries == nil {
 		return
 	}
 	working.Add(1)
 	go func() {
 		defer working.Done()
-		err := d.Mesh.Broadcast(ctx, d.others(), MethodWord, pollTime, Word{Answers: answers},
+		err := d.Mesh.Broadcast(ctx, d.others(), MethodForward, pollTime, StatusBatch{Statuses: answers},
 			func(addr string, err error) { d.Log.Debug("word", "addr", addr, "error", err) })
 		if err != nil {
 			d.Log.Error("word", "answers", len(answers), "error", err)
@@ -124,25 +124,25 @@
 }
 
 // others lists the other entries of this data centre.
-func (d *Desk) others() []string {
-	return slices.DeleteFunc(d.Mates(), func(addr string) bool { return addr == d.Addr })
+func (d *Client) others() []string {
+	return slices.DeleteFunc(d.Entries(), func(addr string) bool { return addr == d.Addr })
 }
 
-func (d *Desk) onWord(_ context.Context, _ *wire.Peer, params json.RawMessage) (any, error) {
-	var w Word
+func (d *Client) onWord(_ context.Context, _ *wire.Peer, params json.RawMessage) (any, error) {
+	var w StatusBatch
 	if err := json.Unmarshal(params, &w); err != nil {
 		d.Log.Warn("word", "error", err)
 		return nil, err
 	}
-	for i := range w.Answers {
-		d.told(&w.Answers[i])
+	for i := range w.Statuses {
+		d.told(&w.Statuses[i])
 	}
 	return nil, nil
 }
 
 // told takes an answer that another entry passed on. An agent that didn't answer this
 // entry isn't taken for well by it: only its own question tells.
-func (d *Desk) told(a *gate.StatusReply) {
+func (d *Client) told(a *gate.StatusReply) {
 	d.mu.Lock()
 	s := d.seats[a.Replica]
 	newer := s != nil && !s.dead && s.misses == 0 && d.Clock.Now()-s.heard >= wordDelay
--- a/entry/desk/share_test.go
+++ b/entry/desk/share_test.go
@@ -14,13 +14,13 @@
 
 // mates are the desks of one data centre's entries, which all know each other, and
 // the clock of each.
-func mates(n, agents int) ([]*Desk, []*magno.Clock) {
-	var desks []*Desk
+func mates(n, agents int) ([]*Client, []*magno.Clock) {
+	var desks []*Client
 	var clocks []*magno.Clock
 	for i := range n {
 		d, clock := fleet(agents)
 		d.Addr = fmt.Sprintf("10.0.0.%d:7", i)
-		d.Mates = func() (list []string) {
+		d.Entries = func() (list []string) {
 			for j := range n {
 				list = append(list, fmt.Sprintf("10.0.0.%d:7", j))
 			}
--- a/entry/lease/lease.go
+++ b/entry/lease/lease.go
@@ -47,8 +47,8 @@
 
 var errNoHome = errors.New("no home answers")
 
-// Lease is the duty. Fields are set before Open.
-type Lease struct {
+// Manager is the duty. Fields are set before Open.
+type Manager struct {
 	// Self is this entry's address.
 	Self string
 	Mesh *wire.Mesh
@@ -94,7 +94,7 @@
 }
 
 // Open takes the method on the mesh, before it runs.
-func (l *Lease) Open() {
+func (l *Manager) Open() {
 	l.quota.Clock, l.grants.Clock = l.Clock, l.Clock
 	l.grants.Window = l.Window
 	if l.Window <= 0 {
@@ -107,10 +107,10 @@
 }
 
 // Name implements magno.Duty.
-func (l *Lease) Name() string { return "lease" }
+func (l *Manager) Name() string { return "lease" }
 
 // Run gives back what nobody needs until ctx ends, then waits for calls under way.
-func (l *Lease) Run(ctx context.Context) error {
+func (l *Manager) Run(ctx context.Context) error {
 	defer l.end()
 	for magno.Pause(ctx, giveEvery) {
 		l.mu.Lock()
@@ -123,7 +123,7 @@
 }
 
 // end lets calls under way finish, and none begin.
-func (l *Lease) end() {
+func (l *Manager) end() {
 	l.mu.Lock()
 	l.ended = true
 	l.mu.Unlock()
@@ -131,7 +131,7 @@
 }
 
 // Take takes a request's cost from its customer's allowance, or refuses it.
-func (l *Lease) Take(ctx context.Context, c *magno.Customer, cost float64) *magno.Refusal {
+func (l *Manager) Take(ctx context.Context, c *magno.Customer, cost float64) *magno.Refusal {
 	l.mu.Lock()
 	v, after := l.quota.Take(c.Name, *c.Limit, cost)
 	if v == quota.Allowed && l.quota.Low(c.Name, *c.Limit) {
@@ -167,7 +167,7 @@
 }
 
 // Give returns the cost of a request that has not run.
-func (l *Lease) Give(c *magno.Customer, cost float64) {
+func (l *Manager) Give(c *magno.Customer, cost float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.quota.Give(c.Name, *c.Limit, cost)
@@ -175,7 +175,7 @@
 
 // join has a request's cost asked for, with what else waits; zero for none. The caller
 // holds mu.
-func (l *Lease) join(customer string, limit magno.Limit, cost float64) *call {
+func (l *Manager) join(customer string, limit magno.Limit, cost float64) *call {
 	q := l.queues[customer]
 	if q == nil {
 		q = &queue{}
@@ -207,7 +207,7 @@
 }
 
 // work makes a customer's calls until none waits.
-func (l *Lease) work(q *queue) {
+func (l *Manager) work(q *queue) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for q.next != nil {
@@ -229,7 +229,7 @@
 }
 
 // call asks the customer's home.
-func (l *Lease) call(ask grant.Request) (grant.Reply, error) {
+func (l *Manager) call(ask grant.Request) (grant.Reply, error) {
 	homes := l.Homes(ask.Customer)
 	for _, addr := range homes[:min(len(homes), mostHomes)] {
 		if addr == l.Self {
@@ -256,20 +256,20 @@
 	return grant.Reply{}, errNoHome
 }
 
-func (l *Lease) backsOff(addr string) bool {
+func (l *Manager) backsOff(addr string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.Clock.Now() < l.retry[addr]
 }
 
-func (l *Lease) backOff(addr string) {
+func (l *Manager) backOff(addr string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.retry[addr] = l.Clock.Now() + retryAfter
 }
 
 // grant answers as the customer's home.
-func (l *Lease) grant(ask grant.Request) (grant.Reply, error) {
+func (l *Manager) grant(ask grant.Request) (grant.Reply, error) {
 	limit := l.Limit(ask.Customer)
 	if limit == nil {
 		return grant.Reply{}, magno.Refuse(magno.KindStarting, "no limit of customer %q is known here", ask.Customer)
@@ -280,7 +280,7 @@
 	return l.grants.Grant(ask, *limit, alive, known), nil
 }
 
-func (l *Lease) onLease(_ context.Context, _ *wire.Peer, params json.RawMessage) (any, error) {
+func (l *Manager) onLease(_ context.Context, _ *wire.Peer, params json.RawMessage) (any, error) {
 	var ask grant.Request
 	if err := json.Unmarshal(params, &ask); err != nil {
 		return nil, magno.Refuse(magno.KindMalformed, "%v", err)
--- a/entry/lease/lease_test.go
+++ b/entry/lease/lease_test.go
@@ -15,7 +15,7 @@
 
 // node is an entry's leases on a port of its own.
 type node struct {
-	*Lease
+	*Manager
 	stop func()
 }
 
@@ -26,7 +26,7 @@
 	if err := mesh.Open(); err != nil {
 		t.Fatal(err)
 	}
-	l := &Lease{
+	l := &Manager{
 		Self: mesh.Addr(), Mesh: mesh, Count: func() (int, int) { return 3, 3 }, Clock: clock, Log: slog.New(slog.DiscardHandler),
 		Limit: func(name string) *magno.Limit {
 			if name != customer.Name {
@@ -40,7 +40,7 @@
 	ended := make(chan error, 1)
 	go func() { ended <- mesh.Run(ctx) }()
 	var stopped atomic.Bool
-	n := &node{Lease: l, stop: func() {
+	n := &node{Manager: l, stop: func() {
 		if stopped.Swap(true) {
 			return
 		}
--- a/entry/relay/help_test.go
+++ b/entry/relay/help_test.go
@@ -65,8 +65,8 @@
 }
 
 func (p *pools) Router(string) magno.Chooser { return p }
-func (p *pools) Taken(string)                {}
-func (p *pools) Again(string) bool {
+func (p *pools) CountRequest(string)         {}
+func (p *pools) AllowRetry(string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.allow--
@@ -127,12 +127,12 @@
 	declines func(key string) bool
 }
 
-func (p *permits) Permit(_ context.Context, key string, ask gate.Request) (*gate.PermitReply, error) {
+func (p *permits) Acquire(_ context.Context, key string, ask gate.Request) (*gate.PermitReply, error) {
 	if p.declines != nil && ask.DeclineAbove > 0 && p.declines(key) {
 		return &gate.PermitReply{Declined: true}, nil
 	}
 	if p.dead {
-		return nil, desk.ErrDead
+		return nil, desk.ErrAgentLost
 	}
 	if p.during != nil {
 		p.during(key)
@@ -142,10 +142,10 @@
 	}
 	return &gate.PermitReply{}, nil
 }
-func (p *permits) End(string, gate.EndCall)  {}
-func (p *permits) Holds(string, string) bool { return true }
-func (p *permits) Down(string) bool          { return false }
-func (p *permits) Unreached(string)          {}
+func (p *permits) Release(string, gate.EndCall) {}
+func (p *permits) Holds(string, string) bool    { return true }
+func (p *permits) Down(string) bool             { return false }
+func (p *permits) ReportUnreachable(string)     {}
 
 // upstream answers each request on a connection with what script writes, and
 // counts requests.
@@ -216,7 +216,7 @@
 
 // site is a relay before its upstreams.
 type site struct {
-	*Relay
+	*Handler
 	pools   *pools
 	permits *permits
 	server  *httptest.Server
@@ -242,11 +242,11 @@
 	}
 	book := &view.Book{Clock: clock}
 	book.Read(s.changes, 1, true)
-	s.Relay = &Relay{
-		Name: "e", Clock: clock, Book: book, Dialect: plainDialect{}, Hops: &hop.Pool{Clock: clock}, Permits: s.permits,
+	s.Handler = &Handler{
+		Name: "e", Clock: clock, Book: book, Dialect: plainDialect{}, Conns: &hop.Pool{Clock: clock}, Permits: s.permits,
 		Pools: s.pools, Suspects: &crash.Suspects{Clock: &magno.Clock{}}, Log: slog.New(slog.DiscardHandler),
 	}
-	s.server = httptest.NewServer(s.Relay)
+	s.server = httptest.NewServer(s.Handler)
 	t.Cleanup(s.server.Close)
 	return s
 }
--- a/entry/relay/job.go
+++ b/entry/relay/job.go
@@ -37,7 +37,7 @@
 
 // job is one request on its way.
 type job struct {
-	*Relay
+	*Handler
 	w    http.ResponseWriter
 	r    *http.Request
 	snap *view.Snapshot
@@ -119,7 +119,7 @@
 		return
 	}
 	defer j.give()
-	j.Pools.Taken(j.service.Name)
+	j.Pools.CountRequest(j.service.Name)
 	for {
 		res := j.attempt(ctx)
 		if res == resultDone || !j.again(ctx, res) {
@@ -138,9 +138,9 @@
 	case resultUnsent:
 		return len(j.avoid) < mostChoices
 	case resultNotRun:
-		return len(j.avoid) < mostChoices && j.Pools.Again(j.service.Name)
+		return len(j.avoid) < mostChoices && j.Pools.AllowRetry(j.service.Name)
 	case resultFailed:
-		return j.route.Repeatable() && j.runs < j.route.Attempts && j.Pools.Again(j.service.Name)
+		return j.route.Repeatable() && j.runs < j.route.Attempts && j.Pools.AllowRetry(j.service.Name)
 	}
 	return false
 }
--- a/entry/relay/keyed.go
+++ b/entry/relay/keyed.go
@@ -17,13 +17,13 @@
 	outdatedAfter = 200 * magno.Millis(1)
 )
 
-// Sure tells whether the configuration was confirmed so lately that no key in it was
+// KeysFresh tells whether the configuration was confirmed so lately that no key in it was
 // withdrawn for longer than is allowed.
-func (h *Relay) Sure() bool { return h.sureAfter(h.Book.Unvouched()) }
+func (h *Handler) KeysFresh() bool { return h.sureAfter(h.Book.Unvouched()) }
 
 // sureAfter is Sure for a configuration confirmed so long ago.
-func (h *Relay) sureAfter(unvouched magno.Millis) bool {
-	return h.Revoke == 0 || unvouched <= h.Revoke-revokeSlack
+func (h *Handler) sureAfter(unvouched magno.Millis) bool {
+	return h.MaxRevokeDelay == 0 || unvouched <= h.MaxRevokeDelay-revokeSlack
 }
 
 // authorize finds the caller's customer. It is called once the request has been read
--- a/entry/relay/keyed_test.go
+++ b/entry/relay/keyed_test.go
@@ -44,7 +44,7 @@
 	s.Book = &view.Book{Clock: clock}
 	s.Book.Read(s.changes, 1, true)
 	s.Book.Vouch(1, clock.Now())
-	s.Revoke = 5 * magno.Second
+	s.MaxRevokeDelay = 5 * magno.Second
 	return s, u, clock
 }
 
--- a/entry/relay/memory_test.go
+++ b/entry/relay/memory_test.go
@@ -29,7 +29,7 @@
 		}
 	})
 	s := newSite(t, magno.KindStream, false, u)
-	server := httptest.NewServer(listen.Timed(s.Relay, 100))
+	server := httptest.NewServer(listen.Timed(s.Handler, 100))
 	defer server.Close()
 	c, err := net.Dial("tcp", strings.TrimPrefix(server.URL, "http://"))
 	if err != nil {
@@ -55,7 +55,7 @@
 	})
 	s := newSite(t, magno.KindRepeat, false, u)
 	s.Book.Now().Plan.Routes[0].Aim = 10_000
-	s.Bodies = semaphore.NewWeighted(6) // one body of four bytes, not two
+	s.BodyMemory = semaphore.NewWeighted(6) // one body of four bytes, not two
 	slow := make(chan int, 1)
 	go func() {
 		res, _, err := s.get(t, http.MethodPost, "slow")
--- a/entry/relay/permit.go
+++ b/entry/relay/permit.go
@@ -73,7 +73,7 @@
 	sent := j.Clock.Now()
 	res = j.send(ctx, r, j.rank())
 	router.Ended(key, work, j.Clock.Now()-sent, res != resultUnsent && res != resultFailed)
-	j.Permits.End(key, gate.EndCall{ID: id, OK: res == resultDone, MaxPause: j.pause})
+	j.Permits.Release(key, gate.EndCall{ID: id, OK: res == resultDone, MaxPause: j.pause})
 	return res, true
 }
 
@@ -85,7 +85,7 @@
 	from := j.Clock.Now()
 	ask := j.ask(from)
 	ask.DeclineAbove = most
-	reply, err := j.Permits.Permit(ctx, key, ask)
+	reply, err := j.Permits.Acquire(ctx, key, ask)
 	j.waited += j.Clock.Now() - from
 	if err == nil {
 		j.waits.Add(&reply.Waits)
@@ -93,7 +93,7 @@
 	switch {
 	case ctx.Err() != nil:
 		if err == nil {
-			j.Permits.End(key, gate.EndCall{ID: ask.ID})
+			j.Permits.Release(key, gate.EndCall{ID: ask.ID})
 		}
 		return "", resultGone
 	case err != nil:
@@ -111,7 +111,7 @@
 	}
 	if len(j.replicas([]string{key})) == 0 {
 		// It began to leave while the request waited for its turn there.
-		j.Permits.End(key, gate.EndCall{ID: ask.ID})
+		j.Permits.Release(key, gate.EndCall{ID: ask.ID})
 		return "", resultRefused
 	}
 	return ask.ID, resultDone
--- a/entry/relay/relay.go
+++ b/entry/relay/relay.go
@@ -58,31 +58,31 @@
 
 // Permits decide when a request may begin; desk.Desk implements them.
 type Permits interface {
-	Permit(ctx context.Context, key string, ask gate.Request) (*gate.PermitReply, error)
-	End(key string, call gate.EndCall)
+	Acquire(ctx context.Context, key string, ask gate.Request) (*gate.PermitReply, error)
+	Release(key string, call gate.EndCall)
 	Holds(key, name string) bool
 	Down(key string) bool
-	// Unreached tells that an engine couldn't be connected to.
-	Unreached(key string)
+	// ReportUnreachable tells that an engine couldn't be connected to.
+	ReportUnreachable(key string)
 }
 
 // Pools choose among the replicas of a service and bound sends beyond the
 // first.
 type Pools interface {
 	Router(service string) magno.Chooser
-	// Taken counts a request, Again takes one more send from the allowance.
-	Taken(service string)
-	Again(service string) bool
+	// CountRequest counts a request, AllowRetry takes one more send from the allowance.
+	CountRequest(service string)
+	AllowRetry(service string) bool
 }
 
-// Relay is the handler of callers' requests. Fields are set before use.
-type Relay struct {
+// Handler is the handler of callers' requests. Fields are set before use.
+type Handler struct {
 	// Name is this instance's; it makes the IDs of permits unique.
 	Name    string
 	Clock   *magno.Clock
 	Book    *view.Book
 	Dialect magno.Dialect
-	Hops    *hop.Pool
+	Conns   *hop.Pool
 	Permits Permits
 	Pools   Pools
 	// Suspects are requests that crash upstreams.
@@ -90,14 +90,14 @@
 	Log      *slog.Logger
 	// Quotas is nil where nothing is bounded.
 	Quotas magno.Quotas
-	// Revoke is how long after its withdrawal a key may still be accepted, zero where
+	// MaxRevokeDelay is how long after its withdrawal a key may still be accepted, zero where
 	// that isn't bounded.
-	Revoke magno.Millis
-	// Since is when this process started.
-	Since magno.Millis
-	// Bodies and Answers are the bytes of requests' bodies and of upstreams' answers that
+	MaxRevokeDelay magno.Millis
+	// Started is when this process started.
+	Started magno.Millis
+	// BodyMemory and ResponseMemory are the bytes of requests' bodies and of upstreams' answers that
 	// are held at once; nil where they aren't bounded.
-	Bodies, Answers *semaphore.Weighted
+	BodyMemory, ResponseMemory *semaphore.Weighted
 
 	table atomic.Pointer[tabled]
 	// tabling is held while table is made: for thousands of routes that takes a small
@@ -120,31 +120,31 @@
 }
 
 // Active counts requests that are being answered.
-func (h *Relay) Active() int64 { return h.active.Load() }
+func (h *Handler) Active() int64 { return h.active.Load() }
 
-// Leave begins a planned stop: answers ask callers to close their connections.
+// Drain begins a planned stop: answers ask callers to close their connections.
 // New streams are taken for a while, and requests to plain services, which take
 // milliseconds, for longer. Connections go on coming for seconds, and where no
 // other instance of the data centre is ready until the end: each refusal costs
 // its caller one of few retries.
-func (h *Relay) Leave(streams, plain magno.Millis) {
+func (h *Handler) Drain(streams, plain magno.Millis) {
 	now := h.Clock.Now()
 	h.plain.Store(int64(now + plain))
 	h.streams.Store(int64(now + streams))
 }
 
-// Leaving tells whether a planned stop has begun.
-func (h *Relay) Leaving() bool { return h.streams.Load() != 0 }
+// Draining tells whether a planned stop has begun.
+func (h *Handler) Draining() bool { return h.streams.Load() != 0 }
 
-// Fall notes how far the processor is behind. While it is, answers ask callers to
+// SetLoadLevel notes how far the processor is behind. While it is, answers ask callers to
 // close their connections; their next one finds another instance.
-func (h *Relay) Fall(level strain.Level) { h.behind.Store(int32(level)) }
+func (h *Handler) SetLoadLevel(level strain.Level) { h.behind.Store(int32(level)) }
 
-// Behind tells how far the processor is behind.
-func (h *Relay) Behind() strain.Level { return strain.Level(h.behind.Load()) }
+// LoadLevel tells how far the processor is behind.
+func (h *Handler) LoadLevel() strain.Level { return strain.Level(h.behind.Load()) }
 
 // closed tells whether requests of a kind are no longer taken.
-func (h *Relay) closed(kind magno.RouteKind) bool {
+func (h *Handler) closed(kind magno.RouteKind) bool {
 	until := h.plain.Load()
 	if kind == magno.KindStream {
 		until = h.streams.Load()
@@ -153,7 +153,7 @@
 }
 
 // find returns the configuration's tables, made when it is new.
-func (h *Relay) find(plan *magno.Plan) *tabled {
+func (h *Handler) find(plan *magno.Plan) *tabled {
 	if t := h.table.Load(); t != nil && t.plan == plan {
 		return t
 	}
@@ -168,11 +168,11 @@
 }
 
 // ServeHTTP answers one request.
-func (h *Relay) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	h.active.Add(1)
 	defer h.active.Add(-1)
-	j := &job{Relay: h, w: w, r: r, came: h.Clock.Now(), snap: h.Book.Now()}
-	j.bodyRoom.room, j.answerRoom.room = h.Bodies, h.Answers
+	j := &job{Handler: h, w: w, r: r, came: h.Clock.Now(), snap: h.Book.Now()}
+	j.bodyRoom.room, j.answerRoom.room = h.BodyMemory, h.ResponseMemory
 	defer j.bodyRoom.free()
 	defer j.answerRoom.free()
 	j.call = h.Dialect.Read(r.Header)
@@ -200,7 +200,7 @@
 		return magno.Refuse(magno.KindMalformed, "the request has no id")
 	}
 	j.limit()
-	if j.Behind() == strain.Overloaded {
+	if j.LoadLevel() == strain.Overloaded {
 		return magno.Refuse(magno.KindBusy, "this instance is far behind").Later(busyAfter)
 	}
 	if j.closed(j.route.Kind) {
@@ -217,8 +217,8 @@
 // When it hasn't, the platform's list is away and nobody else has it either; how long
 // that goes on isn't known, and most likely it is about as long as it has been. Told a
 // second each time, callers come back in the outage, are refused again and give up.
-func (h *Relay) startingAfter() magno.Millis {
-	return min(max(outageTimes*(h.Clock.Now()-h.Since), startAfter), mostAfter)
+func (h *Handler) startingAfter() magno.Millis {
+	return min(max(outageTimes*(h.Clock.Now()-h.Started), startAfter), mostAfter)
 }
 
 // limit sets when the request must have its answer.
@@ -300,7 +300,7 @@
 // closing asks the caller for a new connection while this process stops or has
 // too much to do.
 func (j *job) closing(h http.Header) {
-	if j.Leaving() || j.Behind() != strain.Normal {
+	if j.Draining() || j.LoadLevel() != strain.Normal {
 		h.Set("Connection", "close")
 	}
 }
--- a/entry/relay/relay_test.go
+++ b/entry/relay/relay_test.go
@@ -274,11 +274,11 @@
 // back once only. The longer it lasts, the later they are told to come back.
 func TestCallersComeBackAfterAnOutage(t *testing.T) {
 	clock := magno.NewClock(magno.Hour)
-	h := &Relay{Clock: clock, Since: clock.Now()}
+	h := &Handler{Clock: clock, Started: clock.Now()}
 	for _, c := range []struct{ up, want magno.Millis }{
 		{0, startAfter}, {300, startAfter}, {1000, 2 * magno.Second}, {2500, 5 * magno.Second}, {60_000, mostAfter},
 	} {
-		clock.Advance(h.Since + c.up - clock.Now())
+		clock.Advance(h.Started + c.up - clock.Now())
 		if got := h.startingAfter(); got != c.want {
 			t.Errorf("%d ms after the start: come back in %d ms, want %d", c.up, got, c.want)
 		}
@@ -295,7 +295,7 @@
 	})
 	plain, stream := newSite(t, magno.KindOnce, false, u), newSite(t, magno.KindStream, false, u)
 	for _, s := range []*site{plain, stream} {
-		s.Leave(-1, magno.Minute)
+		s.Drain(-1, magno.Minute)
 	}
 	res, _, err := plain.get(t, http.MethodPost, "1")
 	if err != nil || res.StatusCode != 200 || !res.Close {
@@ -315,12 +315,12 @@
 		return true
 	})
 	s := newSite(t, magno.KindOnce, false, u)
-	s.Fall(strain.Overloaded)
+	s.SetLoadLevel(strain.Overloaded)
 	res, _, err := s.get(t, http.MethodPost, "1")
 	if err != nil || !promises(res.StatusCode) || res.Header.Get("Retry-After") == "" || !res.Close || u.count() != 0 {
 		t.Errorf("got %v %v after %d sends", res, err, u.count())
 	}
-	s.Fall(strain.Strained)
+	s.SetLoadLevel(strain.Strained)
 	res, _, err = s.get(t, http.MethodPost, "2")
 	if err != nil || res.StatusCode != 200 || !res.Close {
 		t.Errorf("got %v %v, want an answer and the end of the connection", res, err)
@@ -372,7 +372,7 @@
 	s := newSite(t, magno.KindOnce, false)
 	for _, kind := range magno.Kinds() {
 		w := httptest.NewRecorder()
-		j := &job{Relay: s.Relay, w: w, r: httptest.NewRequest(http.MethodPost, "/", nil), snap: s.Book.Now(), ran: true}
+		j := &job{Handler: s.Handler, w: w, r: httptest.NewRequest(http.MethodPost, "/", nil), snap: s.Book.Now(), ran: true}
 		j.refuse(magno.Refuse(kind, "for a test").Later(1))
 		if promises(w.Code) || w.Header().Get("Retry-After") != "" {
 			t.Errorf("kind %s: status %d, Retry-After %q", kind, w.Code, w.Header().Get("Retry-After"))
--- a/entry/relay/send.go
+++ b/entry/relay/send.go
@@ -37,12 +37,12 @@
 func (j *job) send(ctx context.Context, r *magno.Replica, urgency int) result {
 	key := r.Key()
 	j.at = key
-	conn, err := j.Hops.Get(ctx, key, r.Address)
+	conn, err := j.Conns.Get(ctx, key, r.Address)
 	if err != nil {
 		j.retrying("connect", err)
 		j.avoid = append(j.avoid, key)
 		if j.service.Engine != nil && ctx.Err() == nil {
-			j.Permits.Unreached(key)
+			j.Permits.ReportUnreachable(key)
 		}
 		return j.over(ctx, resultUnsent)
 	}
@@ -146,7 +146,7 @@
 		_ = conn.Close()
 		return j.broken(ctx, r, err)
 	}
-	j.Hops.Put(conn, res)
+	j.Conns.Put(conn, res)
 	switch {
 	case reply.NotRun:
 		j.notRun()
--- a/entry/relay/stream.go
+++ b/entry/relay/stream.go
@@ -38,7 +38,7 @@
 func (j *job) stream(ctx context.Context, r *magno.Replica, conn *hop.Conn, res *http.Response) result {
 	err := j.pump(conn, res)
 	if err == nil {
-		j.Hops.Put(conn, res)
+		j.Conns.Put(conn, res)
 		j.begin(res) // a stream without events has a head as well
 		j.note(http.StatusOK, "served", "")
 		return resultDone
--- a/entry/relay/stream_test.go
+++ b/entry/relay/stream_test.go
@@ -133,7 +133,7 @@
 		{"it has been silent for a while", 40, now - 1500, -1250, 1200},
 	} {
 		j := &job{
-			Relay: &Relay{}, route: &magno.Route{Kind: magno.KindStream, Aim: 800, Gap: 250},
+			Handler: &Handler{}, route: &magno.Route{Kind: magno.KindStream, Aim: 800, Gap: 250},
 			came: now - 5000, end: now + 7000, events: c.events, passed: c.passed,
 		}
 		if a := j.ask(now); a.StartTarget != c.wantAim || a.MaxWait != c.wantPat {
--- a/entry/relay/suspect.go
+++ b/entry/relay/suspect.go
@@ -17,7 +17,7 @@
 	if j.print == 0 || j.service.Engine == nil {
 		return
 	}
-	print, h, id := j.print, j.Relay, j.id
+	print, h, id := j.print, j.Handler, j.id
 	time.AfterFunc(crashLook.Span(), func() {
 		if !h.Permits.Down(key) {
 			return
--- a/entry/site/front.go
+++ b/entry/site/front.go
@@ -52,7 +52,7 @@
 type front struct {
 	set   *magno.SiteSettings
 	path  string
-	relay *relay.Relay
+	relay *relay.Handler
 	book  *view.Book
 	clock *magno.Clock
 	log   *slog.Logger
@@ -104,8 +104,8 @@
 // ready tells whether new connections should come here.
 func (f *front) ready() bool {
 	snap := f.book.Now()
-	sure := snap.Plan == nil || len(snap.Plan.Customers) == 0 || f.relay.Sure()
-	return !f.relay.Leaving() && f.relay.Behind() == strain.Normal && snap.Plan != nil && len(snap.Replicas) > 0 && sure
+	sure := snap.Plan == nil || len(snap.Plan.Customers) == 0 || f.relay.KeysFresh()
+	return !f.relay.Draining() && f.relay.LoadLevel() == strain.Normal && snap.Plan != nil && len(snap.Replicas) > 0 && sure
 }
 
 // watch tells the relay when the processor falls behind.
@@ -123,10 +123,10 @@
 	for before := w.clock.Now(); magno.Pause(ctx, strain.Interval); before = w.clock.Now() {
 		lag := w.clock.Now() - before - strain.Interval
 		lags.Update(float64(lag) / 1000)
-		was, is := w.relay.Behind(), s.Observe(lag, w.clock.Now())
+		was, is := w.relay.LoadLevel(), s.Observe(lag, w.clock.Now())
 		if was != is {
 			w.log.Info("strain", "behind", is, "lag", s.Lag(), "active", w.relay.Active())
-			w.relay.Fall(is)
+			w.relay.SetLoadLevel(is)
 		}
 	}
 	return nil
@@ -135,7 +135,7 @@
 // leave begins a planned stop.
 func (f *front) leave() {
 	f.left.Store(int64(f.clock.Now()))
-	f.relay.Leave(streamsFor, max(f.set.Grace-plainLeft, streamsFor))
+	f.relay.Drain(streamsFor, max(f.set.Grace-plainLeft, streamsFor))
 }
 
 // busy counts what a planned stop waits for: requests, and the time that the
--- a/entry/site/pools.go
+++ b/entry/site/pools.go
@@ -91,16 +91,16 @@
 	return p.get(service).router
 }
 
-// Taken implements relay.Pools.
-func (p *pools) Taken(service string) {
+// CountRequest implements relay.Pools.
+func (p *pools) CountRequest(service string) {
 	p.mu.Lock()
 	one := p.get(service)
 	p.mu.Unlock()
 	one.allow.RecordRequest()
 }
 
-// Again implements relay.Pools.
-func (p *pools) Again(service string) bool {
+// AllowRetry implements relay.Pools.
+func (p *pools) AllowRetry(service string) bool {
 	p.mu.Lock()
 	one := p.get(service)
 	p.mu.Unlock()
--- a/entry/site/site.go
+++ b/entry/site/site.go
@@ -62,8 +62,8 @@
 	peers *peers.Peers
 	pools *pools
 	reads *reads.Reads
-	desk  *desk.Desk
-	lease *lease.Lease
+	desk  *desk.Client
+	lease *lease.Manager
 	front *front
 	log   *slog.Logger
 }
@@ -83,22 +83,22 @@
 	e.reads = &reads.Reads{
 		List: site.Lister(set.List), Book: e.book, Mine: e.peers.Mine, Push: e.peers.Push, Able: e.peers.Able, Fresh: set.Revoke > 0, Log: log,
 	}
-	e.desk = &desk.Desk{
-		Self: set.Name, Mesh: e.mesh, Book: e.book, Clock: clock, Log: log, Port: set.Inner, Reported: e.pools.report,
-		Addr: set.Peers, Mates: e.peers.Mates,
+	e.desk = &desk.Client{
+		Self: set.Name, Mesh: e.mesh, Book: e.book, Clock: clock, Log: log, AgentPort: set.Inner, OnBacklog: e.pools.report,
+		Addr: set.Peers, Entries: e.peers.Mates,
 	}
 	e.desk.Open()
-	e.lease = &lease.Lease{
+	e.lease = &lease.Manager{
 		Self: set.Peers, Mesh: e.mesh, Homes: e.peers.Homes, Count: e.peers.Count, Window: set.QuotaWindow, Clock: clock, Log: log,
 		Limit: func(customer string) *magno.Limit { return limit(e.book.Now().Plan, customer) },
 	}
 	e.lease.Open()
-	handler := &relay.Relay{
-		Name: set.Name, Clock: clock, Book: e.book, Dialect: site.Dialect(), Hops: e.hops, Permits: e.desk, Pools: e.pools,
-		Suspects: suspects, Log: log, Since: clock.Now(), Revoke: set.Revoke, Quotas: e.lease,
-		Bodies: room(set.Memory), Answers: room(set.Memory),
+	handler := &relay.Handler{
+		Name: set.Name, Clock: clock, Book: e.book, Dialect: site.Dialect(), Conns: e.hops, Permits: e.desk, Pools: e.pools,
+		Suspects: suspects, Log: log, Started: clock.Now(), MaxRevokeDelay: set.Revoke, Quotas: e.lease,
+		BodyMemory: room(set.Memory), ResponseMemory: room(set.Memory),
 	}
-	e.peers.Leaving = handler.Leaving
+	e.peers.Leaving = handler.Draining
 	e.front = &front{set: set, path: site.ReadyPath(), relay: handler, book: e.book, clock: clock, log: log}
 	return e
 }
