--- a/entry/lease/lease.go
+++ b/entry/lease/lease.go
@@ -1,12 +1,13 @@
-// Package lease holds this process's parts of the customers' allowances, and asks the
-// customers' homes for more.
+// Package lease admits requests against customers' rate limits. It holds the tokens leased to
+// this process and requests more from the customer's home, the entry that does the accounting
+// for that customer.
 //
-//	relay --Take--> quota --tokens at hand--> runs
+//	relay --Take--> quota --enough tokens--> admitted
 //	                  |
-//	                  '--> call --lease--> home: grant (here or another entry)
+//	                  '--> call --lease--> home: grant (this or another entry)
 //
-// Waiting requests of one customer share a call. A home that doesn't answer costs its
-// callers one time limit, and this process uses a part of its own meanwhile.
+// Waiting requests of one customer share a call. A home that doesn't answer delays its callers
+// by one timeout; in the meantime the process admits requests from its own share of the limit.
 package lease
 
 import (
@@ -24,41 +25,43 @@
 	"magnoliastall.example/magno/wire"
 )
 
-// MethodLease is asked of a customer's home: grant.Request, answered by grant.Reply.
+// MethodLease requests tokens from a customer's home. It takes a grant.Request and returns a
+// grant.Reply.
 const MethodLease = "lease"
 
 const (
-	// callTime is the timeout of a call to a home, retryAfter how long a home that timed
-	// out isn't called again.
-	callTime   = 150 * magno.Millis(1)
-	retryAfter = magno.Second
-	// defaultWindow holds where the platform states none.
+	// callTimeout bounds a call to a home. A home that timed out isn't called again for
+	// homeRetryDelay.
+	callTimeout    = 150 * magno.Millis(1)
+	homeRetryDelay = magno.Second
+	// defaultWindow is used where the platform specifies no window.
 	defaultWindow = 8 * magno.Second
-	// mostHomes is how many homes are tried: the second only where the first can't be
+	// maxHomes bounds the homes that are tried. The second is tried only if the first can't be
 	// reached at all.
-	mostHomes = 2
-	// mostWaits is how often a request waits for a home's answer.
-	mostWaits = 3
-	// waitAfter is when a caller should come back whose request got no word in time.
-	waitAfter = 200 * magno.Millis(1)
-	// giveEvery is how often tokens that nobody needs go back to their homes.
-	giveEvery = 500 * magno.Millis(1)
+	maxHomes = 2
+	// maxWaits bounds the calls to a home that one request waits for.
+	maxWaits = 3
+	// waitRetryAfter is the Retry-After of a request that got no decision in time.
+	waitRetryAfter = 200 * magno.Millis(1)
+	// returnInterval is how often unused tokens are returned to their homes.
+	returnInterval = 500 * magno.Millis(1)
 )
 
-var errNoHome = errors.New("no home answers")
+var errNoHome = errors.New("no home of the customer can be reached")
 
-// Manager is the duty. Fields are set before Open.
+// Manager leases tokens for this process and grants them for the customers it is the home of.
+// Exported fields are set before Open.
 type Manager struct {
 	// Self is this entry's address.
 	Self string
 	Mesh *wire.Mesh
-	// Homes lists the addresses of a customer's homes, the first one first.
+	// Homes lists the addresses of a customer's homes in order of preference.
 	Homes func(customer string) []string
-	// Count tells how many entries are alive and known.
+	// Count returns the number of entries that are alive and the number known.
 	Count func() (alive, known int)
-	// Limit is a customer's in the configuration, nil where it has none.
+	// Limit returns a customer's configured limit, nil if it has none.
 	Limit func(customer string) *magno.Limit
-	// Window is the span in which allowances are bounded, zero for defaultWindow.
+	// Window is the interval over which limits are enforced. Zero means defaultWindow.
 	Window magno.Millis
 	Clock  *magno.Clock
 	Log    *slog.Logger
@@ -67,223 +70,224 @@
 	quota  quota.Quota
 	grants grant.Granter
 	queues map[string]*queue
-	// retry maps homes that didn't answer to when they may be asked again.
-	retry        map[string]magno.Millis
+	// retryAt maps homes that timed out to the time at which they may be called again.
+	retryAt      map[string]magno.Millis
 	calls, fails *metrics.Counter
-	working      sync.WaitGroup
-	// ended is true once no call may begin.
-	ended bool
+	inFlight     sync.WaitGroup
+	// closed is true once no more calls may start.
+	closed bool
 }
 
-// queue is one customer's calls to its home, made one at a time.
+// queue holds the calls to one customer's home, which are made one at a time.
 type queue struct {
 	running bool
-	// next is the call that waiting requests join, nil when none waits.
-	next *call
+	// pending is the call that waiting requests join, nil if there is none.
+	pending *call
 }
 
-// call is one question to a home.
+// call is one request for tokens to a home.
 type call struct {
 	customer string
 	limit    magno.Limit
-	// need is what the requests that wait for it cost, least the smallest of them.
-	need, least float64
+	// need is the total cost of the requests that wait for the call, smallest the lowest cost
+	// among them.
+	need, smallest float64
 	// done is closed after failed is set.
 	done   chan struct{}
 	failed bool
 }
 
-// Open takes the method on the mesh, before it runs.
-func (l *Manager) Open() {
-	l.quota.Clock, l.grants.Clock = l.Clock, l.Clock
-	l.grants.Window = l.Window
-	if l.Window <= 0 {
-		l.grants.Window = defaultWindow
+// Open registers the method on the mesh. It must be called before the mesh runs.
+func (m *Manager) Open() {
+	m.quota.Clock, m.grants.Clock = m.Clock, m.Clock
+	m.grants.Window = m.Window
+	if m.Window <= 0 {
+		m.grants.Window = defaultWindow
 	}
-	l.queues, l.retry = map[string]*queue{}, map[string]magno.Millis{}
-	l.calls = metrics.GetOrCreateCounter("lease_calls_total")
-	l.fails = metrics.GetOrCreateCounter("lease_failures_total")
-	l.Mesh.Handle(MethodLease, l.onLease)
+	m.queues, m.retryAt = map[string]*queue{}, map[string]magno.Millis{}
+	m.calls = metrics.GetOrCreateCounter("lease_calls_total")
+	m.fails = metrics.GetOrCreateCounter("lease_failures_total")
+	m.Mesh.Handle(MethodLease, m.handleLease)
 }
 
 // Name implements magno.Duty.
-func (l *Manager) Name() string { return "lease" }
+func (m *Manager) Name() string { return "lease" }
 
-// Run gives back what nobody needs until ctx ends, then waits for calls under way.
-func (l *Manager) Run(ctx context.Context) error {
-	defer l.end()
-	for magno.Pause(ctx, giveEvery) {
-		l.mu.Lock()
-		for customer, limit := range l.quota.Surplus() {
-			l.join(customer, limit, 0)
+// Run returns unused tokens to their homes until ctx ends, then waits for calls in flight.
+func (m *Manager) Run(ctx context.Context) error {
+	defer m.close()
+	for magno.Pause(ctx, returnInterval) {
+		m.mu.Lock()
+		for customer, limit := range m.quota.Surplus() {
+			m.enqueue(customer, limit, 0)
 		}
-		l.mu.Unlock()
+		m.mu.Unlock()
 	}
 	return nil
 }
 
-// end lets calls under way finish, and none begin.
-func (l *Manager) end() {
-	l.mu.Lock()
-	l.ended = true
-	l.mu.Unlock()
-	l.working.Wait()
+// close waits for calls in flight and prevents new ones.
+func (m *Manager) close() {
+	m.mu.Lock()
+	m.closed = true
+	m.mu.Unlock()
+	m.inFlight.Wait()
 }
 
-// Take takes a request's cost from its customer's allowance, or refuses it.
-func (l *Manager) Take(ctx context.Context, c *magno.Customer, cost float64) *magno.Refusal {
-	l.mu.Lock()
-	v, after := l.quota.Take(c.Name, *c.Limit, cost)
-	if v == quota.Allowed && l.quota.Low(c.Name, *c.Limit) {
-		l.join(c.Name, *c.Limit, 0)
+// Take admits a request and charges its cost to the customer's limit, or returns a refusal.
+func (m *Manager) Take(ctx context.Context, c *magno.Customer, cost float64) *magno.Refusal {
+	m.mu.Lock()
+	v, after := m.quota.Take(c.Name, *c.Limit, cost)
+	if v == quota.Allowed && m.quota.Low(c.Name, *c.Limit) {
+		m.enqueue(c.Name, *c.Limit, 0)
 	}
-	for range mostWaits {
+	for range maxWaits {
 		if v != quota.Pending {
 			break
 		}
-		asked := l.join(c.Name, *c.Limit, cost)
-		l.mu.Unlock()
+		pending := m.enqueue(c.Name, *c.Limit, cost)
+		m.mu.Unlock()
 		select {
-		case <-asked.done:
+		case <-pending.done:
 		case <-ctx.Done():
-			return magno.Refuse(magno.KindQuota, "its time was over before the allowance was known").Later(waitAfter)
+			return magno.Refuse(magno.KindQuota, "its time was over before the allowance was known").Later(waitRetryAfter)
 		}
-		l.mu.Lock()
-		if asked.failed {
-			_, known := l.Count()
-			v, after = l.quota.Fallback(c.Name, *c.Limit, cost, known)
+		m.mu.Lock()
+		if pending.failed {
+			_, known := m.Count()
+			v, after = m.quota.Fallback(c.Name, *c.Limit, cost, known)
 		} else {
-			v, after = l.quota.TakeAgain(c.Name, *c.Limit, cost)
+			v, after = m.quota.TakeAgain(c.Name, *c.Limit, cost)
 		}
 	}
-	l.mu.Unlock()
+	m.mu.Unlock()
 	switch v {
 	case quota.Allowed:
 		return nil
 	case quota.Pending:
-		after = waitAfter
+		after = waitRetryAfter
 	}
 	return magno.Refuse(magno.KindQuota, "%s is over its limit", c.Name).Later(after)
 }
 
-// Give returns the cost of a request that has not run.
-func (l *Manager) Give(c *magno.Customer, cost float64) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.quota.Give(c.Name, *c.Limit, cost)
+// Give returns the cost of a request that was not executed.
+func (m *Manager) Give(c *magno.Customer, cost float64) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.quota.Give(c.Name, *c.Limit, cost)
 }
 
-// join has a request's cost asked for, with what else waits; zero for none. The caller
-// holds mu.
-func (l *Manager) join(customer string, limit magno.Limit, cost float64) *call {
-	q := l.queues[customer]
+// enqueue adds a request's cost to the customer's pending call and starts the call if none is
+// running. A cost of zero only triggers the call. The caller holds mu.
+func (m *Manager) enqueue(customer string, limit magno.Limit, cost float64) *call {
+	q := m.queues[customer]
 	if q == nil {
 		q = &queue{}
-		l.queues[customer] = q
+		m.queues[customer] = q
 	}
-	if q.next == nil {
-		q.next = &call{customer: customer, limit: limit, done: make(chan struct{})}
+	if q.pending == nil {
+		q.pending = &call{customer: customer, limit: limit, done: make(chan struct{})}
 	}
-	c := q.next
+	c := q.pending
 	c.limit = limit
-	if cost > 0 && (c.least == 0 || cost < c.least) {
-		c.least = cost
+	if cost > 0 && (c.smallest == 0 || cost < c.smallest) {
+		c.smallest = cost
 	}
 	c.need += cost
-	if l.ended {
-		q.next, c.failed = nil, true
+	if m.closed {
+		q.pending, c.failed = nil, true
 		close(c.done)
 		return c
 	}
 	if !q.running {
 		q.running = true
-		l.working.Add(1)
+		m.inFlight.Add(1)
 		go func() {
-			defer l.working.Done()
-			l.work(q)
+			defer m.inFlight.Done()
+			m.runQueue(q)
 		}()
 	}
 	return c
 }
 
-// work makes a customer's calls until none waits.
-func (l *Manager) work(q *queue) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	for q.next != nil {
-		c := q.next
-		q.next = nil
-		ask := l.quota.Ask(c.customer, c.limit, c.need, c.least)
-		l.mu.Unlock()
-		reply, err := l.call(ask)
-		l.mu.Lock()
+// runQueue makes a customer's calls until none is pending.
+func (m *Manager) runQueue(q *queue) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	for q.pending != nil {
+		c := q.pending
+		q.pending = nil
+		req := m.quota.Ask(c.customer, c.limit, c.need, c.smallest)
+		m.mu.Unlock()
+		reply, err := m.requestTokens(req)
+		m.mu.Lock()
 		if err != nil {
 			c.failed = true
-			l.quota.Give(c.customer, c.limit, ask.Returned)
+			m.quota.Give(c.customer, c.limit, req.Returned)
 		} else {
-			l.quota.Granted(ask, reply, c.limit)
+			m.quota.Granted(req, reply, c.limit)
 		}
 		close(c.done)
 	}
 	q.running = false
 }
 
-// call asks the customer's home.
-func (l *Manager) call(ask grant.Request) (grant.Reply, error) {
-	homes := l.Homes(ask.Customer)
-	for _, addr := range homes[:min(len(homes), mostHomes)] {
-		if addr == l.Self {
-			return l.grant(ask)
+// requestTokens requests tokens from the customer's home.
+func (m *Manager) requestTokens(req grant.Request) (grant.Reply, error) {
+	homes := m.Homes(req.Customer)
+	for _, addr := range homes[:min(len(homes), maxHomes)] {
+		if addr == m.Self {
+			return m.grantLocally(req)
 		}
-		if l.backsOff(addr) {
+		if m.backingOff(addr) {
 			return grant.Reply{}, errNoHome
 		}
-		l.calls.Inc()
+		m.calls.Inc()
 		var reply grant.Reply
-		ctx, cancel := context.WithTimeout(context.Background(), callTime.Span())
-		err := l.Mesh.Call(ctx, addr, MethodLease, ask, &reply)
+		ctx, cancel := context.WithTimeout(context.Background(), callTimeout.Span())
+		err := m.Mesh.Call(ctx, addr, MethodLease, req, &reply)
 		cancel()
 		if err == nil {
 			return reply, nil
 		}
-		l.fails.Inc()
-		l.Log.Info("lease", "home", addr, "customer", ask.Customer, "need", ask.Need, "error", err)
+		m.fails.Inc()
+		m.Log.Info("lease", "home", addr, "customer", req.Customer, "need", req.Need, "error", err)
 		if !wire.NotSent(err) || errors.Is(err, context.DeadlineExceeded) {
-			l.backOff(addr)
+			m.startBackoff(addr)
 			return grant.Reply{}, err
 		}
 	}
 	return grant.Reply{}, errNoHome
 }
 
-func (l *Manager) backsOff(addr string) bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.Clock.Now() < l.retry[addr]
+func (m *Manager) backingOff(addr string) bool {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.Clock.Now() < m.retryAt[addr]
 }
 
-func (l *Manager) backOff(addr string) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.retry[addr] = l.Clock.Now() + retryAfter
+func (m *Manager) startBackoff(addr string) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.retryAt[addr] = m.Clock.Now() + homeRetryDelay
 }
 
-// grant answers as the customer's home.
-func (l *Manager) grant(ask grant.Request) (grant.Reply, error) {
-	limit := l.Limit(ask.Customer)
+// grantLocally answers a request for tokens as the customer's home.
+func (m *Manager) grantLocally(req grant.Request) (grant.Reply, error) {
+	limit := m.Limit(req.Customer)
 	if limit == nil {
-		return grant.Reply{}, magno.Refuse(magno.KindStarting, "no limit of customer %q is known here", ask.Customer)
+		return grant.Reply{}, magno.Refuse(magno.KindStarting, "no limit of customer %q is known here", req.Customer)
 	}
-	alive, known := l.Count()
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.grants.Grant(ask, *limit, alive, known), nil
+	alive, known := m.Count()
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.grants.Grant(req, *limit, alive, known), nil
 }
 
-func (l *Manager) onLease(_ context.Context, _ *wire.Peer, params json.RawMessage) (any, error) {
-	var ask grant.Request
-	if err := json.Unmarshal(params, &ask); err != nil {
+func (m *Manager) handleLease(_ context.Context, _ *wire.Peer, params json.RawMessage) (any, error) {
+	var req grant.Request
+	if err := json.Unmarshal(params, &req); err != nil {
 		return nil, magno.Refuse(magno.KindMalformed, "%v", err)
 	}
-	return l.grant(ask)
+	return m.grantLocally(req)
 }
--- a/entry/lease/lease_test.go
+++ b/entry/lease/lease_test.go
@@ -13,14 +13,14 @@
 
 var customer = magno.Customer{Name: "alpha", Limit: &magno.Limit{Rate: 1000, Burst: 1000, Tokens: true}}
 
-// node is an entry's leases on a port of its own.
+// node is the lease manager of one entry, with its own port.
 type node struct {
 	*Manager
 	stop func()
 }
 
-// start begins an entry. Homes are set by the test.
-func start(t *testing.T, clock *magno.Clock) *node {
+// startNode starts an entry. The test sets its homes.
+func startNode(t *testing.T, clock *magno.Clock) *node {
 	t.Helper()
 	mesh := &wire.Mesh{Listen: "127.0.0.1:0"}
 	if err := mesh.Open(); err != nil {
@@ -53,15 +53,15 @@
 	return n
 }
 
-// homed has nodes take these for the customer's homes.
-func homed(homes []string, nodes ...*node) {
+// setHomes sets the customer's homes on the nodes.
+func setHomes(homes []string, nodes ...*node) {
 	for _, n := range nodes {
 		n.Homes = func(string) []string { return homes }
 	}
 }
 
-// use takes so many requests and returns how many run.
-func use(n *node, requests int, cost float64) (runs int) {
+// takeMany takes the cost of a number of requests and returns how many were admitted.
+func takeMany(n *node, requests int, cost float64) (runs int) {
 	for range requests {
 		if n.Take(context.Background(), &customer, cost) == nil {
 			runs++
@@ -70,65 +70,65 @@
 	return runs
 }
 
-// newHome is how many requests of 50 tokens a home grants in its first moment: a fiftieth
-// of what may run in a window.
-const newHome = 3
+// initialGrant is the number of requests of 50 tokens that a new home grants immediately: one
+// fiftieth of a window's total.
+const initialGrant = 3
 
 func TestAllEntriesShareOneAllowance(t *testing.T) {
 	clock := magno.NewClock(magno.Hour)
-	a, b, c := start(t, clock), start(t, clock), start(t, clock)
-	homed([]string{a.Self, b.Self}, a, b, c)
+	a, b, c := startNode(t, clock), startNode(t, clock), startNode(t, clock)
+	setHomes([]string{a.Self, b.Self}, a, b, c)
 	runs := 0
 	for range 20 {
-		runs += use(a, 1, 50) + use(b, 1, 50) + use(c, 1, 50)
+		runs += takeMany(a, 1, 50) + takeMany(b, 1, 50) + takeMany(c, 1, 50)
 	}
-	if runs != newHome {
-		t.Errorf("%d requests run, want %d", runs, newHome)
+	if runs != initialGrant {
+		t.Errorf("%d requests admitted, want %d", runs, initialGrant)
 	}
 	if r := c.Take(context.Background(), &customer, 50); r == nil || r.Kind != magno.KindQuota || r.After <= 0 {
 		t.Errorf("over the limit: %v", r)
 	}
 }
 
-// Guards against a customer that is refused while its home is down.
+// Guards against refusing a customer while its first home is down.
 func TestNextHomeAnswersWhereTheFirstIsDown(t *testing.T) {
 	clock := magno.NewClock(magno.Hour)
-	a, b, c := start(t, clock), start(t, clock), start(t, clock)
-	homed([]string{a.Self, b.Self}, b, c)
+	a, b, c := startNode(t, clock), startNode(t, clock), startNode(t, clock)
+	setHomes([]string{a.Self, b.Self}, b, c)
 	a.stop()
-	if runs := use(c, 1, 50); runs != 1 {
-		t.Error("refused")
+	if runs := takeMany(c, 1, 50); runs != 1 {
+		t.Error("refused while the second home is up")
 	}
 	if b.Take(context.Background(), &customer, 50) != nil {
-		t.Error("the next home refuses its own request")
+		t.Error("the second home refuses its own request")
 	}
 }
 
-// Guards against requests that wait for a home that doesn't answer, one after the other.
+// Guards against each request waiting, one after the other, for a home that doesn't answer.
 func TestSilentHomeIsAskedOnce(t *testing.T) {
 	clock := magno.NewClock(magno.Hour)
-	b, c := start(t, clock), start(t, clock)
+	b, c := startNode(t, clock), startNode(t, clock)
 	var calls atomic.Int32
 	b.Mesh.Handle(MethodLease, func(ctx context.Context, _ *wire.Peer, _ json.RawMessage) (any, error) {
 		calls.Add(1)
 		<-ctx.Done()
 		return nil, ctx.Err()
 	})
-	homed([]string{b.Self}, c)
-	if runs := use(c, 30, 10); runs == 0 || runs == 30 {
-		t.Errorf("%d of 30 run by the entry's own part", runs)
+	setHomes([]string{b.Self}, c)
+	if runs := takeMany(c, 30, 10); runs == 0 || runs == 30 {
+		t.Errorf("%d of 30 requests admitted from the entry's own share, want some but not all", runs)
 	}
 	if n := calls.Load(); n != 1 {
-		t.Errorf("asked %d times", n)
+		t.Errorf("the silent home was called %d times, want 1", n)
 	}
 }
 
-// Guards against a request that is refused, or waits for good, because a home doesn't
-// know its customer yet.
-func TestHomeWithoutTheCustomerIsNoHome(t *testing.T) {
+// Guards against requests that are refused or wait forever because a home doesn't have their
+// customer in its configuration yet.
+func TestHomeWithoutTheCustomerIsNotUsed(t *testing.T) {
 	clock := magno.NewClock(magno.Hour)
-	b, c := start(t, clock), start(t, clock)
-	homed([]string{b.Self}, c)
+	b, c := startNode(t, clock), startNode(t, clock)
+	setHomes([]string{b.Self}, c)
 	other := customer
 	other.Name = "beta"
 	if r := c.Take(context.Background(), &other, 10); r != nil {
@@ -136,15 +136,15 @@
 	}
 }
 
-func TestGivenBackIsThereAgain(t *testing.T) {
+func TestReturnedTokensAreAvailableAgain(t *testing.T) {
 	clock := magno.NewClock(magno.Hour)
-	a := start(t, clock)
-	homed([]string{a.Self}, a)
-	if use(a, newHome+1, 50) != newHome {
-		t.Fatal("not the tokens of a new home")
+	a := startNode(t, clock)
+	setHomes([]string{a.Self}, a)
+	if takeMany(a, initialGrant+1, 50) != initialGrant {
+		t.Fatal("the first grant of a new home isn't 3 requests")
 	}
 	a.Give(&customer, 50)
-	if use(a, 1, 50) != 1 {
-		t.Error("what was given back is gone")
+	if takeMany(a, 1, 50) != 1 {
+		t.Error("returned tokens can't be taken again")
 	}
 }
