--- a/entry/desk/desk.go
+++ b/entry/desk/desk.go
@@ -1,15 +1,14 @@
-// Package desk speaks to the agents beside engines: it asks for permits, and
-// keeps what each agent tells of its engine.
+// Package desk is the client of the agents beside engines. It requests permits from them and
+// tracks the state that each agent reports of its engine.
 //
-//	Run: each tick --status--> agents --> seats --> Reported (router)
-//	                                       |  ^
-//	                                  word v  | word
-//	                     other entries of the data centre
-//	relay --Permit--> agent;  relay --End--> agent
+//	Run: each tick --status--> agents --> agentState --> OnBacklog (router)
+//	                                        |    ^
+//	                          StatusBatch   v    |  StatusBatch
+//	                        other entries of the data centre
+//	relay --Acquire--> agent;  relay --Release--> agent
 //
-// An agent that doesn't answer is no reason to refuse: what its engine held a
-// moment ago is still there, so requests for it go without a permit until the
-// agent is back.
+// Requests aren't refused because an agent doesn't answer. What its engine held a moment ago is
+// most likely still loaded, so such requests are sent without a permit until the agent is back.
 package desk
 
 import (
@@ -32,43 +31,44 @@
 )
 
 const (
-	// pollEvery is how often an agent is asked for its state unless an answer to
-	// a permit just told it. Waits at an engine change within a few hundred
-	// milliseconds. With more than pollScale agents the pause grows with their
-	// number, up to pollMost times.
-	pollEvery = 250 * magno.Millis(1)
-	pollScale = 13
-	pollMost  = 4
-	// pollCalm bounds the pause of an agent that had nothing to tell.
-	pollCalm = 30 * magno.Second
-	// calmWait is the wait at an engine up to which it counts as calm.
-	calmWait = 20 * magno.Millis(1)
-	// pollDown is the most for an engine that is down: it may be back any moment.
-	pollDown = 500 * magno.Millis(1)
-	// pollTime bounds the answer: several round trips between data centres. A permit
-	// that isn't answered within it may wait, or its machine may be gone.
-	pollTime = 300 * magno.Millis(1)
-	// deadAfter is how many polls in a row must fail until permits are no longer
-	// waited for.
-	deadAfter = 2
-	// endTime bounds the handing over of the word that a request ended.
-	endTime = magno.Second
-	// mostPolled bounds the agents that one entry asks at each tick. With more,
-	// those that it lately sent requests to come first.
-	mostPolled = 64
-	// pollSlack lets a tick count that comes a little early.
-	pollSlack = 20 * magno.Millis(1)
-	// usedFor is how long an agent counts as in use after a permit.
-	usedFor = 5 * magno.Second
-	// heldFor is how long what an engine held counts after its agent went
-	// silent: a few agents' restarts.
-	heldFor = 10 * magno.Second
+	// pollInterval is how often an agent is polled, unless the reply to a permit has just
+	// reported its state. Waits at an engine change within a few hundred milliseconds. With
+	// more than pollScaleAgents agents the interval grows with their number, up to maxPollScale
+	// times.
+	pollInterval    = 250 * magno.Millis(1)
+	pollScaleAgents = 13
+	maxPollScale    = 4
+	// maxCalmInterval bounds the interval for an agent whose state doesn't change.
+	maxCalmInterval = 30 * magno.Second
+	// maxCalmWait is the longest wait at an engine that counts as calm.
+	maxCalmWait = 20 * magno.Millis(1)
+	// maxDownInterval bounds the interval for an engine that is down: it may be back at any
+	// moment.
+	maxDownInterval = 500 * magno.Millis(1)
+	// callTimeout bounds a poll: several round trips between data centres. A permit without a
+	// reply within this time may be waiting in the queue, or its machine may be gone.
+	callTimeout = 300 * magno.Millis(1)
+	// maxMisses is the number of polls that must fail in a row before an agent counts as lost
+	// and permits are no longer waited for.
+	maxMisses = 2
+	// releaseTimeout bounds the notification that a request ended.
+	releaseTimeout = magno.Second
+	// maxPolledPerTick bounds the agents that one entry polls in each tick. With more agents,
+	// those with recent requests take precedence.
+	maxPolledPerTick = 64
+	// tickSlack is the tolerance for a tick that comes early.
+	tickSlack = 20 * magno.Millis(1)
+	// recentUse is how long an agent counts as in use after a permit.
+	recentUse = 5 * magno.Second
+	// heldRetention is how long the last known state of an engine is used after its agent went
+	// silent: a few restarts of an agent.
+	heldRetention = 10 * magno.Second
 )
 
-// ErrAgentLost tells that the agent doesn't answer.
-var ErrAgentLost = errors.New("the agent doesn't answer")
+// ErrAgentLost means that the agent is unknown or doesn't answer.
+var ErrAgentLost = errors.New("the engine's agent doesn't answer")
 
-// Client is the duty. Fields are set before Run.
+// Client polls agents and requests permits. Exported fields are set before Open.
 type Client struct {
 	// Self is this instance's name.
 	Self  string
@@ -76,277 +76,280 @@
 	Book  *view.Book
 	Clock *magno.Clock
 	Log   *slog.Logger
-	// AgentPort is where agents listen, the same on all machines.
+	// AgentPort is the port that agents listen on, the same on all machines.
 	AgentPort int
-	// Addr is this entry's own address. Mates lists those of all entries of its data
-	// centre, its own among them, in the order in which they are to ask agents; nil
-	// where it is the only one.
+	// Addr is this entry's own address. Entries lists the addresses of all entries in its data
+	// centre, including its own, in order of preference for polling agents. It is nil if this
+	// is the only entry.
 	Addr    string
 	Entries func() []string
-	// OnBacklog is told each backlog by the incarnation's key.
+	// OnBacklog is called with each reported backlog and the key of the incarnation.
 	OnBacklog func(service, key string, b magno.Backlog)
 
-	// answers are what agents answered and mates don't know yet.
-	answers chan gate.StatusReply
+	// forwardQueue holds the replies of agents to be forwarded to the other entries.
+	forwardQueue chan gate.StatusReply
 
 	mu sync.Mutex
-	// seats follow snap.
-	seats map[string]*seat
-	snap  *view.Snapshot
-	// next counts the agents that were passed over or asked in turn: those that this
-	// entry asks for its data centre, and the others.
-	next struct {
-		mine, other int
+	// agents matches the replicas of snap.
+	agents map[string]*agentState
+	snap   *view.Snapshot
+	// turns counts the agents that were considered for a turn in takesTurn, separately for
+	// those that this entry polls on behalf of its data centre and for the others.
+	turns struct {
+		own, other int
 	}
 	polls *metrics.Counter
 	fails *metrics.Counter
 }
 
 // Name implements magno.Duty.
-func (d *Client) Name() string { return "desk" }
+func (c *Client) Name() string { return "desk" }
 
-// Open takes the methods on the mesh, before either runs.
-func (d *Client) Open() {
-	d.answers = make(chan gate.StatusReply, mostAnswers)
-	d.Mesh.Handle(MethodForward, d.onWord)
+// Open registers the methods on the mesh. It must be called before either runs.
+func (c *Client) Open() {
+	c.forwardQueue = make(chan gate.StatusReply, maxQueuedStatuses)
+	c.Mesh.Handle(MethodForward, c.handleForward)
 }
 
 // Run polls agents until ctx ends.
-func (d *Client) Run(ctx context.Context) error {
-	d.polls = metrics.GetOrCreateCounter("agent_polls_total")
-	d.fails = metrics.GetOrCreateCounter("agent_poll_failures_total")
-	ticks := time.NewTicker(pollEvery.Span())
+func (c *Client) Run(ctx context.Context) error {
+	c.polls = metrics.GetOrCreateCounter("agent_polls_total")
+	c.fails = metrics.GetOrCreateCounter("agent_poll_failures_total")
+	ticks := time.NewTicker(pollInterval.Span())
 	defer ticks.Stop()
-	gather := time.NewTimer(wordDelay.Span())
-	defer gather.Stop()
-	var working sync.WaitGroup
-	defer working.Wait()
-	var answers []gate.StatusReply
-	changed := d.Book.Changed()
-	d.ask(ctx, &working)
+	forwardTimer := time.NewTimer(forwardDelay.Span())
+	defer forwardTimer.Stop()
+	var wg sync.WaitGroup
+	defer wg.Wait()
+	var batch []gate.StatusReply
+	changed := c.Book.Changed()
+	c.pollDue(ctx, &wg)
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
 		case <-changed:
-			changed = d.Book.Changed()
-			d.ask(ctx, &working)
+			changed = c.Book.Changed()
+			c.pollDue(ctx, &wg)
 		case <-ticks.C:
-			d.ask(ctx, &working)
-		case a := <-d.answers:
-			if len(answers) == 0 {
-				gather.Reset(wordDelay.Span())
+			c.pollDue(ctx, &wg)
+		case a := <-c.forwardQueue:
+			if len(batch) == 0 {
+				forwardTimer.Reset(forwardDelay.Span())
 			}
-			answers = append(answers, a)
-		case <-gather.C:
-			d.pass(ctx, &working, answers)
-			answers = nil
+			batch = append(batch, a)
+		case <-forwardTimer.C:
+			c.forward(ctx, &wg, batch)
+			batch = nil
 		}
 	}
 }
 
-// ask asks the agents whose turn it is.
-func (d *Client) ask(ctx context.Context, working *sync.WaitGroup) {
-	d.seat(d.Book.Now())
-	for _, s := range d.due() {
-		working.Add(1)
+// pollDue polls the agents that are due.
+func (c *Client) pollDue(ctx context.Context, wg *sync.WaitGroup) {
+	c.syncAgents(c.Book.Now())
+	for _, s := range c.due() {
+		wg.Add(1)
 		go func() {
-			defer working.Done()
-			d.poll(ctx, s)
+			defer wg.Done()
+			c.poll(ctx, s)
 		}()
 	}
 }
 
-// seat brings the seats up to the list, when that has changed: comparing what
-// every agent is to be told is too much to do at each tick.
-func (d *Client) seat(snap *view.Snapshot) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if snap.Plan == nil || snap == d.snap {
+// syncAgents updates the agents from the list. It does so only when the list has changed:
+// comparing the specs of all agents is too expensive for each tick.
+func (c *Client) syncAgents(snap *view.Snapshot) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if snap.Plan == nil || snap == c.snap {
 		return
 	}
-	d.snap = snap
-	old := d.seats
-	d.seats = make(map[string]*seat, len(old))
+	c.snap = snap
+	old := c.agents
+	c.agents = make(map[string]*agentState, len(old))
 	for _, r := range snap.Replicas {
 		service := snap.Plan.Service(r.Service)
 		if service == nil || service.Engine == nil {
 			continue
 		}
-		host, _, _ := net.SplitHostPort(r.Address) // checked when it was decoded
+		host, _, _ := net.SplitHostPort(r.Address) // validated when it was decoded
 		s := old[r.Key()]
 		if s == nil {
-			s = &seat{
-				addr: net.JoinHostPort(host, strconv.Itoa(d.AgentPort)), hash: xxhash.Sum64String(r.Key()),
-				lost: make(chan struct{}), heard: d.Clock.Now(),
+			s = &agentState{
+				addr: net.JoinHostPort(host, strconv.Itoa(c.AgentPort)), hash: xxhash.Sum64String(r.Key()),
+				lostCh: make(chan struct{}), heardAt: c.Clock.Now(),
 			}
 		}
 		s.replica = r
 		spec := &gate.Spec{Replica: r.Key(), ID: r.ID, Engine: *service.Engine, Pins: snap.Pins, Leaving: r.Leaving}
 		if s.spec == nil || !reflect.DeepEqual(s.spec, spec) {
-			s.spec, s.revision = spec, snap.Revision
+			s.spec, s.specRevision = spec, snap.Revision
 		}
-		d.seats[r.Key()] = s
+		c.agents[r.Key()] = s
 	}
 }
 
-// due lists the agents to ask now.
-func (d *Client) due() []*seat {
-	share := d.share()
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	now := d.Clock.Now()
-	pauses := pausesOf(len(d.seats), len(share.others) > 0)
-	list := make([]*seat, 0, min(len(d.seats), mostPolled))
-	for _, s := range d.seats {
-		mine, of := share.mine(s), len(d.seats)
-		if mine {
-			of /= share.askers()
+// due returns the agents to poll now and marks them as being polled.
+func (c *Client) due() []*agentState {
+	share := c.currentShare()
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	now := c.Clock.Now()
+	intervals := intervalsFor(len(c.agents), len(share.others) > 0)
+	list := make([]*agentState, 0, min(len(c.agents), maxPolledPerTick))
+	for _, s := range c.agents {
+		owned, total := share.owns(s), len(c.agents)
+		if owned {
+			total /= share.pollers()
 		}
-		next := &d.next.other
-		if mine {
-			next = &d.next.mine
+		turn := &c.turns.other
+		if owned {
+			turn = &c.turns.own
 		}
-		if s.polling || s.fresh(now, pauses, mine) || !turn(s, now, of, next) {
+		if s.polling || s.isFresh(now, intervals, owned) || !takesTurn(s, now, total, turn) {
 			continue
 		}
-		s.polling, s.asked, s.told = true, now, s.revision
+		s.polling, s.polledAt, s.sentRevision = true, now, s.specRevision
 		list = append(list, s)
 	}
 	return list
 }
 
-// pauses is how long agents aren't asked again.
-type pauses struct {
-	// busy is the pause of those that had news, calm that of the others.
+// pollIntervals are the times between two polls of an agent.
+type pollIntervals struct {
+	// busy applies to agents whose state changed, calm to the others.
 	busy, calm magno.Millis
 }
 
-// pausesOf returns the pauses for so many agents, which the entries of a data centre may
-// share. Those of calm ones grow with the number of agents, so that what an entry learns
-// of them in a second doesn't.
-func pausesOf(agents int, shared bool) pauses {
-	scaled := pollEvery * magno.Millis(max(agents, pollScale)) / pollScale
-	p := pauses{busy: min(scaled, pollMost*pollEvery), calm: scaled}
+// intervalsFor returns the intervals for a number of agents, which the entries of a data centre
+// may share. The interval of calm agents grows with their number, so that the number of replies
+// per second that an entry receives doesn't.
+func intervalsFor(agents int, shared bool) pollIntervals {
+	scaled := pollInterval * magno.Millis(max(agents, pollScaleAgents)) / pollScaleAgents
+	p := pollIntervals{busy: min(scaled, maxPollScale*pollInterval), calm: scaled}
 	if shared {
-		p.busy, p.calm = p.busy/matesHalve, p.calm/matesHalve
+		p.busy, p.calm = p.busy/sharedPollDivisor, p.calm/sharedPollDivisor
 	}
-	p.busy = max(p.busy, pollEvery)
-	p.calm = min(max(p.calm, p.busy), pollCalm)
+	p.busy = max(p.busy, pollInterval)
+	p.calm = min(max(p.calm, p.busy), maxCalmInterval)
 	return p
 }
 
-// turn tells whether an agent may be asked now, one of so many that may be due. Of very
-// many, those that aren't in use are asked seldom, and those that are lost as well: a
-// thousand of them would otherwise take up all of a small machine.
-func turn(s *seat, now magno.Millis, of int, next *int) bool {
-	missed := s.misses > 0 && !s.dead
-	if of < 2*mostPolled || now-s.used <= usedFor || missed {
+// takesTurn reports whether an agent may be polled now, given the total number of agents of its
+// kind (polled on behalf of the data centre, or not). In a very large fleet, agents that aren't
+// in use or are lost are polled seldom: polling a thousand of them would use up a small
+// machine's processor.
+func takesTurn(s *agentState, now magno.Millis, total int, turn *int) bool {
+	suspected := s.misses > 0 && !s.lost
+	if total < 2*maxPolledPerTick || now-s.usedAt <= recentUse || suspected {
 		return true
 	}
-	*next++
-	turns := (of + mostPolled - 1) / mostPolled // rounded up, or two kinds exceed the bound
-	return *next%turns == 0
+	*turn++
+	rounds := (total + maxPolledPerTick - 1) / maxPolledPerTick // rounded up, so that both kinds together stay within the bound
+	return *turn%rounds == 0
 }
 
-// poll asks one agent, and tells it what it doesn't know yet.
-func (d *Client) poll(ctx context.Context, s *seat) {
-	ctx, cancel := context.WithTimeout(ctx, pollTime.Span())
+// poll polls one agent, and sends the spec if the agent doesn't have it.
+func (c *Client) poll(ctx context.Context, s *agentState) {
+	ctx, cancel := context.WithTimeout(ctx, callTimeout.Span())
 	defer cancel()
-	d.mu.Lock()
-	spec, revision, held := s.spec, s.revision, s.status.ListsHash
-	d.mu.Unlock()
-	call := gate.StatusCall{Revision: revision, ListsHash: held}
+	c.mu.Lock()
+	spec, revision, listsHash := s.spec, s.specRevision, s.status.ListsHash
+	c.mu.Unlock()
+	call := gate.StatusCall{Revision: revision, ListsHash: listsHash}
 	var reply gate.StatusReply
-	err := d.Mesh.Call(ctx, s.addr, gate.MethodStatus, call, &reply)
+	err := c.Mesh.Call(ctx, s.addr, gate.MethodStatus, call, &reply)
 	if err == nil && (reply.Revision < revision || (reply.Replica != spec.Replica && reply.Revision <= revision)) {
-		call.Spec, call.Entry = spec, d.Self
-		err = d.Mesh.Call(ctx, s.addr, gate.MethodStatus, call, &reply)
+		call.Spec, call.Entry = spec, c.Self
+		err = c.Mesh.Call(ctx, s.addr, gate.MethodStatus, call, &reply)
 	}
-	d.polls.Inc()
-	d.mu.Lock()
+	c.polls.Inc()
+	c.mu.Lock()
 	s.polling = false
-	d.mu.Unlock()
+	c.mu.Unlock()
 	if err != nil {
-		d.fails.Inc()
-		d.missed(s, err)
+		c.fails.Inc()
+		c.recordMiss(s, err)
 		return
 	}
-	d.tell(reply)
-	d.heard(s, &reply, held)
+	c.queueForward(reply)
+	c.recordStatus(s, &reply, listsHash)
 }
 
-func (d *Client) missed(s *seat, err error) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
+func (c *Client) recordMiss(s *agentState, err error) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	s.misses++
 	if s.misses == 1 {
-		s.silent = d.Clock.Now()
+		s.silentSince = c.Clock.Now()
 	}
-	if s.misses == deadAfter {
-		s.dead = true
-		close(s.lost)
-		d.Log.Warn("agent lost", "replica", s.replica.Key(), "addr", s.addr, "error", err)
+	if s.misses == maxMisses {
+		s.lost = true
+		close(s.lostCh)
+		c.Log.Warn("agent lost", "replica", s.replica.Key(), "addr", s.addr, "error", err)
 	}
 }
 
-// heard takes an agent's state, told to an entry that had the list held.
-func (d *Client) heard(s *seat, reply *gate.StatusReply, held uint64) {
-	d.mu.Lock()
-	reply.Restore(held, &s.status)
-	if s.dead {
-		s.dead, s.lost = false, make(chan struct{})
-		d.Log.Info("agent back", "replica", s.replica.Key(), "addr", s.addr)
+// recordStatus records the state that an agent reported. listsHash is the one that was sent with
+// the call: the reply may leave out lists that the caller already has.
+func (c *Client) recordStatus(s *agentState, reply *gate.StatusReply, listsHash uint64) {
+	c.mu.Lock()
+	reply.Restore(listsHash, &s.status)
+	if s.lost {
+		s.lost, s.lostCh = false, make(chan struct{})
+		c.Log.Info("agent back", "replica", s.replica.Key(), "addr", s.addr)
 	}
-	s.calm = calm(&s.status, reply)
+	s.calm = isCalm(&s.status, reply)
 	if reply.Down != s.status.Down {
-		d.Log.Info("engine", "replica", s.replica.Key(), "down", reply.Down)
+		c.Log.Info("engine", "replica", s.replica.Key(), "down", reply.Down)
 	}
-	s.misses, s.unreached, s.heard, s.status = 0, false, d.Clock.Now(), *reply
+	s.misses, s.unreachable, s.heardAt, s.status = 0, false, c.Clock.Now(), *reply
 	key, service := s.replica.Key(), s.replica.Service
-	mine, b := reply.Replica == key, reply.Backlog
+	current, b := reply.Replica == key, reply.Backlog
 	b.Down = s.down()
-	d.mu.Unlock()
-	if mine && d.OnBacklog != nil {
-		d.OnBacklog(service, key, b)
+	c.mu.Unlock()
+	if current && c.OnBacklog != nil {
+		c.OnBacklog(service, key, b)
 	}
 }
 
-// ReportUnreachable tells that an engine couldn't be connected to. With its agent dead too
-// the machine is gone: what it held is no longer there, and nothing is sent to it
+// ReportUnreachable records that a connection to an engine failed. If its agent is lost as
+// well, the machine is gone: the engine holds nothing any more, and no requests are sent to it
 // until its agent answers again.
-func (d *Client) ReportUnreachable(key string) {
-	d.mu.Lock()
-	s := d.seats[key]
-	if s == nil || !s.dead || s.unreached {
-		d.mu.Unlock()
+func (c *Client) ReportUnreachable(key string) {
+	c.mu.Lock()
+	s := c.agents[key]
+	if s == nil || !s.lost || s.unreachable {
+		c.mu.Unlock()
 		return
 	}
-	s.unreached = true
+	s.unreachable = true
 	service := s.replica.Service
-	d.Log.Info("engine unreached", "replica", key, "addr", s.addr)
-	d.mu.Unlock()
-	if d.OnBacklog != nil {
-		d.OnBacklog(service, key, magno.Backlog{Down: true})
+	c.Log.Info("engine unreached", "replica", key, "addr", s.addr)
+	c.mu.Unlock()
+	if c.OnBacklog != nil {
+		c.OnBacklog(service, key, magno.Backlog{Down: true})
 	}
 }
 
-// hurry has an agent asked at the next tick that wasn't heard since.
-func (d *Client) hurry(s *seat, since magno.Millis) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if s.heard < since && !s.dead {
-		s.asked = 0
+// pollSoon schedules a poll for the next tick if the agent hasn't been heard from since the
+// given time.
+func (c *Client) pollSoon(s *agentState, since magno.Millis) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if s.heardAt < since && !s.lost {
+		s.polledAt = 0
 	}
 }
 
-// Holds tells whether an engine held a model or adapter when its agent was
-// last heard, and that the agent hasn't been silent for long.
-func (d *Client) Holds(key, name string) bool {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	s := d.seats[key]
-	if s == nil || s.unreached || s.status.Replica != key || (s.misses > 0 && d.Clock.Now()-s.silent > heldFor) {
+// Holds reports whether an engine held a model or adapter when its agent was last heard from,
+// provided that the agent hasn't been silent for longer than heldRetention.
+func (c *Client) Holds(key, name string) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	s := c.agents[key]
+	if s == nil || s.unreachable || s.status.Replica != key || (s.misses > 0 && c.Clock.Now()-s.silentSince > heldRetention) {
 		return false
 	}
 	hash := magno.Ref{Adapter: name}.Hash()
@@ -358,12 +361,12 @@
 	return false
 }
 
-// Down tells whether the engine is known not to answer, or to have started
-// anew since the list named this incarnation.
-func (d *Client) Down(key string) bool {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	s := d.seats[key]
+// Down reports whether the engine is known to be down, or to have restarted since the list
+// named this incarnation. Unknown incarnations count as down.
+func (c *Client) Down(key string) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	s := c.agents[key]
 	if s == nil {
 		return true
 	}
--- a/entry/desk/desk_test.go
+++ b/entry/desk/desk_test.go
@@ -18,25 +18,25 @@
 	"magnoliastall.example/magno/wire"
 )
 
-// agent answers as its fields say.
-type agent struct {
+// fakeAgent is an agent whose replies are set by its fields.
+type fakeAgent struct {
 	mu     sync.Mutex
 	status gate.StatusReply
 	polls  int
 	specs  int
-	// hold makes permits wait until their caller gives up, mute polls as well.
-	hold, mute bool
-	ends       []gate.EndCall
-	// knew is what the agent knew when it was last asked for a permit.
-	knew string
+	// holdPermits blocks permit calls until their caller gives up, holdStatus blocks polls.
+	holdPermits, holdStatus bool
+	releases                []gate.EndCall
+	// replicaAtPermit is the replica that the agent knew at the last permit call.
+	replicaAtPermit string
 }
 
-func (a *agent) open(m *wire.Mesh) {
+func (a *fakeAgent) open(m *wire.Mesh) {
 	m.Handle(gate.MethodStatus, func(ctx context.Context, _ *wire.Peer, params json.RawMessage) (any, error) {
 		var call gate.StatusCall
 		_ = json.Unmarshal(params, &call)
 		a.mu.Lock()
-		mute := a.mute
+		mute := a.holdStatus
 		a.mu.Unlock()
 		if mute {
 			<-ctx.Done()
@@ -57,8 +57,8 @@
 		if call.Spec != nil {
 			a.status.Replica, a.status.Revision = call.Spec.Replica, call.Revision
 		}
-		hold, status := a.hold, a.status
-		a.knew = status.Replica
+		hold, status := a.holdPermits, a.status
+		a.replicaAtPermit = status.Replica
 		a.mu.Unlock()
 		if hold {
 			<-ctx.Done()
@@ -70,12 +70,12 @@
 		_ = json.Unmarshal(params, &call)
 		a.mu.Lock()
 		defer a.mu.Unlock()
-		a.ends = append(a.ends, call)
+		a.releases = append(a.releases, call)
 		return nil, nil
 	})
 }
 
-func start(t *testing.T, a *agent) (*Client, context.CancelFunc) {
+func startClient(t *testing.T, a *fakeAgent) (*Client, context.CancelFunc) {
 	t.Helper()
 	clock := magno.NewSteady()
 	served := &wire.Mesh{Listen: "127.0.0.1:0", Clock: clock}
@@ -90,41 +90,41 @@
 		{Key: "plan", Revision: 1, Plan: &magno.Plan{Version: 1, Services: []magno.Service{{Name: "s", Engine: &magno.Engine{Batch: 1}}}}},
 		{Key: "r", Revision: 1, Replica: &magno.Replica{ID: "r", Service: "s", Address: "127.0.0.1:1", DataCentre: "x", Slots: 1}},
 	}, 1, true)
-	d := &Client{Self: "e", Mesh: &wire.Mesh{Clock: clock}, Book: book, Clock: clock, Log: slog.New(slog.DiscardHandler), AgentPort: number}
-	d.Open()
+	client := &Client{Self: "e", Mesh: &wire.Mesh{Clock: clock}, Book: book, Clock: clock, Log: slog.New(slog.DiscardHandler), AgentPort: number}
+	client.Open()
 	ctx, cancel := context.WithCancel(context.Background())
-	gone, lose := context.WithCancel(ctx)
+	agentCtx, stopAgent := context.WithCancel(ctx)
 	ends := make(chan error, 2)
-	go func() { ends <- d.Run(ctx) }()
-	go func() { ends <- served.Run(gone) }()
+	go func() { ends <- client.Run(ctx) }()
+	go func() { ends <- served.Run(agentCtx) }()
 	t.Cleanup(func() {
-		lose()
+		stopAgent()
 		cancel()
 		<-ends
 		<-ends
 	})
-	return d, lose
+	return client, stopAgent
 }
 
-func until(t *testing.T, what string, ok func() bool) {
+func waitFor(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(time.Minute); !ok(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("waited in vain for " + what)
+			t.Fatal("timed out waiting for " + what)
 		}
 	}
 }
 
 const key = "r@0"
 
-func TestAgentIsToldOnceWhatItDoesNotKnow(t *testing.T) {
-	a := &agent{status: gate.StatusReply{Backlog: magno.Backlog{Warm: []uint32{magno.Ref{Adapter: "m/a"}.Hash()}}}}
-	d, _ := start(t, a)
-	until(t, "the agent's state", func() bool { return d.Holds(key, "m/a") })
-	if d.Holds(key, "m/b") {
-		t.Error("an adapter that isn't there counts as held")
+func TestAgentIsSentItsSpecOnce(t *testing.T) {
+	a := &fakeAgent{status: gate.StatusReply{Backlog: magno.Backlog{Warm: []uint32{magno.Ref{Adapter: "m/a"}.Hash()}}}}
+	client, _ := startClient(t, a)
+	waitFor(t, "the agent's state", func() bool { return client.Holds(key, "m/a") })
+	if client.Holds(key, "m/b") {
+		t.Error("an adapter that isn't loaded counts as held")
 	}
-	until(t, "a few polls", func() bool {
+	waitFor(t, "a few polls", func() bool {
 		a.mu.Lock()
 		defer a.mu.Unlock()
 		return a.polls > 4
@@ -132,47 +132,47 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.specs != 1 {
-		t.Errorf("the agent was told %d times", a.specs)
+		t.Errorf("the spec was sent %d times, want 1", a.specs)
 	}
 }
 
-// Callers that leave are no sign that an agent is gone. Taken for one, two of them
-// at once would have all others' requests go on without permits.
-func TestCallersThatLeaveLoseNoAgent(t *testing.T) {
-	a := &agent{hold: true}
-	d, _ := start(t, a)
-	until(t, "the agent", d.heardOnce)
+// Guards against taking cancelled calls for misses of the agent. Two cancelled callers at once
+// would mark the agent lost, and all other requests would be sent without permits.
+func TestCancelledCallersDoNotMarkAgentLost(t *testing.T) {
+	a := &fakeAgent{holdPermits: true}
+	client, _ := startClient(t, a)
+	waitFor(t, "the agent", client.hasStatus)
 	for range 5 {
 		a.mu.Lock()
 		a.status = gate.StatusReply{}
 		a.mu.Unlock()
-		d.mu.Lock()
-		s := d.seats[key]
+		client.mu.Lock()
+		s := client.agents[key]
 		s.status = gate.StatusReply{}
-		d.mu.Unlock()
+		client.mu.Unlock()
 		ctx, leave := context.WithCancel(context.Background())
 		leave()
-		if _, err := d.Acquire(ctx, key, gate.Request{ID: "1"}); err == nil {
-			t.Fatal("a caller that left got a permit")
+		if _, err := client.Acquire(ctx, key, gate.Request{ID: "1"}); err == nil {
+			t.Fatal("a cancelled call got a permit")
 		}
-		d.mu.Lock()
-		dead := s.dead
-		d.mu.Unlock()
-		if dead {
-			t.Fatal("the agent counts as lost because callers left")
+		client.mu.Lock()
+		lost := s.lost
+		client.mu.Unlock()
+		if lost {
+			t.Fatal("the agent counts as lost because calls were cancelled")
 		}
 	}
 }
 
-// An agent starts again and doesn't know what stands beside it. The next request
-// brings it word first; otherwise it is refused, as all are until a poll comes,
-// and after a loss of all power that is so at every engine.
-func TestAgentThatStartedIsToldBeforeItDecides(t *testing.T) {
-	a := &agent{}
-	d, _ := start(t, a)
-	until(t, "the agent", d.heardOnce)
+// Guards against refusals after an agent's restart. A restarted agent has no spec and refuses
+// every request until the next poll, so the next permit call carries the spec. After a power
+// loss of all machines this applies to every engine.
+func TestRestartedAgentGetsItsSpecWithThePermit(t *testing.T) {
+	a := &fakeAgent{}
+	client, _ := startClient(t, a)
+	waitFor(t, "the agent", client.hasStatus)
 	permit := func() {
-		if _, err := d.Acquire(context.Background(), key, gate.Request{ID: "1"}); err != nil {
+		if _, err := client.Acquire(context.Background(), key, gate.Request{ID: "1"}); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -180,87 +180,86 @@
 		a.mu.Lock()
 		a.status = gate.StatusReply{}
 		a.mu.Unlock()
-		permit() // its refusal tells that it knows nothing
+		permit() // the reply shows that the agent has no spec
 		permit()
 		a.mu.Lock()
-		knew := a.knew
+		knew := a.replicaAtPermit
 		a.mu.Unlock()
 		if knew != key {
-			t.Fatalf("the agent knew %q when it was asked", knew)
+			t.Fatalf("the agent had the spec of %q at the permit call", knew)
 		}
 	}
 }
 
-// An agent stands still while a request waits for its word; its connection stays
-// open. The wait ends when the polls find that out, not at the request's
-// deadline.
+// The agent's process hangs while a request waits for a permit, and its connection stays open.
+// The wait must end when polls detect this, not at the request's deadline.
 func TestMuteAgentEndsTheWait(t *testing.T) {
-	a := &agent{hold: true}
-	d, _ := start(t, a)
-	until(t, "the agent's state", d.heardOnce)
+	a := &fakeAgent{holdPermits: true}
+	client, _ := startClient(t, a)
+	waitFor(t, "the agent's state", client.hasStatus)
 	got := make(chan error, 1)
 	go func() {
-		_, err := d.Acquire(context.Background(), key, gate.Request{ID: "1"})
+		_, err := client.Acquire(context.Background(), key, gate.Request{ID: "1"})
 		got <- err
 	}()
 	a.mu.Lock()
-	a.mute = true
+	a.holdStatus = true
 	a.mu.Unlock()
 	select {
 	case err := <-got:
 		if !errors.Is(err, ErrAgentLost) {
-			t.Fatalf("got %v, want ErrDead", err)
+			t.Fatalf("got %v, want ErrAgentLost", err)
 		}
 	case <-time.After(time.Minute):
-		t.Fatal("the request waits on for an agent that stands still")
+		t.Fatal("the permit call doesn't end though the agent hangs")
 	}
 }
 
-// An agent ends while a request waits for its word. So does the wait; what the
-// engine held is still known, so that requests go there without the agent.
+// The agent exits while a request waits for a permit. The wait must end, and the engine's last
+// known state must be kept, so that requests can be sent without the agent.
 func TestSilentAgentEndsTheWait(t *testing.T) {
-	a := &agent{hold: true, status: gate.StatusReply{Backlog: magno.Backlog{Warm: []uint32{magno.Ref{Adapter: "m/a"}.Hash()}}}}
-	d, lose := start(t, a)
-	until(t, "the agent's state", func() bool { return d.Holds(key, "m/a") })
+	a := &fakeAgent{holdPermits: true, status: gate.StatusReply{Backlog: magno.Backlog{Warm: []uint32{magno.Ref{Adapter: "m/a"}.Hash()}}}}
+	client, lose := startClient(t, a)
+	waitFor(t, "the agent's state", func() bool { return client.Holds(key, "m/a") })
 	got := make(chan error, 1)
 	go func() {
-		_, err := d.Acquire(context.Background(), key, gate.Request{ID: "1"})
+		_, err := client.Acquire(context.Background(), key, gate.Request{ID: "1"})
 		got <- err
 	}()
 	lose()
 	if err := <-got; !errors.Is(err, ErrAgentLost) {
-		t.Fatalf("got %v, want ErrDead", err)
+		t.Fatalf("got %v, want ErrAgentLost", err)
 	}
-	until(t, "the loss", func() bool {
-		_, err := d.Acquire(context.Background(), key, gate.Request{ID: "2"})
+	waitFor(t, "the agent to count as lost", func() bool {
+		_, err := client.Acquire(context.Background(), key, gate.Request{ID: "2"})
 		return errors.Is(err, ErrAgentLost)
 	})
-	if !d.Holds(key, "m/a") {
-		t.Error("what the engine held is forgotten with its agent")
+	if !client.Holds(key, "m/a") {
+		t.Error("the engine's state is dropped when its agent is lost")
 	}
 }
 
-// A caller leaves while its request waits. The agent is told, or it would keep
-// a place for nobody.
+// Guards against a queue place held for a caller that is gone: when a caller leaves while its
+// request waits, the agent must be notified.
 func TestLeavingCallerIsToldToTheAgent(t *testing.T) {
-	a := &agent{hold: true}
-	d, _ := start(t, a)
-	until(t, "the agent's state", func() bool { return !d.Down(key) && d.heardOnce() })
+	a := &fakeAgent{holdPermits: true}
+	client, _ := startClient(t, a)
+	waitFor(t, "the agent's state", func() bool { return !client.Down(key) && client.hasStatus() })
 	ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
 	defer cancel()
-	if _, err := d.Acquire(ctx, key, gate.Request{ID: "1"}); err == nil {
-		t.Fatal("the wait ended without an error")
+	if _, err := client.Acquire(ctx, key, gate.Request{ID: "1"}); err == nil {
+		t.Fatal("the cancelled call returned no error")
 	}
-	until(t, "the word of it", func() bool {
+	waitFor(t, "the release notification", func() bool {
 		a.mu.Lock()
 		defer a.mu.Unlock()
-		return len(a.ends) == 1 && a.ends[0].ID == "1" && !a.ends[0].OK
+		return len(a.releases) == 1 && a.releases[0].ID == "1" && !a.releases[0].OK
 	})
 }
 
-func (d *Client) heardOnce() bool {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	s := d.seats[key]
+func (c *Client) hasStatus() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	s := c.agents[key]
 	return s != nil && s.status.Replica == key
 }
--- a/entry/desk/lost_test.go
+++ b/entry/desk/lost_test.go
@@ -13,149 +13,148 @@
 	"magnoliastall.example/magno/view"
 )
 
-// fleet is a desk with so many agents that all answered a moment ago.
-func fleet(n int) (*Client, *magno.Clock) {
+// newFleet returns a client with n agents that all answered just now.
+func newFleet(n int) (*Client, *magno.Clock) {
 	clock := magno.NewClock(magno.Hour)
-	d := &Client{Clock: clock, Log: slog.New(slog.DiscardHandler), seats: map[string]*seat{}}
+	client := &Client{Clock: clock, Log: slog.New(slog.DiscardHandler), agents: map[string]*agentState{}}
 	for i := range n {
 		r := &magno.Replica{ID: strconv.Itoa(i), Service: "s"}
-		s := &seat{replica: r, asked: clock.Now(), heard: clock.Now(), lost: make(chan struct{}), hash: xxhash.Sum64String(r.Key())}
+		s := &agentState{replica: r, polledAt: clock.Now(), heardAt: clock.Now(), lostCh: make(chan struct{}), hash: xxhash.Sum64String(r.Key())}
 		s.status.Replica = r.Key()
-		d.seats[r.Key()] = s
+		client.agents[r.Key()] = s
 	}
-	return d, clock
+	return client, clock
 }
 
-// asks tells which agents are asked at the next tick.
-func asks(d *Client, clock *magno.Clock, key string) bool {
-	clock.Advance(pollEvery)
+// polledNextTick advances the clock by one tick and reports whether the agent is polled.
+func polledNextTick(client *Client, clock *magno.Clock, key string) bool {
+	clock.Advance(pollInterval)
 	asked := false
-	for _, s := range d.due() {
+	for _, s := range client.due() {
 		s.polling = false
 		asked = asked || s.replica.Key() == key
 	}
 	return asked
 }
 
-// A machine of a large fleet loses power. Agents are asked about each second there,
-// and it takes two polls without an answer to tell; meanwhile callers whose requests
-// wait for its agent get nothing. The second poll must follow the first at once.
+// Guards against slow detection of a lost machine in a large fleet. Agents are polled about
+// once a second there, and two polls must fail before an agent counts as lost; until then
+// callers wait for its permits. The poll after a miss must follow at the next tick.
 func TestAgentThatMissesIsAskedAtOnce(t *testing.T) {
 	for _, n := range []int{4, 120, 1000} {
-		d, clock := fleet(n)
+		client, clock := newFleet(n)
 		const key = "1@0"
-		asks(d, clock, key)
-		d.missed(d.seats[key], errors.New("no answer"))
-		if !asks(d, clock, key) {
-			t.Errorf("of %d agents, one that missed a poll isn't asked at the next tick", n)
+		polledNextTick(client, clock, key)
+		client.recordMiss(client.agents[key], errors.New("no answer"))
+		if !polledNextTick(client, clock, key) {
+			t.Errorf("of %d agents, one that missed a poll isn't polled at the next tick", n)
 		}
 	}
 }
 
-// A request waits for a permit of an agent whose machine is gone. Its agent isn't
-// asked before a second has passed, and the request would wait for that.
-func TestAgentThatOwesAPermitIsAskedAtOnce(t *testing.T) {
-	d, clock := fleet(120)
+// Guards against a permit call that waits for the agent's next regular poll, which may be a
+// second away, when the agent's machine is gone.
+func TestAgentWithPendingPermitIsPolledAtOnce(t *testing.T) {
+	client, clock := newFleet(120)
 	key := "7@0"
 	sent := clock.Now() + 1
 	clock.Advance(10)
-	if asks(d, clock, key) {
-		t.Fatal("it is asked in any case")
+	if polledNextTick(client, clock, key) {
+		t.Fatal("the agent is polled at the next tick in any case")
 	}
-	d.hurry(d.seats[key], sent)
-	if !asks(d, clock, key) {
-		t.Error("an agent that doesn't answer a permit isn't asked at the next tick")
+	client.pollSoon(client.agents[key], sent)
+	if !polledNextTick(client, clock, key) {
+		t.Error("an agent that doesn't answer a permit call isn't polled at the next tick")
 	}
-	d.seats[key].heard = clock.Now()
-	d.hurry(d.seats[key], sent)
-	if asks(d, clock, key) {
-		t.Error("one that was heard since is asked again")
+	client.agents[key].heardAt = clock.Now()
+	client.pollSoon(client.agents[key], sent)
+	if polledNextTick(client, clock, key) {
+		t.Error("an agent that has answered since is polled again")
 	}
 }
 
-// A machine with an engine loses power. Its agent is silent and nothing connects to
-// the engine, but its adapters were there a moment ago, so request after request was
-// sent to it and each lost 400 ms. After the first, nobody is sent there, until its
-// agent answers again.
+// A machine with an engine loses power. Its agent is silent and connections to the engine fail,
+// but its adapters still counted as loaded, so each request was sent there first and lost 400
+// ms. After the first failure no request must be sent there until its agent answers again.
 func TestUnreachedEngineHoldsNothing(t *testing.T) {
-	d, clock := fleet(2)
+	client, clock := newFleet(2)
 	key := "1@0"
 	var told []magno.Backlog
-	d.OnBacklog = func(_, _ string, b magno.Backlog) { told = append(told, b) }
-	status := d.seats[key].status
+	client.OnBacklog = func(_, _ string, b magno.Backlog) { told = append(told, b) }
+	status := client.agents[key].status
 	status.Backlog.Warm = []uint32{magno.Ref{Adapter: "m/a"}.Hash()}
-	d.heard(d.seats[key], &status, 0)
-	d.ReportUnreachable(key)
-	if !d.Holds(key, "m/a") {
-		t.Fatal("an engine whose agent answers counts as gone")
+	client.recordStatus(client.agents[key], &status, 0)
+	client.ReportUnreachable(key)
+	if !client.Holds(key, "m/a") {
+		t.Fatal("an engine whose agent answers counts as unreachable")
 	}
-	for range deadAfter {
-		d.missed(d.seats[key], errors.New("no answer"))
+	for range maxMisses {
+		client.recordMiss(client.agents[key], errors.New("no answer"))
 	}
-	if !d.Holds(key, "m/a") {
-		t.Fatal("an agent that is silent alone takes its engine away")
+	if !client.Holds(key, "m/a") {
+		t.Fatal("a silent agent alone makes its engine count as unreachable")
 	}
-	d.ReportUnreachable(key)
-	if d.Holds(key, "m/a") || !told[len(told)-1].Down {
-		t.Errorf("the engine still counts, told %+v", told)
+	client.ReportUnreachable(key)
+	if client.Holds(key, "m/a") || !told[len(told)-1].Down {
+		t.Errorf("the unreachable engine still counts, reported %+v", told)
 	}
-	clock.Advance(pollEvery)
-	d.heard(d.seats[key], &status, 0)
-	if !d.Holds(key, "m/a") || told[len(told)-1].Down {
-		t.Errorf("its agent is back, and the engine isn't, told %+v", told)
+	clock.Advance(pollInterval)
+	client.recordStatus(client.agents[key], &status, 0)
+	if !client.Holds(key, "m/a") || told[len(told)-1].Down {
+		t.Errorf("the agent is back but the engine doesn't count, reported %+v", told)
 	}
 }
 
-// Guards against a worker that starts again under its name and is taken for one that
-// holds what the one before held.
+// Guards against a replica that restarts under the same ID and is assumed to hold what its
+// previous incarnation held.
 func TestWorkerThatStartsAgainHoldsNothing(t *testing.T) {
-	d, clock := fleet(0)
-	d.Book = &view.Book{Clock: clock}
+	client, clock := newFleet(0)
+	client.Book = &view.Book{Clock: clock}
 	list := func(revision int64, born magno.Millis) string {
 		r := &magno.Replica{ID: "r", Born: born, Service: "s", Address: "127.0.0.1:1", DataCentre: "x", Slots: 1}
-		d.Book.Read([]magno.Change{
+		client.Book.Read([]magno.Change{
 			{Key: "plan", Revision: revision, Plan: &magno.Plan{Version: 1, Services: []magno.Service{{Name: "s", Engine: &magno.Engine{Batch: 1}}}}},
 			{Key: "servers/r", Revision: revision, Replica: r},
 		}, revision, true)
-		d.seat(d.Book.Now())
+		client.syncAgents(client.Book.Now())
 		return r.Key()
 	}
 	before := list(1, 100)
 	status := gate.StatusReply{Replica: before, EngineStart: 100, Backlog: magno.Backlog{Warm: []uint32{magno.Ref{Adapter: "m/a"}.Hash()}}}
-	d.heard(d.seats[before], &status, 0)
-	if !d.Holds(before, "m/a") {
-		t.Fatal("what the engine holds isn't known")
+	client.recordStatus(client.agents[before], &status, 0)
+	if !client.Holds(before, "m/a") {
+		t.Fatal("the engine's reported adapter isn't known")
 	}
 	now := list(2, 200)
-	if d.Holds(before, "m/a") || d.Holds(now, "m/a") || !d.Down(before) || d.Down(now) {
-		t.Errorf("the one before holds %v, is down %v; this one holds %v, is down %v",
-			d.Holds(before, "m/a"), d.Down(before), d.Holds(now, "m/a"), d.Down(now))
+	if client.Holds(before, "m/a") || client.Holds(now, "m/a") || !client.Down(before) || client.Down(now) {
+		t.Errorf("previous incarnation: holds %v, down %v; current one: holds %v, down %v",
+			client.Holds(before, "m/a"), client.Down(before), client.Holds(now, "m/a"), client.Down(now))
 	}
-	if _, err := d.Acquire(t.Context(), before, gate.Request{ID: "1"}); !errors.Is(err, ErrAgentLost) {
-		t.Errorf("a permit for the one before ends with %v", err)
+	if _, err := client.Acquire(t.Context(), before, gate.Request{ID: "1"}); !errors.Is(err, ErrAgentLost) {
+		t.Errorf("a permit call for the previous incarnation ended with %v", err)
 	}
 }
 
-// Guards against an engine of a large fleet whose agent is asked seldom, and that counts
-// as empty between two questions or as soon as the agent fails to answer one.
+// Guards against an engine of a large fleet that counts as empty between two polls of its
+// agent, or as soon as the agent fails to answer.
 func TestAgentAskedSeldomIsNotForgotten(t *testing.T) {
-	d, clock := fleet(3000)
+	client, clock := newFleet(3000)
 	const key = "1@0"
-	s := d.seats[key]
+	s := client.agents[key]
 	status := gate.StatusReply{Replica: key, Backlog: magno.Backlog{Warm: []uint32{magno.Ref{Adapter: "m/a"}.Hash()}}}
-	d.heard(s, &status, 0)
-	clock.Advance(pollCalm)
-	if !d.Holds(key, "m/a") {
-		t.Fatal("forgotten between two questions")
+	client.recordStatus(s, &status, 0)
+	clock.Advance(maxCalmInterval)
+	if !client.Holds(key, "m/a") {
+		t.Fatal("the engine's state is dropped between two polls")
 	}
-	for range deadAfter {
-		d.missed(s, errors.New("no answer"))
+	for range maxMisses {
+		client.recordMiss(s, errors.New("no answer"))
 	}
-	if !d.Holds(key, "m/a") {
-		t.Error("forgotten as soon as the agent is silent")
+	if !client.Holds(key, "m/a") {
+		t.Error("the engine's state is dropped as soon as the agent is silent")
 	}
-	clock.Advance(heldFor + 1)
-	if d.Holds(key, "m/a") {
-		t.Error("an agent that was silent for long still counts")
+	clock.Advance(heldRetention + 1)
+	if client.Holds(key, "m/a") {
+		t.Error("the engine's state is kept for longer than heldRetention")
 	}
 }
--- a/entry/desk/permit.go
+++ b/entry/desk/permit.go
@@ -10,78 +10,78 @@
 	"magnoliastall.example/magno/wire"
 )
 
-// Acquire asks that a request may begin at a replica, and waits. ErrAgentLost means
-// that nobody decided.
-func (d *Client) Acquire(ctx context.Context, key string, ask gate.Request) (*gate.PermitReply, error) {
-	d.mu.Lock()
-	s := d.seats[key]
-	if s == nil || s.dead {
-		d.mu.Unlock()
+// Acquire requests a permit for a request to start at a replica, and waits for the decision.
+// ErrAgentLost means that there was none.
+func (c *Client) Acquire(ctx context.Context, key string, req gate.Request) (*gate.PermitReply, error) {
+	c.mu.Lock()
+	s := c.agents[key]
+	if s == nil || s.lost {
+		c.mu.Unlock()
 		return nil, ErrAgentLost
 	}
-	s.used = d.Clock.Now()
-	lost, addr := s.lost, s.addr
-	call := gate.PermitCall{Request: ask, Replica: key, ListsHash: s.status.ListsHash}
+	s.usedAt = c.Clock.Now()
+	lostCh, addr := s.lostCh, s.addr
+	call := gate.PermitCall{Request: req, Replica: key, ListsHash: s.status.ListsHash}
 	if s.status.Replica != key {
-		// The agent's turn to be polled may be a second away, and after a loss
-		// of all power that is so for all agents.
-		call.Spec, call.Revision = s.spec, s.revision
+		// The agent's next poll may be a second away; after a power loss of all machines this
+		// applies to every agent.
+		call.Spec, call.Revision = s.spec, s.specRevision
 	}
-	d.mu.Unlock()
+	c.mu.Unlock()
 	waiting, cancel := context.WithCancel(ctx)
 	defer cancel()
 	stop := make(chan struct{})
 	defer close(stop)
-	go d.wait(s, lost, stop, cancel)
+	go c.watchAgent(s, lostCh, stop, cancel)
 	var reply gate.PermitReply
-	err := d.Mesh.Call(waiting, addr, gate.MethodPermit, call, &reply)
+	err := c.Mesh.Call(waiting, addr, gate.MethodPermit, call, &reply)
 	if err != nil {
 		if ctx.Err() == nil {
-			d.hurry(s, d.Clock.Now())
+			c.pollSoon(s, c.Clock.Now())
 		}
 		if !wire.NotSent(err) {
-			d.Release(key, gate.EndCall{ID: ask.ID}) // it may have been let through since
+			c.Release(key, gate.EndCall{ID: req.ID}) // the permit may have been granted meanwhile
 		}
 		return nil, errors.Mark(err, ErrAgentLost)
 	}
-	d.heard(s, &reply.Status, call.ListsHash)
-	d.mu.Lock()
-	s.asked = d.Clock.Now()
-	d.mu.Unlock()
+	c.recordStatus(s, &reply.Status, call.ListsHash)
+	c.mu.Lock()
+	s.polledAt = c.Clock.Now()
+	c.mu.Unlock()
 	return &reply, nil
 }
 
-// wait ends the wait for a permit once its agent is lost, and finds out whether an
-// agent that doesn't answer is.
-func (d *Client) wait(s *seat, lost, stop chan struct{}, cancel context.CancelFunc) {
-	asked := d.Clock.Now()
-	silent := time.NewTimer(pollTime.Span())
-	defer silent.Stop()
+// watchAgent cancels the wait for a permit once its agent is lost. It polls an agent that takes
+// longer than callTimeout, to find out whether the agent is lost.
+func (c *Client) watchAgent(s *agentState, lostCh, stop chan struct{}, cancel context.CancelFunc) {
+	sentAt := c.Clock.Now()
+	timer := time.NewTimer(callTimeout.Span())
+	defer timer.Stop()
 	for {
 		select {
-		case <-lost:
+		case <-lostCh:
 			cancel()
 			return
 		case <-stop:
 			return
-		case <-silent.C:
-			d.hurry(s, asked)
+		case <-timer.C:
+			c.pollSoon(s, sentAt)
 		}
 	}
 }
 
-// Release tells the agent that a request ended. If the word is lost, the agent
-// forgets the request at its deadline.
-func (d *Client) Release(key string, call gate.EndCall) {
-	d.mu.Lock()
-	s := d.seats[key]
-	d.mu.Unlock()
+// Release notifies the agent that a request ended. If the notification is lost, the agent drops
+// the request at its deadline.
+func (c *Client) Release(key string, call gate.EndCall) {
+	c.mu.Lock()
+	s := c.agents[key]
+	c.mu.Unlock()
 	if s == nil {
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), endTime.Span())
+	ctx, cancel := context.WithTimeout(context.Background(), releaseTimeout.Span())
 	defer cancel()
-	if err := d.Mesh.Notify(ctx, s.addr, gate.MethodEnd, call); err != nil {
-		d.Log.Debug("end", "replica", key, "request", call.ID, "error", err)
+	if err := c.Mesh.Notify(ctx, s.addr, gate.MethodEnd, call); err != nil {
+		c.Log.Debug("cannot release permit", "replica", key, "request", call.ID, "error", err)
 	}
 }
--- a/entry/desk/seat.go
+++ b/entry/desk/seat.go
@@ -5,71 +5,71 @@
 	"magnoliastall.example/magno/gate"
 )
 
-// seat is what is known of one agent.
-type seat struct {
+// agentState is what is known about one agent and its engine.
+type agentState struct {
 	replica *magno.Replica
 	addr    string
-	// hash is that of the replica's key.
+	// hash is the hash of the replica's key.
 	hash uint64
 	spec *gate.Spec
-	// revision is that of the list when spec last changed.
-	revision int64
-	status   gate.StatusReply
-	heard    magno.Millis
-	// calm is true when status told nothing that choices hang on.
+	// specRevision is the revision of the list at which spec last changed.
+	specRevision int64
+	status       gate.StatusReply
+	heardAt      magno.Millis
+	// calm is true if the last status changed nothing that routing depends on.
 	calm   bool
-	used   magno.Millis
+	usedAt magno.Millis
 	misses int
-	// silent is when the first of the misses was.
-	silent magno.Millis
-	// polling is true while a poll is under way; asked is when the last began or
-	// a permit told as much, told the revision that it was to bring.
-	polling bool
-	asked   magno.Millis
-	told    int64
-	// lost is closed once the agent counts as dead, and made anew when it
-	// answers again.
-	lost chan struct{}
-	dead bool
-	// unreached is true when the agent is dead and its engine can't be connected to.
-	unreached bool
+	// silentSince is when the first of the misses occurred.
+	silentSince magno.Millis
+	// polling is true while a poll is in flight. polledAt is when the last poll began, or when
+	// a permit or another entry delivered the same information. sentRevision is the spec
+	// revision that the poll was meant to deliver.
+	polling      bool
+	polledAt     magno.Millis
+	sentRevision int64
+	// lostCh is closed once the agent counts as lost, and replaced when it answers again.
+	lostCh chan struct{}
+	lost   bool
+	// unreachable is true if the agent is lost and connections to its engine fail.
+	unreachable bool
 }
 
-// down tells whether the engine is known not to answer, or to have started anew
-// since the list named this incarnation.
-func (s *seat) down() bool {
-	return !s.dead && (s.status.Down || (s.status.EngineStart != 0 && s.status.EngineStart != s.replica.Born))
+// down reports whether the engine is known to be down, or to have restarted since the list
+// named this incarnation.
+func (s *agentState) down() bool {
+	return !s.lost && (s.status.Down || (s.status.EngineStart != 0 && s.status.EngineStart != s.replica.Born))
 }
 
-// calm tells whether an agent's state is, for those who choose among engines, the one
-// before: nobody waits there, and the engine holds what it held.
-func calm(was, is *gate.StatusReply) bool {
-	return was.Replica == is.Replica && was.ListsHash == is.ListsHash && was.Down == is.Down && was.Leaving == is.Leaving &&
-		is.Backlog.Wait <= calmWait && is.Backlog.BaseWait == 0 && len(is.Backlog.Coming) == 0
+// isCalm reports whether two states of an agent are equivalent for routing: nothing waits at
+// the engine, and it holds the same models and adapters as before.
+func isCalm(before, after *gate.StatusReply) bool {
+	return before.Replica == after.Replica && before.ListsHash == after.ListsHash && before.Down == after.Down && before.Leaving == after.Leaving &&
+		after.Backlog.Wait <= maxCalmWait && after.Backlog.BaseWait == 0 && len(after.Backlog.Coming) == 0
 }
 
-// pause is how long the agent isn't asked again. One that didn't answer is asked at once:
-// with the usual pause of a large fleet it takes seconds to notice a machine that is gone,
-// and its callers wait for that long.
-func (s *seat) pause(p pauses) magno.Millis {
+// interval returns the time until the next poll. An agent that missed a poll is polled again
+// without delay: at the usual interval of a large fleet it would take seconds to detect a lost
+// machine, and the callers that wait for it would be held up for as long.
+func (s *agentState) interval(p pollIntervals) magno.Millis {
 	switch {
-	case s.misses > 0 && !s.dead:
-		return min(p.busy, pollEvery)
+	case s.misses > 0 && !s.lost:
+		return min(p.busy, pollInterval)
 	case s.down():
-		return min(p.busy, pollDown)
-	case s.calm && !s.dead:
+		return min(p.busy, maxDownInterval)
+	case s.calm && !s.lost:
 		return p.calm
 	}
 	return p.busy
 }
 
-// fresh tells whether the agent needn't be asked now. Mine is true when this entry is the
-// one of its data centre that asks it: the others are told what it answers, and ask only
-// when no word came for longer.
-func (s *seat) fresh(now magno.Millis, p pauses, mine bool) bool {
-	pause := s.pause(p) - pollSlack
-	if !mine {
-		return now-s.asked < pause+max(wordSlack, pause/2)
+// isFresh reports whether the agent needn't be polled yet. owned is true if this entry polls
+// the agent on behalf of its data centre. The other entries receive the replies from the owner,
+// and poll the agent themselves only if none arrives for longer than usual.
+func (s *agentState) isFresh(now magno.Millis, p pollIntervals, owned bool) bool {
+	interval := s.interval(p) - tickSlack
+	if !owned {
+		return now-s.polledAt < interval+max(forwardSlack, interval/2)
 	}
-	return now-s.asked < pause && s.told == s.revision
+	return now-s.polledAt < interval && s.sentRevision == s.specRevision
 }
--- a/entry/desk/share.go
+++ b/entry/desk/share.go
@@ -13,67 +13,69 @@
 	"magnoliastall.example/magno/wire"
 )
 
-// MethodForward is between entries of one data centre: Word, a notification.
+// MethodForward is a notification between the entries of one data centre. It takes a
+// StatusBatch.
 const MethodForward = "word"
 
 const (
-	// matesHalve is by how much the pause between two polls of an agent is shorter
-	// where the entries of a data centre share them.
-	matesHalve = 2
-	// mostAskers bounds the entries of a data centre that ask agents for all of it.
-	mostAskers = 8
-	// wordDelay is how long answers are gathered to be passed on in one message.
-	wordDelay = 40 * magno.Millis(1)
-	// wordSlack is how much longer than the usual pause no word of an agent may come
-	// until an entry asks it itself.
-	wordSlack = 2 * pollEvery
-	// mostAnswers bounds the answers that wait to be passed on.
-	mostAnswers = 256
+	// sharedPollDivisor shortens the interval between two polls of an agent where the entries
+	// of a data centre share the polling.
+	sharedPollDivisor = 2
+	// maxPollers bounds the entries of a data centre that poll agents on behalf of all.
+	maxPollers = 8
+	// forwardDelay is how long replies are collected before they are forwarded in one message.
+	forwardDelay = 40 * magno.Millis(1)
+	// forwardSlack is the time beyond the usual interval after which an entry polls an agent
+	// itself if no reply of it was forwarded.
+	forwardSlack = 2 * pollInterval
+	// maxQueuedStatuses bounds the replies that are queued to be forwarded.
+	maxQueuedStatuses = 256
 )
 
-// StatusBatch is what an entry passes on: the answers of agents that it asked.
+// StatusBatch holds the replies of agents that an entry polled, for the other entries of its
+// data centre.
 type StatusBatch struct {
 	Statuses []gate.StatusReply `json:"answers"`
 }
 
-// share tells which agents this entry asks for its data centre.
+// pollShare determines which agents this entry polls on behalf of its data centre.
 //
-// Load pattern: each entry needs fresh word of each engine. If each asked each agent,
-// a fleet of n entries and m agents would exchange n times m answers a second, most of
-// them between data centres. So one entry of a data centre asks, and passes the answers
-// on to the others there. Were every entry to ask its part, each of n would be told by
-// n-1 others many times a second; so only a few ask, those with the widest links.
-type share struct {
-	// asks is false when this entry leaves the asking to others.
-	asks bool
-	own  uint64
-	// others are the hashes of the other entries that ask.
+// Load pattern: each entry needs the current state of each engine. If each entry polled each
+// agent, a fleet of n entries and m agents would exchange n times m replies per interval, most
+// of them between data centres. So one entry per data centre polls an agent and forwards the
+// reply to the others. If every entry polled a part, each would receive messages from n-1
+// others many times a second; so only a few entries poll, those with the highest bandwidth.
+type pollShare struct {
+	// polls is false if this entry leaves the polling to others.
+	polls bool
+	self  uint64
+	// others holds the hashes of the other entries that poll.
 	others []uint64
 }
 
-func (d *Client) share() share {
-	sh := share{asks: true, own: xxhash.Sum64String(d.Addr)}
-	if d.Entries == nil {
+func (c *Client) currentShare() pollShare {
+	sh := pollShare{polls: true, self: xxhash.Sum64String(c.Addr)}
+	if c.Entries == nil {
 		return sh
 	}
-	mates := d.Entries()
-	askers := mates[:min(len(mates), mostAskers)]
-	sh.asks = slices.Contains(askers, d.Addr)
-	for _, addr := range askers {
-		if addr != d.Addr {
+	entries := c.Entries()
+	pollers := entries[:min(len(entries), maxPollers)]
+	sh.polls = slices.Contains(pollers, c.Addr)
+	for _, addr := range pollers {
+		if addr != c.Addr {
 			sh.others = append(sh.others, xxhash.Sum64String(addr))
 		}
 	}
 	return sh
 }
 
-// mine tells whether this entry is the one that asks an agent: of those that ask, the
-// one with the highest hash of both.
-func (sh *share) mine(s *seat) bool {
-	if !sh.asks {
+// owns reports whether this entry is the one that polls an agent. Agents are assigned by
+// rendezvous hashing: the entry with the highest weight for the agent polls it.
+func (sh *pollShare) owns(s *agentState) bool {
+	if !sh.polls {
 		return false
 	}
-	own := weight(sh.own, s.hash)
+	own := weight(sh.self, s.hash)
 	for _, other := range sh.others {
 		if weight(other, s.hash) > own {
 			return false
@@ -82,15 +84,15 @@
 	return true
 }
 
-// askers counts the entries that share the asking.
-func (sh *share) askers() int {
-	if sh.asks {
+// pollers returns the number of entries that share the polling.
+func (sh *pollShare) pollers() int {
+	if sh.polls {
 		return len(sh.others) + 1
 	}
 	return max(len(sh.others), 1)
 }
 
-// weight mixes the hashes of an entry and an agent.
+// weight combines the hashes of an entry and an agent.
 func weight(entry, agent uint64) uint64 {
 	const odd = 0x9e3779b97f4a7c15
 	x := (entry ^ agent) * odd
@@ -98,65 +100,66 @@
 	return x * odd
 }
 
-// tell has an agent's answer passed on. Where too many wait it is left out: the others
-// ask the agent themselves after a while.
-func (d *Client) tell(a gate.StatusReply) {
+// queueForward queues an agent's reply to be forwarded. It drops the reply if the queue is
+// full: the other entries then poll the agent themselves after a while.
+func (c *Client) queueForward(a gate.StatusReply) {
 	select {
-	case d.answers <- a:
+	case c.forwardQueue <- a:
 	default:
 	}
 }
 
-// pass tells the other entries of this data centre what agents answered.
-func (d *Client) pass(ctx context.Context, working *sync.WaitGroup, answers []gate.StatusReply) {
-	if len(answers) == 0 || d.Entries == nil {
+// forward sends agents' replies to the other entries of this data centre.
+func (c *Client) forward(ctx context.Context, wg *sync.WaitGroup, statuses []gate.StatusReply) {
+	if len(statuses) == 0 || c.Entries == nil {
 		return
 	}
-	working.Add(1)
+	wg.Add(1)
 	go func() {
-		defer working.Done()
-		err := d.Mesh.Broadcast(ctx, d.others(), MethodForward, pollTime, StatusBatch{Statuses: answers},
-			func(addr string, err error) { d.Log.Debug("word", "addr", addr, "error", err) })
+		defer wg.Done()
+		err := c.Mesh.Broadcast(ctx, c.otherEntries(), MethodForward, callTimeout, StatusBatch{Statuses: statuses},
+			func(addr string, err error) { c.Log.Debug("cannot forward agent status", "addr", addr, "error", err) })
 		if err != nil {
-			d.Log.Error("word", "answers", len(answers), "error", err)
+			c.Log.Error("cannot broadcast agent status", "answers", len(statuses), "error", err)
 		}
 	}()
 }
 
-// others lists the other entries of this data centre.
-func (d *Client) others() []string {
-	return slices.DeleteFunc(d.Entries(), func(addr string) bool { return addr == d.Addr })
+// otherEntries lists the other entries of this data centre.
+func (c *Client) otherEntries() []string {
+	return slices.DeleteFunc(c.Entries(), func(addr string) bool { return addr == c.Addr })
 }
 
-func (d *Client) onWord(_ context.Context, _ *wire.Peer, params json.RawMessage) (any, error) {
+func (c *Client) handleForward(_ context.Context, _ *wire.Peer, params json.RawMessage) (any, error) {
 	var w StatusBatch
 	if err := json.Unmarshal(params, &w); err != nil {
-		d.Log.Warn("word", "error", err)
+		c.Log.Warn("invalid status batch from another entry", "error", err)
 		return nil, err
 	}
 	for i := range w.Statuses {
-		d.told(&w.Statuses[i])
+		c.recordForwarded(&w.Statuses[i])
 	}
 	return nil, nil
 }
 
-// told takes an answer that another entry passed on. An agent that didn't answer this
-// entry isn't taken for well by it: only its own question tells.
-func (d *Client) told(a *gate.StatusReply) {
-	d.mu.Lock()
-	s := d.seats[a.Replica]
-	newer := s != nil && !s.dead && s.misses == 0 && d.Clock.Now()-s.heard >= wordDelay
-	d.mu.Unlock()
+// recordForwarded records a reply that another entry forwarded. It is ignored if the agent
+// missed polls of this entry: only a reply to this entry shows that the agent is reachable from
+// here.
+func (c *Client) recordForwarded(a *gate.StatusReply) {
+	c.mu.Lock()
+	s := c.agents[a.Replica]
+	newer := s != nil && !s.lost && s.misses == 0 && c.Clock.Now()-s.heardAt >= forwardDelay
+	c.mu.Unlock()
 	if !newer {
 		return
 	}
-	held := a.ListsHash
-	d.heard(s, a, held)
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	// Changes of a list that this entry hasn't, or an agent that knows less than it:
-	// then this entry asks by itself.
-	if s.status.ListsHash == held && a.Revision >= s.revision {
-		s.asked, s.told = d.Clock.Now(), s.revision
+	listsHash := a.ListsHash
+	c.recordStatus(s, a, listsHash)
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	// Otherwise the reply is a delta of lists that this entry doesn't have, or the agent has an
+	// older spec, and this entry polls the agent itself.
+	if s.status.ListsHash == listsHash && a.Revision >= s.specRevision {
+		s.polledAt, s.sentRevision = c.Clock.Now(), s.specRevision
 	}
 }
--- a/entry/desk/share_test.go
+++ b/entry/desk/share_test.go
@@ -12,92 +12,94 @@
 	"magnoliastall.example/magno/gate"
 )
 
-// mates are the desks of one data centre's entries, which all know each other, and
-// the clock of each.
-func mates(n, agents int) ([]*Client, []*magno.Clock) {
-	var desks []*Client
+// newEntries returns the clients of n entries of one data centre that know each other, and the
+// clock of each.
+func newEntries(n, agents int) ([]*Client, []*magno.Clock) {
+	var clients []*Client
 	var clocks []*magno.Clock
 	for i := range n {
-		d, clock := fleet(agents)
-		d.Addr = fmt.Sprintf("10.0.0.%d:7", i)
-		d.Entries = func() (list []string) {
+		client, clock := newFleet(agents)
+		client.Addr = fmt.Sprintf("10.0.0.%d:7", i)
+		client.Entries = func() (list []string) {
 			for j := range n {
 				list = append(list, fmt.Sprintf("10.0.0.%d:7", j))
 			}
 			return list
 		}
-		desks, clocks = append(desks, d), append(clocks, clock)
+		clients, clocks = append(clients, client), append(clocks, clock)
 	}
-	return desks, clocks
+	return clients, clocks
 }
 
-// Each entry of a large fleet asks each agent for its state, and what they exchange
-// fills the links between data centres. Of each data centre one entry asks, and the
-// work is shared about evenly.
+// If each entry of a large fleet polls each agent, their messages fill the links between data
+// centres. One entry per data centre must poll an agent, and the agents must be shared about
+// evenly.
 func TestOneEntryOfADataCentreAsksAnAgent(t *testing.T) {
 	const n, agents = 8, 400
-	desks, clocks := mates(n, agents)
+	clients, clocks := newEntries(n, agents)
 	asked := map[string]int{}
-	for i, d := range desks {
+	for i, client := range clients {
 		clocks[i].Advance(600)
-		mine := d.due()
-		if len(mine) < agents/n/2 || len(mine) > agents/n*2 {
-			t.Errorf("entry %d asks %d of %d agents", i, len(mine), agents)
+		due := client.due()
+		if len(due) < agents/n/2 || len(due) > agents/n*2 {
+			t.Errorf("entry %d polls %d of %d agents", i, len(due), agents)
 		}
-		for _, s := range mine {
+		for _, s := range due {
 			asked[s.replica.Key()]++
 		}
 	}
 	for key, times := range asked {
 		if times != 1 {
-			t.Errorf("agent %s is asked by %d entries", key, times)
+			t.Errorf("agent %s is polled by %d entries", key, times)
 		}
 	}
 	if len(asked) != agents {
-		t.Errorf("%d of %d agents are asked", len(asked), agents)
+		t.Errorf("%d of %d agents are polled", len(asked), agents)
 	}
 }
 
-// The entry that asks for its data centre freezes. The others don't know that yet, and
-// their requests would go by word that grows old; after a second they ask themselves.
-func TestOthersAskWhenNoWordComes(t *testing.T) {
-	desks, clocks := mates(2, 60)
-	d, clock := desks[0], clocks[0]
-	word := func() {
-		for key := range d.seats {
-			d.told(&gate.StatusReply{Replica: key})
+// The entry that polls an agent for its data centre freezes, which the others don't know yet.
+// They must poll the agent themselves after a second, or their requests are routed by stale
+// state.
+func TestOthersPollWhenNothingIsForwarded(t *testing.T) {
+	clients, clocks := newEntries(2, 60)
+	client, clock := clients[0], clocks[0]
+	forwardAll := func() {
+		for key := range client.agents {
+			client.recordForwarded(&gate.StatusReply{Replica: key})
 		}
 	}
 	for range 10 {
 		clock.Advance(500)
-		for _, s := range d.due() { // its own share
+		for _, s := range client.due() { // its own share
 			s.polling = false
-			if sh := d.share(); !sh.mine(s) {
-				t.Fatal("an agent is asked of which word came half a second ago")
+			if sh := client.currentShare(); !sh.owns(s) {
+				t.Fatal("an agent is polled whose state was forwarded half a second ago")
 			}
 		}
-		word()
+		forwardAll()
 	}
-	clock.Advance(pausesOf(len(d.seats), true).calm + wordSlack)
-	if got := len(d.due()); got != len(d.seats) {
-		t.Errorf("%d of %d agents are asked though no word comes", got, len(d.seats))
+	clock.Advance(intervalsFor(len(client.agents), true).calm + forwardSlack)
+	if got := len(client.due()); got != len(client.agents) {
+		t.Errorf("%d of %d agents are polled though nothing is forwarded", got, len(client.agents))
 	}
 }
 
-// told counts what the entries of a data centre exchange in so many seconds while no
-// engine has anything to tell: polls of all, and words to one entry.
-func told(n, agents, seconds int) (polls, words int) {
+// countTraffic simulates the entries of a data centre for a number of seconds while no engine's
+// state changes. It returns the polls of all entries and the forwarded messages that one entry
+// receives.
+func countTraffic(n, agents, seconds int) (polls, messages int) {
 	const warmup = 5 // seconds until all agents count as calm
-	desks, clocks := mates(n, agents)
-	for tick := range (warmup + seconds) * int(magno.Second/pollEvery) {
-		if tick == warmup*int(magno.Second/pollEvery) {
-			polls, words = 0, 0
+	clients, clocks := newEntries(n, agents)
+	for tick := range (warmup + seconds) * int(magno.Second/pollInterval) {
+		if tick == warmup*int(magno.Second/pollInterval) {
+			polls, messages = 0, 0
 		}
 		var round [][]string
-		for i, d := range desks {
-			clocks[i].Advance(pollEvery)
+		for i, client := range clients {
+			clocks[i].Advance(pollInterval)
 			var keys []string
-			for _, s := range d.due() {
+			for _, s := range client.due() {
 				keys = append(keys, s.replica.Key())
 			}
 			round = append(round, keys)
@@ -109,54 +111,54 @@
 				asked++
 			}
 			for _, key := range keys {
-				s := desks[i].seats[key]
+				s := clients[i].agents[key]
 				s.polling = false
-				desks[i].heard(s, &gate.StatusReply{Replica: key}, 0)
-				for j, other := range desks {
+				clients[i].recordStatus(s, &gate.StatusReply{Replica: key}, 0)
+				for j, other := range clients {
 					if j != i {
-						other.told(&gate.StatusReply{Replica: key})
+						other.recordForwarded(&gate.StatusReply{Replica: key})
 					}
 				}
 			}
 		}
-		words += asked
+		messages += asked
 	}
-	return polls, words
+	return polls, messages
 }
 
-// What an entry is told of engines grows with the fleet until its machine does nothing
-// else: of ten times as many entries and engines, no more words come to an entry, and a
-// data centre asks no more often.
-func TestWordsDoNotGrowWithTheFleet(t *testing.T) {
+// Guards against forwarded state that grows with the fleet until an entry's machine does
+// nothing else. With many times the entries and engines, an entry must receive no more
+// messages, and a data centre must poll no more often.
+func TestForwardedStatusesDoNotGrowWithTheFleet(t *testing.T) {
 	const seconds = 20
-	polls, words := told(5, 50, seconds)
+	polls, messages := countTraffic(5, 50, seconds)
 	for _, times := range []int{4, 10, 20} {
-		p, w := told(5*times, 50*times, seconds)
+		p, w := countTraffic(5*times, 50*times, seconds)
 		t.Log(times, p, w)
-		if p > 2*polls || w > 2*words {
-			t.Errorf("%d times the fleet: %d polls and %d words, before %d and %d", times, p, w, polls, words)
+		if p > 2*polls || w > 2*messages {
+			t.Errorf("%d times the fleet: %d polls and %d messages, %d and %d before", times, p, w, polls, messages)
 		}
 	}
 }
 
-// An engine that was calm fills within a second. Asked seldom for longer, it would be sent
-// all that it was sent while it had places.
+// Guards against a calm engine that fills up within a second while its agent is polled seldom:
+// it would be sent as many requests as when it had capacity.
 func TestAgentWithNewsIsAskedSoon(t *testing.T) {
-	d, clock := fleet(1000)
+	client, clock := newFleet(1000)
 	const key = "1@0"
-	s := d.seats[key]
-	d.heard(s, &gate.StatusReply{Replica: key}, 0)
-	d.heard(s, &gate.StatusReply{Replica: key, Backlog: magno.Backlog{Wait: 2 * calmWait}}, 0)
-	s.asked, s.used = clock.Now(), clock.Now()
-	clock.Advance(pollMost * pollEvery)
-	if !slices.Contains(d.due(), s) {
-		t.Error("an agent at whose engine requests wait isn't asked within the usual pause")
+	s := client.agents[key]
+	client.recordStatus(s, &gate.StatusReply{Replica: key}, 0)
+	client.recordStatus(s, &gate.StatusReply{Replica: key, Backlog: magno.Backlog{Wait: 2 * maxCalmWait}}, 0)
+	s.polledAt, s.usedAt = clock.Now(), clock.Now()
+	clock.Advance(maxPollScale * pollInterval)
+	if !slices.Contains(client.due(), s) {
+		t.Error("an agent at whose engine requests wait isn't polled within the usual interval")
 	}
 }
 
-// An agent tells the change of a list that the asking entry has. Another one may have
-// a different list: it must not take the change for its own, and asks the agent itself.
-func TestWordOfAnotherListIsNotTaken(t *testing.T) {
+// An agent replies with a delta of the lists that the polling entry has. An entry with other
+// lists must not apply it, and must poll the agent itself.
+func TestDeltaOfAnotherListIsNotApplied(t *testing.T) {
 	reply := func(warm ...uint32) gate.StatusReply {
 		r := gate.StatusReply{Replica: "1@0", Backlog: magno.Backlog{Warm: warm}}
 		r.SetListsHash()
@@ -171,74 +173,74 @@
 		{"the same list", reply(1, 2), reply(2, 3).Backlog.Warm, false},
 		{"another list", reply(7), []uint32{7}, true},
 	} {
-		d, clock := fleet(2)
-		s := d.seats["1@0"]
+		client, clock := newFleet(2)
+		s := client.agents["1@0"]
 		s.status = c.has
-		asked := s.asked
+		asked := s.polledAt
 		clock.Advance(300)
 		was, is := reply(1, 2), reply(2, 3)
 		var recent gate.ListHistory
 		recent.Record(&was)
 		recent.Trim(&is, was.ListsHash)
-		d.told(&is)
-		if got := fmt.Sprint(s.status.Backlog.Warm); got != fmt.Sprint(c.want) || (s.asked == asked) != c.asks {
-			t.Errorf("%s: has %s, asks itself %v", c.name, got, s.asked == asked)
+		client.recordForwarded(&is)
+		if got := fmt.Sprint(s.status.Backlog.Warm); got != fmt.Sprint(c.want) || (s.polledAt == asked) != c.asks {
+			t.Errorf("%s: has %s, polls itself %v", c.name, got, s.polledAt == asked)
 		}
 	}
 }
 
-// An agent doesn't answer this entry, and another one passes on its word. Taken for
-// well again, it would get requests that never reach it.
-func TestWordDoesNotBringALostAgentBack(t *testing.T) {
-	d, clock := fleet(2)
-	s := d.seats["1@0"]
-	for i := range deadAfter {
-		d.missed(s, errors.New("no answer"))
+// An agent doesn't answer this entry, and another entry forwards its state. If the agent
+// counted as reachable again, it would be assigned requests that never reach it.
+func TestForwardedStatusDoesNotReviveALostAgent(t *testing.T) {
+	client, clock := newFleet(2)
+	s := client.agents["1@0"]
+	for i := range maxMisses {
+		client.recordMiss(s, errors.New("no answer"))
 		clock.Advance(300)
-		d.told(&gate.StatusReply{Replica: "1@0"})
+		client.recordForwarded(&gate.StatusReply{Replica: "1@0"})
 		if s.misses != i+1 {
-			t.Error("word of another entry takes away that an agent didn't answer")
+			t.Error("a forwarded status cleared the misses of an agent")
 		}
 	}
-	if !s.dead {
+	if !s.lost {
 		t.Error("the agent doesn't count as lost")
 	}
 }
 
-// Many answers come at once, and the passing on is slow. None may hold up what this
+// Many replies arrive at once while forwarding is slow. The queue must not block what this
 // entry learns itself.
-func TestAnswersThatCannotWaitAreLeftOut(t *testing.T) {
-	d, _ := fleet(1)
-	d.answers = make(chan gate.StatusReply, 2)
+func TestStatusesBeyondTheQueueAreDropped(t *testing.T) {
+	client, _ := newFleet(1)
+	client.forwardQueue = make(chan gate.StatusReply, 2)
 	for i := range 5 {
-		d.tell(gate.StatusReply{Replica: strconv.Itoa(i)})
+		client.queueForward(gate.StatusReply{Replica: strconv.Itoa(i)})
 	}
-	if len(d.answers) != 2 {
-		t.Errorf("%d answers wait", len(d.answers))
+	if len(client.forwardQueue) != 2 {
+		t.Errorf("%d statuses are queued, want 2", len(client.forwardQueue))
 	}
 }
 
-// Of thousands of engines most have no agent that answers: their machines are lost, or
-// a list names what isn't there. Nobody has word of them. Were each entry to ask all of
-// them at each pause, a small machine would do nothing else for its callers.
+// Most of thousands of engines have no agent that answers, for example because their machines
+// are lost or the list has stale items. If each entry polled all of them in each interval, a
+// small machine would do nothing else.
 func TestThousandsOfLostAgentsAreAskedSeldom(t *testing.T) {
 	const agents = 3000
-	desks, clocks := mates(12, agents)
-	d, clock := desks[0], clocks[0]
-	for _, s := range d.seats {
-		for range deadAfter {
-			d.missed(s, errors.New("no answer"))
+	clients, clocks := newEntries(12, agents)
+	client, clock := clients[0], clocks[0]
+	for _, s := range client.agents {
+		for range maxMisses {
+			client.recordMiss(s, errors.New("no answer"))
 		}
 	}
 	for range 8 {
-		clock.Advance(pollEvery)
-		list := d.due()
-		if most := 2 * mostPolled; len(list) > most {
-			t.Fatalf("%d agents are asked at one tick, want %d at most", len(list), most)
+		clock.Advance(pollInterval)
+		list := client.due()
+		if most := 2 * maxPolledPerTick; len(list) > most {
+			t.Fatalf("%d agents are polled in one tick, want at most %d", len(list), most)
 		}
 		for _, s := range list {
 			s.polling = false
-			d.missed(s, errors.New("no answer"))
+			client.recordMiss(s, errors.New("no answer"))
 		}
 	}
 }
