--- a/entry/relay/keyed_test.go
+++ b/entry/relay/keyed_test.go
@@ -17,19 +17,19 @@
 )
 
 const (
-	goodKey = "Bearer k7b2ex5wa5xwyhks8nbk"
-	badKey  = "Bearer asnmgkcuyj8pjbvk9m68"
+	validKey   = "Bearer k7b2ex5wa5xwyhks8nbk"
+	unknownKey = "Bearer asnmgkcuyj8pjbvk9m68"
 )
 
-// keyedSite is a site whose callers need keys, with a public route beside, and the
+// newKeyedProxy returns a proxy whose callers need keys except on one public route, and the
 // clock by which its configuration ages.
-func keyedSite(t *testing.T) (*site, *upstream, *magno.Clock) {
+func newKeyedProxy(t *testing.T) (*testProxy, *fakeUpstream, *magno.Clock) {
 	t.Helper()
-	u := serveUpstream(t, func(_ int, r *http.Request, c net.Conn) bool {
-		whole(c, r.Header.Get("Id"), 200, "hello")
+	u := startUpstream(t, func(_ int, r *http.Request, c net.Conn) bool {
+		writeResponse(c, r.Header.Get("Id"), 200, "hello")
 		return true
 	})
-	s := newSite(t, magno.KindOnce, false, u)
+	s := newTestProxy(t, magno.KindOnce, false, u)
 	clock := magno.NewClock(magno.Hour)
 	plan := *s.changes[0].Plan
 	public := plan.Routes[0]
@@ -37,7 +37,7 @@
 	plan.Routes = append(plan.Routes, public)
 	rank := 3
 	plan.Customers = []magno.Customer{{
-		Name: "alpha", Rank: &rank, Keys: []magno.Digest{magno.Digested(strings.TrimPrefix(goodKey, "Bearer "))},
+		Name: "alpha", Rank: &rank, Keys: []magno.Digest{magno.Digested(strings.TrimPrefix(validKey, "Bearer "))},
 		Limit: &magno.Limit{Rate: 100, Burst: 100, Tokens: true},
 	}}
 	s.changes[0].Plan = &plan
@@ -55,26 +55,26 @@
 		status          int
 		customer        string
 	}{
-		{"a known key", "/p/1", goodKey, 0, 200, "alpha"},
-		{"a known key, confirmed some seconds ago", "/p/1", goodKey, 4800, 200, "alpha"},
-		{"a known key, confirmed too long ago", "/p/1", goodKey, 5000, 503, ""},
-		{"an unknown key", "/p/1", badKey, 0, 401, ""},
+		{"a known key", "/p/1", validKey, 0, 200, "alpha"},
+		{"a known key, confirmed some seconds ago", "/p/1", validKey, 4800, 200, "alpha"},
+		{"a known key, confirmed too long ago", "/p/1", validKey, 5000, 503, ""},
+		{"an unknown key", "/p/1", unknownKey, 0, 401, ""},
 		{"no key", "/p/1", "", 0, 401, ""},
-		{"an unknown key that may be new", "/p/1", badKey, 2000, 503, ""},
+		{"an unknown key that may be new", "/p/1", unknownKey, 2000, 503, ""},
 		{"no key, public", "/open/1", "", 0, 200, ""},
-		{"a known key, public", "/open/1", goodKey, 0, 200, ""},
+		{"a known key, public", "/open/1", validKey, 0, 200, ""},
 		{"public, confirmed too long ago", "/open/1", "", 5000, 200, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			s, u, clock := keyedSite(t)
+			s, u, clock := newKeyedProxy(t)
 			clock.Advance(c.age)
-			res, _, err := s.ask(t, http.MethodPost, c.path, "1", c.key)
+			res, _, err := s.do(t, http.MethodPost, c.path, "1", c.key)
 			if err != nil || res.StatusCode != c.status {
 				t.Fatalf("got %v %v, want %d", res, err, c.status)
 			}
 			if c.status != http.StatusOK {
-				if u.count() != 0 {
-					t.Error("it reached an upstream")
+				if u.requestCount() != 0 {
+					t.Error("the refused request reached an upstream")
 				}
 				if away := c.status == http.StatusServiceUnavailable; res.Close != away {
 					t.Errorf("status %d, connection closed %v", c.status, res.Close)
@@ -87,17 +87,17 @@
 				}
 				return
 			}
-			if h := u.got[0].Header; h.Get("Authorization") != "" || h.Get("Customer") != c.customer {
-				t.Errorf("the upstream was told key %q, customer %q", h.Get("Authorization"), h.Get("Customer"))
+			if h := u.requests[0].Header; h.Get("Authorization") != "" || h.Get("Customer") != c.customer {
+				t.Errorf("the upstream received key %q, customer %q", h.Get("Authorization"), h.Get("Customer"))
 			}
 		})
 	}
 }
 
-// Guards against a key that is withdrawn while its caller still sends the body.
+// Guards against accepting a key that is revoked while its caller still sends the body.
 func TestKeyIsCheckedOnceTheBodyIsThere(t *testing.T) {
-	s, u, _ := keyedSite(t)
-	body := &slowBody{text: "body", during: func() {
+	s, u, _ := newKeyedProxy(t)
+	body := &hookedBody{text: "body", onRead: func() {
 		plan := *s.Book.Now().Plan
 		plan.Version++
 		plan.Customers = []magno.Customer{{Name: "alpha"}}
@@ -109,27 +109,27 @@
 	}
 	req.Host = "h.example"
 	req.Header.Set("Id", "1")
-	req.Header.Set("Authorization", goodKey)
+	req.Header.Set("Authorization", validKey)
 	res, err := http.DefaultTransport.RoundTrip(req)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer res.Body.Close()
-	if res.StatusCode != http.StatusUnauthorized || u.count() != 0 {
-		t.Errorf("status %d, %d requests sent on", res.StatusCode, u.count())
+	if res.StatusCode != http.StatusUnauthorized || u.requestCount() != 0 {
+		t.Errorf("status %d, %d requests forwarded", res.StatusCode, u.requestCount())
 	}
 }
 
-// slowBody calls during before its text is read.
-type slowBody struct {
+// hookedBody calls onRead before its text is read.
+type hookedBody struct {
 	text   string
-	during func()
+	onRead func()
 }
 
-func (b *slowBody) Read(p []byte) (int, error) {
-	if b.during != nil {
-		b.during()
-		b.during = nil
+func (b *hookedBody) Read(p []byte) (int, error) {
+	if b.onRead != nil {
+		b.onRead()
+		b.onRead = nil
 	}
 	n := copy(p, b.text)
 	b.text = b.text[n:]
@@ -140,13 +140,13 @@
 }
 
 func TestNoKeyIsLogged(t *testing.T) {
-	s, _, clock := keyedSite(t)
+	s, _, clock := newKeyedProxy(t)
 	var log bytes.Buffer
 	s.Log = slog.New(slog.NewTextHandler(&log, &slog.HandlerOptions{Level: slog.LevelDebug}))
 	for _, age := range []magno.Millis{0, 2000, 5000} {
 		clock.Advance(age)
-		for _, key := range []string{goodKey, badKey} {
-			if _, _, err := s.ask(t, http.MethodPost, "/p/1", "1", key); err != nil {
+		for _, key := range []string{validKey, unknownKey} {
+			if _, _, err := s.do(t, http.MethodPost, "/p/1", "1", key); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -156,74 +156,74 @@
 			t.Errorf("no request that was %s is logged", outcome)
 		}
 	}
-	for _, key := range []string{goodKey, badKey} {
+	for _, key := range []string{validKey, unknownKey} {
 		if strings.Contains(log.String(), strings.TrimPrefix(key, "Bearer ")) {
 			t.Errorf("a key is in the log:\n%s", log.String())
 		}
 	}
 }
 
-// quotas refuses everything while empty, and notes what is taken and given back.
-type quotas struct {
-	mu          sync.Mutex
-	empty       bool
-	taken, back float64
+// fakeQuotas refuses everything while exhausted, and sums up what is taken and returned.
+type fakeQuotas struct {
+	mu              sync.Mutex
+	exhausted       bool
+	taken, returned float64
 }
 
-func (q *quotas) Take(_ context.Context, _ *magno.Customer, cost float64) *magno.Refusal {
+func (q *fakeQuotas) Take(_ context.Context, _ *magno.Customer, cost float64) *magno.Refusal {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if q.empty {
+	if q.exhausted {
 		return magno.Refuse(magno.KindQuota, "over its limit").Later(700)
 	}
 	q.taken += cost
 	return nil
 }
 
-func (q *quotas) Give(_ *magno.Customer, cost float64) {
+func (q *fakeQuotas) Give(_ *magno.Customer, cost float64) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.back += cost
+	q.returned += cost
 }
 
-// stands waits until so much is taken and given back: a request gives back after its
-// answer.
-func (q *quotas) stands(t *testing.T, taken, back float64) {
+// waitForTotals waits until the totals are as given: a request returns its cost after its
+// response.
+func (q *fakeQuotas) waitForTotals(t *testing.T, taken, returned float64) {
 	t.Helper()
 	for end := time.Now().Add(10 * time.Second); ; time.Sleep(time.Millisecond) {
 		q.mu.Lock()
-		done := q.taken == taken && q.back == back
+		done := q.taken == taken && q.returned == returned
 		q.mu.Unlock()
 		if done {
 			return
 		}
 		if time.Now().After(end) {
-			t.Fatalf("took %v and gave back %v, want %v and %v", q.taken, q.back, taken, back)
+			t.Fatalf("took %v and returned %v, want %v and %v", q.taken, q.returned, taken, returned)
 		}
 	}
 }
 
 func TestWhatDidNotRunGivesItsTokensBack(t *testing.T) {
-	s, u, _ := keyedSite(t)
-	q := &quotas{}
+	s, u, _ := newKeyedProxy(t)
+	q := &fakeQuotas{}
 	s.Quotas = q
-	if _, _, err := s.ask(t, http.MethodPost, "/p/1", "1", goodKey); err != nil {
+	if _, _, err := s.do(t, http.MethodPost, "/p/1", "1", validKey); err != nil {
 		t.Fatal(err)
 	}
-	q.stands(t, 150, 0)
-	s.pools.names = nil
-	if _, _, err := s.ask(t, http.MethodPost, "/p/1", "2", goodKey); err != nil {
+	q.waitForTotals(t, 150, 0)
+	s.pools.replicas = nil
+	if _, _, err := s.do(t, http.MethodPost, "/p/1", "2", validKey); err != nil {
 		t.Fatal(err)
 	}
-	q.stands(t, 300, 150)
+	q.waitForTotals(t, 300, 150)
 	q.mu.Lock()
-	q.empty = true
+	q.exhausted = true
 	q.mu.Unlock()
-	res, _, err := s.ask(t, http.MethodPost, "/p/1", "3", goodKey)
+	res, _, err := s.do(t, http.MethodPost, "/p/1", "3", validKey)
 	if err != nil || res.StatusCode != http.StatusTooManyRequests || res.Header.Get("Retry-After") != "0.700" {
 		t.Errorf("over the limit: %v %v", res, err)
 	}
-	if u.count() != 1 {
-		t.Errorf("%d requests reached the upstream, want 1", u.count())
+	if u.requestCount() != 1 {
+		t.Errorf("%d requests reached the upstream, want 1", u.requestCount())
 	}
 }
--- a/entry/relay/memory.go
+++ b/entry/relay/memory.go
@@ -8,66 +8,65 @@
 	"golang.org/x/sync/semaphore"
 )
 
-// errFull tells that requests hold as many bytes as this process has room for.
-var errFull = errors.New("no room for it")
+// errNoMemory means that the limit of BodyMemory or ResponseMemory is reached.
+var errNoMemory = errors.New("memory budget exhausted")
 
-// holding is the part of a process's room that one body or answer holds.
+// reservation is the part of a memory limit that is reserved for one body or response.
 //
-// Load pattern: many callers send long bodies at once, or many upstreams answer at
-// length while callers read slowly. Each alone is within its limit, and all of them
-// together are more than a small machine's memory: the process would be killed with all
-// that it serves.
-type holding struct {
-	// room is nil where nothing is bounded.
-	room *semaphore.Weighted
-	held int64
+// Load pattern: many callers send long bodies at once, or many upstreams send long responses
+// while callers read slowly. Each is within its own limit, but together they exceed the memory
+// of a small machine, and the process would be killed with all its requests.
+type reservation struct {
+	// sem is nil where memory isn't limited.
+	sem      *semaphore.Weighted
+	reserved int64
 }
 
-// wait holds so many bytes once there is room for them.
-func (h *holding) wait(ctx context.Context, bytes int64) error {
-	if h.room == nil {
+// acquire reserves a number of bytes, and waits until they are available.
+func (r *reservation) acquire(ctx context.Context, bytes int64) error {
+	if r.sem == nil {
 		return nil
 	}
-	if err := h.room.Acquire(ctx, bytes); err != nil {
-		return errors.Mark(err, errFull)
+	if err := r.sem.Acquire(ctx, bytes); err != nil {
+		return errors.Mark(err, errNoMemory)
 	}
-	h.held += bytes
+	r.reserved += bytes
 	return nil
 }
 
-// free gives back what is held.
-func (h *holding) free() {
-	if h.room != nil {
-		h.room.Release(h.held)
-		h.held = 0
+// release returns all reserved bytes.
+func (r *reservation) release() {
+	if r.sem != nil {
+		r.sem.Release(r.reserved)
+		r.reserved = 0
 	}
 }
 
-// read returns all of src up to limit bytes, and one more where there are more. What
-// isn't held yet it holds as it comes; where there is no room it fails with errFull.
-func (h *holding) read(src io.Reader, limit int64) ([]byte, error) {
-	return io.ReadAll(&counted{holding: h, ready: h.held, src: io.LimitReader(src, limit+1)})
+// readAll reads src up to limit bytes, and one byte more if src is longer. It reserves bytes as
+// they arrive, beyond those reserved before, and fails with errNoMemory if none are available.
+func (r *reservation) readAll(src io.Reader, limit int64) ([]byte, error) {
+	return io.ReadAll(&reservingReader{reservation: r, prereserved: r.reserved, src: io.LimitReader(src, limit+1)})
 }
 
-// counted holds the bytes that it reads.
-type counted struct {
-	*holding
-	// ready is what is held already for bytes still to come.
-	ready int64
-	src   io.Reader
+// reservingReader reserves memory for the bytes that it reads.
+type reservingReader struct {
+	*reservation
+	// prereserved is the number of bytes still to be read that are reserved already.
+	prereserved int64
+	src         io.Reader
 }
 
 // Read implements io.Reader.
-func (c *counted) Read(p []byte) (int, error) {
-	n, err := c.src.Read(p)
-	more := int64(n) - c.ready
-	c.ready = max(-more, 0)
-	if more <= 0 || c.room == nil {
+func (r *reservingReader) Read(p []byte) (int, error) {
+	n, err := r.src.Read(p)
+	more := int64(n) - r.prereserved
+	r.prereserved = max(-more, 0)
+	if more <= 0 || r.sem == nil {
 		return n, err
 	}
-	if !c.room.TryAcquire(more) {
-		return n, errFull
+	if !r.sem.TryAcquire(more) {
+		return n, errNoMemory
 	}
-	c.held += more
+	r.reserved += more
 	return n, err
 }
--- a/entry/relay/permit.go
+++ b/entry/relay/permit.go
@@ -8,96 +8,96 @@
 	"magnoliastall.example/magno/gate"
 )
 
-// choice is a router's, as far as its names are known still.
+// choice is a router's choice, limited to the replicas that are still available.
 type choice struct {
 	replicas []*magno.Replica
-	// most is the longest wait for which the first is the best, zero for any.
-	most magno.Millis
+	// maxWait is the longest wait at the first replica for which it is the best one, zero for
+	// any.
+	maxWait magno.Millis
 }
 
-// choose asks the router.
+// choose asks the router for replicas.
 func (j *job) choose() choice {
 	c := j.Pools.Router(j.service.Name).Choose(j.query())
-	return choice{replicas: j.replicas(c.Names), most: c.Most}
+	return choice{replicas: j.findReplicas(c.Names), maxWait: c.Most}
 }
 
-// best asks the agent of the best replica, which may say that another one is
-// better by now, and then the others.
-func (j *job) best(ctx context.Context, choice choice) result {
-	for range mostDeclines {
+// sendToBest requests a permit for the best replica. Its agent may decline because another one
+// is better now. After that the remaining replicas are tried.
+func (j *job) sendToBest(ctx context.Context, choice choice) result {
+	for range maxDeclines {
 		if len(choice.replicas) == 0 {
-			break // all left since
+			break // all replicas are leaving by now
 		}
-		res, ok := j.permitted(ctx, choice.replicas[0], choice.most)
+		res, ok := j.sendWithPermit(ctx, choice.replicas[0], choice.maxWait)
 		switch {
 		case res == resultDeclined:
 			choice = j.choose()
 		case ok:
 			return res
 		case ctx.Err() != nil:
-			return resultGone
+			return resultAborted
 		default:
-			return j.engine(ctx, choice.replicas[1:])
+			return j.sendToAny(ctx, choice.replicas[1:])
 		}
 	}
-	return j.engine(ctx, choice.replicas)
+	return j.sendToAny(ctx, choice.replicas)
 }
 
-// engine asks the agents of the best replicas in turn until one lets the
-// request begin, however long that takes.
-func (j *job) engine(ctx context.Context, replicas []*magno.Replica) result {
-	for _, r := range replicas[:min(len(replicas), mostChoices)] {
-		res, ok := j.permitted(ctx, r, 0)
+// sendToAny requests permits for the best replicas in turn until one is granted, however long
+// the wait.
+func (j *job) sendToAny(ctx context.Context, replicas []*magno.Replica) result {
+	for _, r := range replicas[:min(len(replicas), maxReplicasTried)] {
+		res, ok := j.sendWithPermit(ctx, r, 0)
 		if ok {
 			return res
 		}
 		if ctx.Err() != nil {
-			return resultGone
+			return resultAborted
 		}
 	}
 	return resultRefused
 }
 
-// permitted sends to one engine, if it may; false when it may not. What waits
-// for its permit counts as the engine's work as well: a clump of requests would
-// otherwise follow its first one to an engine that looks idle still.
-func (j *job) permitted(ctx context.Context, r *magno.Replica, most magno.Millis) (result, bool) {
+// sendWithPermit sends to one engine after acquiring a permit. It returns false if there was
+// none. Requests that wait for a permit count as the engine's work as well: otherwise a burst
+// of requests would follow the first one to an engine that still looks idle.
+func (j *job) sendWithPermit(ctx context.Context, r *magno.Replica, maxWait magno.Millis) (result, bool) {
 	key, work := r.Key(), j.call.Prompt
 	router := j.Pools.Router(j.service.Name)
 	router.Sent(key, work)
-	id, res := j.permit(ctx, key, most)
+	id, res := j.acquirePermit(ctx, key, maxWait)
 	if res != resultDone {
 		router.Sent(key, -work)
-		return res, res == resultGone
+		return res, res == resultAborted
 	}
 	sent := j.Clock.Now()
 	res = j.send(ctx, r, j.rank())
 	router.Ended(key, work, j.Clock.Now()-sent, res != resultUnsent && res != resultFailed)
-	j.Permits.Release(key, gate.EndCall{ID: id, OK: res == resultDone, MaxPause: j.pause})
+	j.Permits.Release(key, gate.EndCall{ID: id, OK: res == resultDone, MaxPause: j.longestPause})
 	return res, true
 }
 
-// permit waits until the request may begin at a replica. It returns what the
-// permit goes by, with resultDone when the request may, resultRefused when it
-// may not, resultDeclined when another one is better now, and resultGone when
-// there is nobody left to serve.
-func (j *job) permit(ctx context.Context, key string, most magno.Millis) (string, result) {
-	from := j.Clock.Now()
-	ask := j.ask(from)
-	ask.DeclineAbove = most
-	reply, err := j.Permits.Acquire(ctx, key, ask)
-	j.waited += j.Clock.Now() - from
+// acquirePermit waits for the permit to start at a replica and returns its ID. The result is
+// resultDone if the request may start, resultRefused if not, resultDeclined if another replica
+// is better now, and resultAborted if the caller is gone or the deadline has passed.
+func (j *job) acquirePermit(ctx context.Context, key string, maxWait magno.Millis) (string, result) {
+	start := j.Clock.Now()
+	req := j.permitRequest(start)
+	req.DeclineAbove = maxWait
+	reply, err := j.Permits.Acquire(ctx, key, req)
+	j.permitWait += j.Clock.Now() - start
 	if err == nil {
-		j.waits.Add(&reply.Waits)
+		j.waitCauses.Add(&reply.Waits)
 	}
 	switch {
 	case ctx.Err() != nil:
 		if err == nil {
-			j.Permits.Release(key, gate.EndCall{ID: ask.ID})
+			j.Permits.Release(key, gate.EndCall{ID: req.ID})
 		}
-		return "", resultGone
+		return "", resultAborted
 	case err != nil:
-		// Nobody decides there now. What the engine held goes without.
+		// The agent is lost. Requests for what the engine held are sent without a permit.
 		if !j.Permits.Holds(key, gate.QualifiedName(j.call.Model, j.call.Adapter)) {
 			return "", resultRefused
 		}
@@ -105,28 +105,28 @@
 		return "", resultDeclined
 	case reply.Refusal != nil:
 		if j.refusal == nil || reply.Refusal.After < j.refusal.After {
-			j.refusal = magno.Refuse(reply.Refusal.Kind, "%s", reply.Refusal.Detail).Later(max(reply.Refusal.After, busyAfter))
+			j.refusal = magno.Refuse(reply.Refusal.Kind, "%s", reply.Refusal.Detail).Later(max(reply.Refusal.After, busyRetryAfter))
 		}
 		return "", resultRefused
 	}
-	if len(j.replicas([]string{key})) == 0 {
-		// It began to leave while the request waited for its turn there.
-		j.Permits.Release(key, gate.EndCall{ID: ask.ID})
+	if len(j.findReplicas([]string{key})) == 0 {
+		// The replica began to leave while the request waited.
+		j.Permits.Release(key, gate.EndCall{ID: req.ID})
 		return "", resultRefused
 	}
-	return ask.ID, resultDone
+	return req.ID, resultDone
 }
 
-// ask is the request as the gate sees it.
-func (j *job) ask(now magno.Millis) gate.Request {
-	left := j.end - now
-	due, until := j.awaited()
-	patience := left - leastRun
+// permitRequest returns the request in the form that the agent's gate expects.
+func (j *job) permitRequest(now magno.Millis) gate.Request {
+	left := j.deadline - now
+	due, until := j.eventDeadlines()
+	patience := left - minRunTime
 	if j.route.Kind == magno.KindStream {
-		patience = min(patience, until-waitSlack-now)
+		patience = min(patience, until-callerMargin-now)
 	}
 	return gate.Request{
-		ID:    j.Name + "/" + strconv.FormatUint(j.number.Add(1), 10) + "/" + j.id,
+		ID:    j.Name + "/" + strconv.FormatUint(j.permitSeq.Add(1), 10) + "/" + j.id,
 		Model: j.call.Model, Adapter: j.call.Adapter, Prompt: j.call.Prompt, MaxOutput: j.call.Output, ExpectedOutput: j.call.Length,
 		PrefixTokens: j.call.Shared, PrefixHash: j.call.Prefix, Rank: j.rank(),
 		StartTarget: due - now, MaxWait: patience, TimeLeft: left,
@@ -134,14 +134,14 @@
 	}
 }
 
-// awaited tells when the caller's next event is due, and when a caller of a stream
-// leaves without it. Both count from the last event that the caller got: a stream
-// that broke off after some seconds goes on elsewhere if that one takes it at once.
-// Counted from the first attempt, its time had always passed, and no engine took it.
-func (j *job) awaited() (due, until magno.Millis) {
-	gap := max(callersGap, aimGaps*j.route.Aim, pauseGaps*j.route.Gap)
+// eventDeadlines returns when the caller's next event is due, and when the caller of a stream
+// abandons it without one. Both count from the last event that the caller got, so that a stream
+// which broke off after some seconds can be resumed if another engine accepts it at once.
+// Counted from the first attempt, its time would always be over, and no engine would accept it.
+func (j *job) eventDeadlines() (due, until magno.Millis) {
+	patience := max(minCallerPatience, callerPatienceAims*j.route.Aim, callerPatienceGaps*j.route.Gap)
 	if j.events > 0 {
-		return j.passed + j.route.Gap, j.passed + gap
+		return j.lastEventAt + j.route.Gap, j.lastEventAt + patience
 	}
-	return j.came + j.route.Aim, j.came + gap
+	return j.received + j.route.Aim, j.received + patience
 }
--- a/entry/relay/relay.go
+++ b/entry/relay/relay.go
@@ -1,14 +1,13 @@
-// Package relay takes callers' requests and brings them to upstreams.
+// Package relay is the HTTP handler that forwards callers' requests to upstreams.
 //
 //	caller --> ServeHTTP: route, body --> job.run
-//	             choose replica --> permit --> hop: send --> answer or stream
+//	             choose replica --> permit --> hop: send --> response or stream
 //	                  ^                                        |
-//	                  '------ again, if it can't have run <----'
-//	                          or may run twice, and the allowance lets it
+//	                  '------ retry, if it can't have run <----'
+//	                          or may run twice, and the retry budget allows it
 //
-// A request is answered once, whatever happens: with the upstream's whole
-// answer, with a refusal that promises it has not run and never will, or with
-// a failure that promises nothing.
+// Each request gets exactly one response: the upstream's complete response, a refusal which
+// guarantees that the request has not run and never will, or an error that guarantees nothing.
 package relay
 
 import (
@@ -35,49 +34,51 @@
 )
 
 const (
-	// defaultTime is how long a request may take where neither caller nor route
-	// say.
-	defaultTime = 30 * magno.Second
-	// bodyLimit bounds a request's body where the configuration doesn't.
-	bodyLimit = 4 << 20
-	// staleAge is the age of the list from which on an unknown path may be a
-	// route that this process hasn't heard of yet.
-	staleAge = 1500 * magno.Millis(1)
-	// startAfter is the least after which a caller should come back to a process
-	// that has no configuration yet, mostAfter the most. Callers come back once or
-	// twice, so too soon is worse than a little late.
-	startAfter = magno.Second
-	mostAfter  = 8 * magno.Second
-	// outageTimes is how many times as long as it has lasted an outage is taken to
-	// last still.
-	outageTimes = 2
-	// endSlack is how long before a route's time is over its answer is given, so
-	// that it is there in time.
-	endSlack = 20 * magno.Millis(1)
+	// defaultTimeout applies where neither the caller nor the route sets a timeout.
+	defaultTimeout = 30 * magno.Second
+	// defaultMaxBody bounds a request's body, in bytes, where the configuration doesn't.
+	defaultMaxBody = 4 << 20
+	// staleConfigAge is the age of the configuration from which on an unknown path or key may
+	// be one that this process hasn't received yet.
+	staleConfigAge = 1500 * magno.Millis(1)
+	// minStartRetry and maxStartRetry bound the Retry-After of a process that has no
+	// configuration yet. Callers retry once or twice, so too early is worse than a little late.
+	minStartRetry = magno.Second
+	maxStartRetry = 8 * magno.Second
+	// outageFactor is the Retry-After during an outage, as a multiple of its duration so far.
+	outageFactor = 2
+	// deadlineMargin is how long before the route's timeout the response is due, so that it
+	// reaches the caller in time.
+	deadlineMargin = 20 * magno.Millis(1)
 )
 
-// Permits decide when a request may begin; desk.Desk implements them.
+// Permits decides when a request may start. desk.Client implements it.
 type Permits interface {
-	Acquire(ctx context.Context, key string, ask gate.Request) (*gate.PermitReply, error)
+	// Acquire waits for the decision on a permit to start at the replica with the key. Release
+	// ends a permit, or the wait for one.
+	Acquire(ctx context.Context, key string, req gate.Request) (*gate.PermitReply, error)
 	Release(key string, call gate.EndCall)
+	// Holds reports whether an engine was last known to hold a model or adapter.
 	Holds(key, name string) bool
+	// Down reports whether an engine is known to be down or to have restarted.
 	Down(key string) bool
-	// ReportUnreachable tells that an engine couldn't be connected to.
+	// ReportUnreachable reports that a connection to an engine failed.
 	ReportUnreachable(key string)
 }
 
-// Pools choose among the replicas of a service and bound sends beyond the
-// first.
+// Pools chooses among the replicas of a service and limits retries.
 type Pools interface {
+	// Router returns the router of a service.
 	Router(service string) magno.Chooser
-	// CountRequest counts a request, AllowRetry takes one more send from the allowance.
+	// CountRequest counts a request towards the retry budget. AllowRetry reports whether the
+	// budget allows one more send, and charges it.
 	CountRequest(service string)
 	AllowRetry(service string) bool
 }
 
-// Handler is the handler of callers' requests. Fields are set before use.
+// Handler handles callers' requests. Exported fields are set before use.
 type Handler struct {
-	// Name is this instance's; it makes the IDs of permits unique.
+	// Name is the name of this instance. It makes the IDs of permits unique.
 	Name    string
 	Clock   *magno.Clock
 	Book    *view.Book
@@ -85,96 +86,97 @@
 	Conns   *hop.Pool
 	Permits Permits
 	Pools   Pools
-	// Suspects are requests that crash upstreams.
+	// Suspects records the requests that crashed upstreams.
 	Suspects *crash.Suspects
 	Log      *slog.Logger
-	// Quotas is nil where nothing is bounded.
+	// Quotas is nil where no customer has a limit.
 	Quotas magno.Quotas
-	// MaxRevokeDelay is how long after its withdrawal a key may still be accepted, zero where
-	// that isn't bounded.
+	// MaxRevokeDelay is how long a key may still be accepted after its revocation, zero if that
+	// isn't limited.
 	MaxRevokeDelay magno.Millis
 	// Started is when this process started.
 	Started magno.Millis
-	// BodyMemory and ResponseMemory are the bytes of requests' bodies and of upstreams' answers that
-	// are held at once; nil where they aren't bounded.
+	// BodyMemory and ResponseMemory limit the bytes of request bodies and of upstreams'
+	// responses that are held in memory at the same time. They are nil where memory isn't
+	// limited.
 	BodyMemory, ResponseMemory *semaphore.Weighted
 
-	table atomic.Pointer[tabled]
-	// tabling is held while table is made: for thousands of routes that takes a small
-	// machine some milliseconds, and only one of the requests that come should do it.
-	tabling sync.Mutex
-	active  atomic.Int64
-	// streams and plain are until when such requests are still taken once a
-	// planned stop has begun, zero before.
-	streams, plain atomic.Int64
-	// behind tells how far the processor is behind.
-	behind atomic.Int32
-	number atomic.Uint64
+	tables atomic.Pointer[configTables]
+	// tablesMu is held while tables are built. For thousands of routes this takes a small
+	// machine some milliseconds, and only one of the concurrent requests should do it.
+	tablesMu sync.Mutex
+	active   atomic.Int64
+	// streamsUntil and plainUntil are the times until which requests of each kind are accepted
+	// during a planned shutdown, zero before it.
+	streamsUntil, plainUntil atomic.Int64
+	// loadLevel is a strain.Level.
+	loadLevel atomic.Int32
+	permitSeq atomic.Uint64
 }
 
-// tabled are the tables of one configuration.
-type tabled struct {
+// configTables holds the lookup tables of one configuration.
+type configTables struct {
 	plan  *magno.Plan
 	paths *paths.Table
 	keys  *keys.Table
 }
 
-// Active counts requests that are being answered.
+// Active returns the number of requests in progress.
 func (h *Handler) Active() int64 { return h.active.Load() }
 
-// Drain begins a planned stop: answers ask callers to close their connections.
-// New streams are taken for a while, and requests to plain services, which take
-// milliseconds, for longer. Connections go on coming for seconds, and where no
-// other instance of the data centre is ready until the end: each refusal costs
-// its caller one of few retries.
+// Drain begins a planned shutdown: responses ask callers to close their connections. New
+// streams are still accepted for a while, and requests to plain services, which take
+// milliseconds, for longer. New connections arrive for some more seconds, or until the end if
+// no other instance of the data centre is ready, and each refusal costs its caller one of few
+// retries.
 func (h *Handler) Drain(streams, plain magno.Millis) {
 	now := h.Clock.Now()
-	h.plain.Store(int64(now + plain))
-	h.streams.Store(int64(now + streams))
+	h.plainUntil.Store(int64(now + plain))
+	h.streamsUntil.Store(int64(now + streams))
 }
 
-// Draining tells whether a planned stop has begun.
-func (h *Handler) Draining() bool { return h.streams.Load() != 0 }
+// Draining reports whether a planned shutdown has begun.
+func (h *Handler) Draining() bool { return h.streamsUntil.Load() != 0 }
 
-// SetLoadLevel notes how far the processor is behind. While it is, answers ask callers to
-// close their connections; their next one finds another instance.
-func (h *Handler) SetLoadLevel(level strain.Level) { h.behind.Store(int32(level)) }
+// SetLoadLevel sets the load level of the processor. Unless it is normal, responses ask callers
+// to close their connections, so that their next one goes to another instance.
+func (h *Handler) SetLoadLevel(level strain.Level) { h.loadLevel.Store(int32(level)) }
 
-// LoadLevel tells how far the processor is behind.
-func (h *Handler) LoadLevel() strain.Level { return strain.Level(h.behind.Load()) }
+// LoadLevel returns the load level of the processor.
+func (h *Handler) LoadLevel() strain.Level { return strain.Level(h.loadLevel.Load()) }
 
-// closed tells whether requests of a kind are no longer taken.
-func (h *Handler) closed(kind magno.RouteKind) bool {
-	until := h.plain.Load()
+// drained reports whether requests of a kind are no longer accepted.
+func (h *Handler) drained(kind magno.RouteKind) bool {
+	until := h.plainUntil.Load()
 	if kind == magno.KindStream {
-		until = h.streams.Load()
+		until = h.streamsUntil.Load()
 	}
 	return until != 0 && int64(h.Clock.Now()) > until
 }
 
-// find returns the configuration's tables, made when it is new.
-func (h *Handler) find(plan *magno.Plan) *tabled {
-	if t := h.table.Load(); t != nil && t.plan == plan {
+// tablesFor returns the tables of a configuration, and builds them if it is new.
+func (h *Handler) tablesFor(plan *magno.Plan) *configTables {
+	if t := h.tables.Load(); t != nil && t.plan == plan {
 		return t
 	}
-	h.tabling.Lock()
-	defer h.tabling.Unlock()
-	if t := h.table.Load(); t != nil && t.plan == plan {
-		return t // another request made them meanwhile
+	h.tablesMu.Lock()
+	defer h.tablesMu.Unlock()
+	if t := h.tables.Load(); t != nil && t.plan == plan {
+		return t // built by another request meanwhile
 	}
-	t := &tabled{plan: plan, paths: paths.New(plan), keys: keys.New(plan.Customers)}
-	h.table.Store(t)
+	t := &configTables{plan: plan, paths: paths.New(plan), keys: keys.New(plan.Customers)}
+	h.tables.Store(t)
 	return t
 }
 
-// ServeHTTP answers one request.
+// ServeHTTP handles one request.
 func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	h.active.Add(1)
 	defer h.active.Add(-1)
-	j := &job{Handler: h, w: w, r: r, came: h.Clock.Now(), snap: h.Book.Now()}
-	j.bodyRoom.room, j.answerRoom.room = h.BodyMemory, h.ResponseMemory
-	defer j.bodyRoom.free()
-	defer j.answerRoom.free()
+	j := &job{Handler: h, w: w, r: r, received: h.Clock.Now(), snap: h.Book.Now()}
+	j.bodyMem.sem, j.responseMem.sem = h.BodyMemory, h.ResponseMemory
+	defer j.bodyMem.release()
+	defer j.responseMem.release()
 	j.call = h.Dialect.Read(r.Header)
 	j.id = j.call.ID
 	if refusal := j.prepare(); refusal != nil {
@@ -184,26 +186,26 @@
 	j.run()
 }
 
-// prepare finds the route and reads the body.
+// prepare finds the route, reads the body and authorizes the caller.
 func (j *job) prepare() *magno.Refusal {
 	if j.snap.Plan == nil {
-		return magno.Refuse(magno.KindStarting, "no configuration yet").Later(j.startingAfter())
+		return magno.Refuse(magno.KindStarting, "no configuration yet").Later(j.startRetryAfter())
 	}
-	j.route = j.find(j.snap.Plan).paths.Find(j.r.Host, j.r.URL.Path)
+	j.route = j.tablesFor(j.snap.Plan).paths.Find(j.r.Host, j.r.URL.Path)
 	if j.route == nil {
-		if age := j.Book.Age(); age > staleAge {
-			return magno.Refuse(magno.KindStarting, "no route, and the configuration is %d ms old", age).Later(startAfter)
+		if age := j.Book.Age(); age > staleConfigAge {
+			return magno.Refuse(magno.KindStarting, "no route, and the configuration is %d ms old", age).Later(minStartRetry)
 		}
 		return magno.Refuse(magno.KindNoProfile, "no route for %s%s", j.r.Host, j.r.URL.Path)
 	}
 	if j.id == "" {
 		return magno.Refuse(magno.KindMalformed, "the request has no id")
 	}
-	j.limit()
+	j.setDeadline()
 	if j.LoadLevel() == strain.Overloaded {
-		return magno.Refuse(magno.KindBusy, "this instance is far behind").Later(busyAfter)
+		return magno.Refuse(magno.KindBusy, "this instance is far behind").Later(busyRetryAfter)
 	}
-	if j.closed(j.route.Kind) {
+	if j.drained(j.route.Kind) {
 		return magno.Refuse(magno.KindLeaving, "this instance stops").Later(0)
 	}
 	if refusal := j.readBody(); refusal != nil {
@@ -212,37 +214,38 @@
 	return j.authorize()
 }
 
-// startingAfter is when a caller should come back to a process without any
-// configuration. One that starts beside others has it within a fraction of a second.
-// When it hasn't, the platform's list is away and nobody else has it either; how long
-// that goes on isn't known, and most likely it is about as long as it has been. Told a
-// second each time, callers come back in the outage, are refused again and give up.
-func (h *Handler) startingAfter() magno.Millis {
-	return min(max(outageTimes*(h.Clock.Now()-h.Started), startAfter), mostAfter)
+// startRetryAfter returns the Retry-After of a process without a configuration. A process that
+// starts beside others has one within a fraction of a second. Otherwise the platform's list is
+// unavailable and the other processes have none either. How long such an outage goes on is
+// unknown; the best estimate is about as long as it has lasted already. If callers were told to
+// retry after a second each time, their retries would fall into the outage and they would give
+// up.
+func (h *Handler) startRetryAfter() magno.Millis {
+	return min(max(outageFactor*(h.Clock.Now()-h.Started), minStartRetry), maxStartRetry)
 }
 
-// limit sets when the request must have its answer.
-func (j *job) limit() {
-	j.end = j.came + defaultTime
+// setDeadline sets the time by which the request must be answered.
+func (j *job) setDeadline() {
+	j.deadline = j.received + defaultTimeout
 	if j.route.Timeout > 0 {
-		j.end = j.came + max(j.route.Timeout-endSlack, 1)
+		j.deadline = j.received + max(j.route.Timeout-deadlineMargin, 1)
 	}
 	if j.call.Left > 0 {
-		j.end = min(j.end, j.came+j.call.Left)
+		j.deadline = min(j.deadline, j.received+j.call.Left)
 	}
 }
 
 func (j *job) readBody() *magno.Refusal {
 	limit := j.snap.Plan.Body
 	if limit <= 0 {
-		limit = bodyLimit
+		limit = defaultMaxBody
 	}
 	if j.r.ContentLength > limit {
 		return magno.Refuse(magno.KindTooLarge, "a body of %d bytes", j.r.ContentLength)
 	}
-	body, err := j.bodyRoom.read(j.r.Body, limit)
-	if errors.Is(err, errFull) {
-		return magno.Refuse(magno.KindBusy, "this instance holds as many bodies as it can").Later(busyAfter)
+	body, err := j.bodyMem.readAll(j.r.Body, limit)
+	if errors.Is(err, errNoMemory) {
+		return magno.Refuse(magno.KindBusy, "this instance holds as many bodies as it can").Later(busyRetryAfter)
 	}
 	if err != nil {
 		return magno.Refuse(magno.KindMalformed, "the body ended early: %v", err)
@@ -252,43 +255,43 @@
 	}
 	j.body = body
 	if len(body) > 0 {
-		j.print = xxhash.Sum64String(j.r.RequestURI + "\n" + string(body))
+		j.fingerprint = xxhash.Sum64String(j.r.RequestURI + "\n" + string(body))
 	}
 	return nil
 }
 
-// maybeRan is the status in place of one that would promise that the request
-// has not run, where it may have.
-const maybeRan = http.StatusBadGateway
+// statusMayHaveRun replaces a status that would guarantee that the request has not run, where
+// it may have.
+const statusMayHaveRun = http.StatusBadGateway
 
-// refuse answers with a kind of this system's own.
+// refuse responds with a refusal made by this system.
 func (j *job) refuse(refusal *magno.Refusal) {
 	status := refusal.Kind.Answer().Status
 	if refusal.Kind == magno.KindSuspect {
-		status = http.StatusServiceUnavailable // it has not run, and coming back is useless
+		status = http.StatusServiceUnavailable // it has not run, and a retry is useless
 	}
-	if j.ran && promises(status) {
-		status = maybeRan
+	if j.mayHaveRun && promisesNotRun(status) {
+		status = statusMayHaveRun
 	}
 	h := j.w.Header()
-	if again := refusal.Kind.Answer().Again; again && !j.ran {
+	if again := refusal.Kind.Answer().Again; again && !j.mayHaveRun {
 		h.Set("Retry-After", strconv.FormatFloat(float64(refusal.After)/1000, 'f', 3, 64))
 	}
-	j.closing(h)
+	j.setConnectionClose(h)
 	switch refusal.Kind {
 	case magno.KindCredential:
 		h.Set("WWW-Authenticate", keys.Scheme)
 	case magno.KindOutdated:
-		h.Set("Connection", "close") // the next one finds another instance
+		h.Set("Connection", "close") // the next connection goes to another instance
 	}
 	h.Set("Content-Length", "0")
 	j.w.WriteHeader(status)
-	j.note(status, string(refusal.Kind), refusal.Detail)
+	j.logOutcome(status, string(refusal.Kind), refusal.Detail)
 }
 
-// promises tells whether callers take a status as word that the request has
-// not run and never will.
-func promises(status int) bool {
+// promisesNotRun reports whether callers take a status as a guarantee that the request has not
+// run and never will.
+func promisesNotRun(status int) bool {
 	switch status {
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout,
 		http.StatusMisdirectedRequest:
@@ -297,17 +300,17 @@
 	return false
 }
 
-// closing asks the caller for a new connection while this process stops or has
-// too much to do.
-func (j *job) closing(h http.Header) {
+// setConnectionClose asks the caller to close the connection while this process is draining or
+// strained.
+func (j *job) setConnectionClose(h http.Header) {
 	if j.Draining() || j.LoadLevel() != strain.Normal {
 		h.Set("Connection", "close")
 	}
 }
 
-// note logs the outcome of a request, in one line with what decided it.
-func (j *job) note(status int, outcome, why string) {
-	took := j.Clock.Now() - j.came
+// logOutcome logs the outcome of a request in one line, with the reasons for it.
+func (j *job) logOutcome(status int, outcome, why string) {
+	took := j.Clock.Now() - j.received
 	metrics.GetOrCreateCounter(`requests_total{outcome="` + outcome + `"}`).Inc()
 	metrics.GetOrCreateHistogram("request_seconds").Update(float64(took) / 1000)
 	route := ""
@@ -315,14 +318,14 @@
 		route = j.route.Name
 	}
 	line := []any{
-		"request", j.id, "route", route, "customer", j.owner(), "adapter", gate.QualifiedName(j.call.Model, j.call.Adapter), "status", status, "outcome", outcome, "why", why,
-		"replica", j.at, "tries", j.tries, "waited", j.waited, "took", took, "events", j.events, "first", j.first, "pause", j.pause,
-		"config", j.version(), "age", j.Book.Age(), "sure", j.sure,
+		"request", j.id, "route", route, "customer", j.customerName(), "adapter", gate.QualifiedName(j.call.Model, j.call.Adapter), "status", status, "outcome", outcome, "why", why,
+		"replica", j.lastReplica, "tries", j.sends, "waited", j.permitWait, "took", took, "events", j.events, "first", j.firstEvent, "pause", j.longestPause,
+		"config", j.configVersion(), "age", j.Book.Age(), "sure", j.configAge,
 	}
-	j.Log.Info("request", append(line, j.waits.LogArgs()...)...)
+	j.Log.Info("request", append(line, j.waitCauses.LogArgs()...)...)
 }
 
-func (j *job) version() int64 {
+func (j *job) configVersion() int64 {
 	if j.snap.Plan == nil {
 		return 0
 	}
--- a/entry/relay/relay_test.go
+++ b/entry/relay/relay_test.go
@@ -17,51 +17,49 @@
 )
 
 func TestWholeAnswerGoesThrough(t *testing.T) {
-	u := serveUpstream(t, func(_ int, r *http.Request, c net.Conn) bool {
-		whole(c, r.Header.Get("Id"), 201, "hello")
+	u := startUpstream(t, func(_ int, r *http.Request, c net.Conn) bool {
+		writeResponse(c, r.Header.Get("Id"), 201, "hello")
 		return true
 	})
-	s := newSite(t, magno.KindOnce, false, u)
+	s := newTestProxy(t, magno.KindOnce, false, u)
 	res, body, err := s.get(t, http.MethodPost, "1")
 	if err != nil || res.StatusCode != 201 || body != "hello" || res.Header.Get("Signed") == "" {
 		t.Fatalf("got %v %q %v", res, body, err)
 	}
-	if got := u.got[0].Header.Get("Only"); got != "u0" {
-		t.Errorf("the upstream was told that only %q may run it", got)
+	if got := u.requests[0].Header.Get("Only"); got != "u0" {
+		t.Errorf("the upstream was told that %q is to run the request", got)
 	}
 }
 
-// An upstream runs a request and its connection breaks before the answer. A
-// request that may run only once isn't sent again, and its caller isn't told
-// that it has not run: the status must not be one that promises so.
+// An upstream runs a request and its connection breaks before the response. A request that may
+// run only once must not be sent again, and the status must not guarantee that it has not run.
 func TestLostAnswerOfSingleRunIsNotRepeated(t *testing.T) {
-	u := serveUpstream(t, func(int, *http.Request, net.Conn) bool { return false })
-	v := serveUpstream(t, func(_ int, r *http.Request, c net.Conn) bool {
-		whole(c, r.Header.Get("Id"), 200, "again")
+	u := startUpstream(t, func(int, *http.Request, net.Conn) bool { return false })
+	v := startUpstream(t, func(_ int, r *http.Request, c net.Conn) bool {
+		writeResponse(c, r.Header.Get("Id"), 200, "again")
 		return true
 	})
-	s := newSite(t, magno.KindOnce, false, u, v)
+	s := newTestProxy(t, magno.KindOnce, false, u, v)
 	res, _, err := s.get(t, http.MethodPost, "1")
 	if err != nil || res.StatusCode != http.StatusBadGateway {
 		t.Fatalf("got %v %v, want 502", res, err)
 	}
-	if u.count()+v.count() != 1 {
-		t.Errorf("the request was sent %d times", u.count()+v.count())
+	if u.requestCount()+v.requestCount() != 1 {
+		t.Errorf("the request was sent %d times", u.requestCount()+v.requestCount())
 	}
 }
 
-// A kept connection is closed by the upstream just as a request goes out. The
-// library would send the request again by itself; here nobody knows whether it
-// ran, so it must not.
+// The upstream closes an idle connection just as a request is sent on it. net/http would send
+// the request again; since nobody knows whether it ran, the relay must not.
 func TestKeptConnectionThatClosesDoesNotResend(t *testing.T) {
-	u := serveUpstream(t, func(n int, r *http.Request, c net.Conn) bool {
+	u := startUpstream(t, func(n int, r *http.Request, c net.Conn) bool {
 		if n == 1 {
-			whole(c, r.Header.Get("Id"), 200, "first")
+			writeResponse(c, r.Header.Get("Id"), 200, "first")
 			return true
 		}
 		return false
 	})
-	s := newSite(t, magno.KindOnce, false, u)
+	s := newTestProxy(t, magno.KindOnce, false, u)
 	if _, _, err := s.get(t, http.MethodPost, "1"); err != nil {
 		t.Fatal(err)
 	}
@@ -69,53 +67,52 @@
 	if err != nil || res.StatusCode != http.StatusBadGateway {
 		t.Fatalf("got %v %v, want 502", res, err)
 	}
-	if u.count() != 2 {
-		t.Errorf("%d requests reached the upstream, want 2", u.count())
+	if u.requestCount() != 2 {
+		t.Errorf("%d requests reached the upstream, want 2", u.requestCount())
 	}
 }
 
-// The same for an idempotent request: the other upstream answers.
+// An idempotent request whose response is lost must be answered by another upstream.
 func TestLostAnswerOfIdempotentRequestIsRepeated(t *testing.T) {
-	u := serveUpstream(t, func(int, *http.Request, net.Conn) bool { return false })
-	v := serveUpstream(t, func(_ int, r *http.Request, c net.Conn) bool {
-		whole(c, r.Header.Get("Id"), 200, "again")
+	u := startUpstream(t, func(int, *http.Request, net.Conn) bool { return false })
+	v := startUpstream(t, func(_ int, r *http.Request, c net.Conn) bool {
+		writeResponse(c, r.Header.Get("Id"), 200, "again")
 		return true
 	})
-	s := newSite(t, magno.KindRepeat, false, u, v)
+	s := newTestProxy(t, magno.KindRepeat, false, u, v)
 	res, body, err := s.get(t, http.MethodGet, "1")
 	if err != nil || res.StatusCode != 200 || body != "again" {
 		t.Fatalf("got %v %q %v", res, body, err)
 	}
 }
 
-// The allowance for further sends is used up by a failing pool. Requests are
-// answered with the failure instead of being sent again.
+// The retry budget is used up by a failing pool. Requests must then be answered with the
+// failure instead of being sent again.
 func TestUsedUpAllowanceEndsRetries(t *testing.T) {
 	fail := func(_ int, r *http.Request, c net.Conn) bool {
-		whole(c, r.Header.Get("Id"), 500, "no")
+		writeResponse(c, r.Header.Get("Id"), 500, "no")
 		return true
 	}
-	u, v := serveUpstream(t, fail), serveUpstream(t, fail)
-	s := newSite(t, magno.KindRepeat, false, u, v)
-	s.pools.allow = 0
+	u, v := startUpstream(t, fail), startUpstream(t, fail)
+	s := newTestProxy(t, magno.KindRepeat, false, u, v)
+	s.pools.retries = 0
 	res, body, err := s.get(t, http.MethodGet, "1")
-	if err != nil || res.StatusCode != 500 || body != "no" || u.count()+v.count() != 1 {
-		t.Fatalf("got %v %q %v after %d sends", res, body, err, u.count()+v.count())
+	if err != nil || res.StatusCode != 500 || body != "no" || u.requestCount()+v.requestCount() != 1 {
+		t.Fatalf("got %v %q %v after %d sends", res, body, err, u.requestCount()+v.requestCount())
 	}
 }
 
-// An upstream answers a request twice. The second answer lies on the kept
-// connection when the next caller's request goes out, and must not be taken for
-// its answer.
-func TestSecondAnswerIsNobodys(t *testing.T) {
-	u := serveUpstream(t, func(_ int, r *http.Request, c net.Conn) bool {
+// An upstream responds to a request twice. The second response is on the idle connection when
+// the next caller's request is sent, and must not be taken for its response.
+func TestDuplicateResponseIsDiscarded(t *testing.T) {
+	u := startUpstream(t, func(_ int, r *http.Request, c net.Conn) bool {
 		id := r.Header.Get("Id")
-		whole(c, id, 200, "answer "+id)
+		writeResponse(c, id, 200, "answer "+id)
 		time.Sleep(5 * time.Millisecond)
-		whole(c, id, 200, "answer "+id)
+		writeResponse(c, id, 200, "answer "+id)
 		return true
 	})
-	s := newSite(t, magno.KindOnce, false, u)
+	s := newTestProxy(t, magno.KindOnce, false, u)
 	for i := range 20 {
 		id := fmt.Sprint(i)
 		res, body, err := s.get(t, http.MethodPost, id)
@@ -125,17 +122,17 @@
 	}
 }
 
-// The second answer comes later still: after the next request was sent. It is
-// told by its id and passed over, and the right one is read after it.
-func TestLateSecondAnswerIsPassedOver(t *testing.T) {
-	u := serveUpstream(t, func(n int, r *http.Request, c net.Conn) bool {
+// The duplicate response arrives after the next request was sent. It must be recognized by its
+// id and skipped, and the right response read after it.
+func TestLateDuplicateResponseIsSkipped(t *testing.T) {
+	u := startUpstream(t, func(n int, r *http.Request, c net.Conn) bool {
 		if n == 2 {
-			whole(c, "1", 200, "late")
+			writeResponse(c, "1", 200, "late")
 		}
-		whole(c, r.Header.Get("Id"), 200, "answer "+r.Header.Get("Id"))
+		writeResponse(c, r.Header.Get("Id"), 200, "answer "+r.Header.Get("Id"))
 		return true
 	})
-	s := newSite(t, magno.KindOnce, false, u)
+	s := newTestProxy(t, magno.KindOnce, false, u)
 	for _, id := range []string{"1", "2"} {
 		res, body, err := s.get(t, http.MethodPost, id)
 		if err != nil || res.StatusCode != 200 || body != "answer "+id {
@@ -144,44 +141,44 @@
 	}
 }
 
-// An upstream answers 503 without stating that it did not run the request. Told
-// on unchanged, the caller would believe that it has not run and send it again.
+// An upstream responds with 503 without stating that it did not run the request. If that were
+// forwarded unchanged, the caller would assume that it has not run and send it again.
 func TestBareRefusalOfAnUpstreamPromisesNothing(t *testing.T) {
-	u := serveUpstream(t, func(_ int, r *http.Request, c net.Conn) bool {
-		whole(c, r.Header.Get("Id"), 503, "")
+	u := startUpstream(t, func(_ int, r *http.Request, c net.Conn) bool {
+		writeResponse(c, r.Header.Get("Id"), 503, "")
 		return true
 	})
-	s := newSite(t, magno.KindOnce, false, u)
+	s := newTestProxy(t, magno.KindOnce, false, u)
 	res, _, err := s.get(t, http.MethodPost, "1")
 	if err != nil || res.StatusCode != http.StatusBadGateway || res.Header.Get("Signed") != "" {
 		t.Fatalf("got %v %v, want a 502 of our own", res, err)
 	}
 }
 
-// All upstreams are full and say so. The request has not run, and its caller is
-// told so and when to come back.
+// All upstreams are full and state that they did not run the request. The caller must be
+// refused with a Retry-After.
 func TestFullUpstreamsRefuseWithATime(t *testing.T) {
 	full := func(_ int, r *http.Request, c net.Conn) bool {
 		fmt.Fprintf(c, "HTTP/1.1 503 x\r\nId: %s\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n", r.Header.Get("Id"))
 		return true
 	}
-	u, v := serveUpstream(t, full), serveUpstream(t, full)
-	s := newSite(t, magno.KindOnce, false, u, v)
+	u, v := startUpstream(t, full), startUpstream(t, full)
+	s := newTestProxy(t, magno.KindOnce, false, u, v)
 	res, _, err := s.get(t, http.MethodPost, "1")
-	if err != nil || !promises(res.StatusCode) || res.Header.Get("Retry-After") == "" {
-		t.Fatalf("got %v %v, want a refusal with a time to come back", res, err)
+	if err != nil || !promisesNotRun(res.StatusCode) || res.Header.Get("Retry-After") == "" {
+		t.Fatalf("got %v %v, want a refusal with Retry-After", res, err)
 	}
-	if u.count() != 1 || v.count() != 1 {
-		t.Errorf("%d and %d sends, want one each", u.count(), v.count())
+	if u.requestCount() != 1 || v.requestCount() != 1 {
+		t.Errorf("%d and %d sends, want one each", u.requestCount(), v.requestCount())
 	}
 }
 
-// A request waits for its turn at an upstream, and meanwhile operators take that
-// upstream away. Sent there all the same, it would be cut off with it.
+// An upstream is taken out of service while a request waits for a permit there. The request
+// must go elsewhere, or it would be cut off.
 func TestUpstreamThatBeganToLeaveGetsNothing(t *testing.T) {
-	u, v := serveUpstream(t, oneEvent), serveUpstream(t, oneEvent)
-	s := newSite(t, magno.KindStream, false, u, v)
-	s.permits.during = func(string) {
+	u, v := startUpstream(t, streamOneEvent), startUpstream(t, streamOneEvent)
+	s := newTestProxy(t, magno.KindStream, false, u, v)
+	s.permits.onAcquire = func(string) {
 		left := *s.changes[1].Replica
 		left.Leaving = true
 		s.Book.Read([]magno.Change{{Key: left.ID, Revision: 2, Replica: &left}}, 2, false)
@@ -190,57 +187,57 @@
 	if err != nil || res.StatusCode != 200 {
 		t.Fatalf("got %v %v", res, err)
 	}
-	if u.count() != 0 || v.count() != 1 {
-		t.Errorf("the leaving upstream got %d requests, the other %d", u.count(), v.count())
+	if u.requestCount() != 0 || v.requestCount() != 1 {
+		t.Errorf("the leaving upstream got %d requests, the other %d", u.requestCount(), v.requestCount())
 	}
 }
 
-// Callers come in clumps. If only what an upstream has begun counts as its work,
-// all of a clump goes where the first one still waits for its turn, and the last
-// ones' first events are late though other upstreams are idle. What is refused
-// there must count no more, or an upstream that is well looks busy for ever.
+// Requests arrive in bursts. If only started requests counted as an upstream's work, a burst
+// would go where its first request still waits, and the last ones would be late though other
+// upstreams are idle. Work that was refused must no longer count, or an idle upstream would
+// look busy forever.
 func TestWaitingForAPermitCountsAsWork(t *testing.T) {
-	u := serveUpstream(t, oneEvent)
-	v := serveUpstream(t, func(int, *http.Request, net.Conn) bool { return false })
-	s := newSite(t, magno.KindStream, false, v, u)
-	full := s.pools.names[0]
+	u := startUpstream(t, streamOneEvent)
+	v := startUpstream(t, func(int, *http.Request, net.Conn) bool { return false })
+	s := newTestProxy(t, magno.KindStream, false, v, u)
+	full := s.pools.replicas[0]
 	s.permits.full = map[string]bool{full: true}
-	s.permits.during = func(key string) {
+	s.permits.onAcquire = func(key string) {
 		if got := s.pools.work(key); got != 100 {
-			t.Errorf("%s has %d tokens of work while a request of 100 waits there", key, got)
+			t.Errorf("%s has %d tokens of work while a request of 100 tokens waits there", key, got)
 		}
 	}
 	if res, _, err := s.get(t, http.MethodPost, "1"); err != nil || res.StatusCode != 200 {
 		t.Fatalf("got %v %v", res, err)
 	}
 	if got := s.pools.work(full); got != 0 {
-		t.Errorf("%d tokens of work count where the request was refused", got)
+		t.Errorf("%d tokens of work still count where the request was refused", got)
 	}
 }
 
-// The agents are gone, but the engines are well. What they hold is sent there
-// without a permit.
+// The agents are lost, but the engines work. Requests for what they hold must be sent without a
+// permit.
 func TestSilentAgentsDoNotStopRequests(t *testing.T) {
-	u := serveUpstream(t, oneEvent)
-	s := newSite(t, magno.KindStream, false, u)
-	s.permits.dead = true
+	u := startUpstream(t, streamOneEvent)
+	s := newTestProxy(t, magno.KindStream, false, u)
+	s.permits.agentLost = true
 	if res, _, err := s.get(t, http.MethodPost, "1"); err != nil || res.StatusCode != 200 {
 		t.Fatalf("got %v %v", res, err)
 	}
 }
 
-// A caller leaves in the middle of a stream. The upstream must notice at once,
-// or it works on for nobody.
+// A caller leaves in the middle of a stream. The upstream must notice at once, or it would go
+// on for a caller that is gone.
 func TestLeavingCallerEndsTheWork(t *testing.T) {
 	closed := make(chan struct{})
-	u := serveUpstream(t, func(_ int, r *http.Request, c net.Conn) bool {
-		head(c, r.Header.Get("Id"))
-		chunk(c, event(1))
+	u := startUpstream(t, func(_ int, r *http.Request, c net.Conn) bool {
+		writeStreamHead(c, r.Header.Get("Id"))
+		writeChunk(c, eventText(1))
 		_, _ = c.Read(make([]byte, 1))
 		close(closed)
 		return false
 	})
-	s := newSite(t, magno.KindStream, false, u)
+	s := newTestProxy(t, magno.KindStream, false, u)
 	ctx, cancel := context.WithCancel(context.Background())
 	req, _ := http.NewRequestWithContext(ctx, http.MethodPost, s.server.URL+"/p/1", strings.NewReader("b"))
 	req.Host = "h.example"
@@ -254,47 +251,47 @@
 	select {
 	case <-closed:
 	case <-time.After(20 * time.Second):
-		t.Error("the upstream still works for a caller that left")
+		t.Error("the upstream's connection is still open though the caller left")
 	}
 }
 
-// A process has no configuration yet. It can't know that a path has no route,
-// and says that the request has not run.
-func TestNoConfigurationIsNoMissingRoute(t *testing.T) {
-	s := newSite(t, magno.KindOnce, false)
+// A process without a configuration can't know that a path has no route. It must refuse with a
+// status which guarantees that the request has not run.
+func TestMissingConfigurationIsNotAMissingRoute(t *testing.T) {
+	s := newTestProxy(t, magno.KindOnce, false)
 	s.Book = &view.Book{Clock: s.Clock}
 	res, _, err := s.get(t, http.MethodPost, "1")
 	if err != nil || res.StatusCode != http.StatusServiceUnavailable || res.Header.Get("Retry-After") == "" {
-		t.Fatalf("got %v %v, want 503 with a time to come back", res, err)
+		t.Fatalf("got %v %v, want 503 with Retry-After", res, err)
 	}
 }
 
-// All machines lose power while the platform's list is away for some seconds. Callers
-// that were told to come back after a second were refused again, and most of them come
-// back once only. The longer it lasts, the later they are told to come back.
-func TestCallersComeBackAfterAnOutage(t *testing.T) {
+// After a power loss of all machines the platform's list is unavailable for some seconds. Most
+// callers retry only once, so a Retry-After of one second would make them fail again. It must
+// grow with the duration of the outage.
+func TestStartRetryAfterGrowsWithTheOutage(t *testing.T) {
 	clock := magno.NewClock(magno.Hour)
 	h := &Handler{Clock: clock, Started: clock.Now()}
 	for _, c := range []struct{ up, want magno.Millis }{
-		{0, startAfter}, {300, startAfter}, {1000, 2 * magno.Second}, {2500, 5 * magno.Second}, {60_000, mostAfter},
+		{0, minStartRetry}, {300, minStartRetry}, {1000, 2 * magno.Second}, {2500, 5 * magno.Second}, {60_000, maxStartRetry},
 	} {
 		clock.Advance(h.Started + c.up - clock.Now())
-		if got := h.startingAfter(); got != c.want {
-			t.Errorf("%d ms after the start: come back in %d ms, want %d", c.up, got, c.want)
+		if got := h.startRetryAfter(); got != c.want {
+			t.Errorf("%d ms after the start: Retry-After of %d ms, want %d", c.up, got, c.want)
 		}
 	}
 }
 
-// The instance is stopped, and no other of its data centre is ready, so callers
-// go on coming here. Requests that take milliseconds are served to the end;
-// streams, which might be cut off, are told to come back at once.
+// The instance is stopping, and no other one of its data centre is ready, so callers still
+// connect to it. It must serve requests that take milliseconds until the end, and refuse
+// streams, which might be cut off, with a Retry-After.
 func TestStoppingInstanceServesWhatEndsInTime(t *testing.T) {
-	u := serveUpstream(t, func(_ int, r *http.Request, c net.Conn) bool {
-		whole(c, r.Header.Get("Id"), 200, "x")
+	u := startUpstream(t, func(_ int, r *http.Request, c net.Conn) bool {
+		writeResponse(c, r.Header.Get("Id"), 200, "x")
 		return true
 	})
-	plain, stream := newSite(t, magno.KindOnce, false, u), newSite(t, magno.KindStream, false, u)
-	for _, s := range []*site{plain, stream} {
+	plain, stream := newTestProxy(t, magno.KindOnce, false, u), newTestProxy(t, magno.KindStream, false, u)
+	for _, s := range []*testProxy{plain, stream} {
 		s.Drain(-1, magno.Minute)
 	}
 	res, _, err := plain.get(t, http.MethodPost, "1")
@@ -303,41 +300,40 @@
 	}
 	res, _, err = stream.get(t, http.MethodPost, "2")
 	if err != nil || res.StatusCode != http.StatusServiceUnavailable || res.Header.Get("Retry-After") == "" {
-		t.Errorf("a stream got %v %v, want 503 with a time to come back", res, err)
+		t.Errorf("a stream got %v %v, want 503 with Retry-After", res, err)
 	}
 }
 
-// A small machine is far behind its work. Requests are refused at once, with
-// word that they haven't run, instead of being answered when nobody waits.
+// An overloaded machine must refuse requests at once, with a status which guarantees that they
+// have not run, instead of answering them too late.
 func TestInstanceFarBehindRefuses(t *testing.T) {
-	u := serveUpstream(t, func(_ int, r *http.Request, c net.Conn) bool {
-		whole(c, r.Header.Get("Id"), 200, "x")
+	u := startUpstream(t, func(_ int, r *http.Request, c net.Conn) bool {
+		writeResponse(c, r.Header.Get("Id"), 200, "x")
 		return true
 	})
-	s := newSite(t, magno.KindOnce, false, u)
+	s := newTestProxy(t, magno.KindOnce, false, u)
 	s.SetLoadLevel(strain.Overloaded)
 	res, _, err := s.get(t, http.MethodPost, "1")
-	if err != nil || !promises(res.StatusCode) || res.Header.Get("Retry-After") == "" || !res.Close || u.count() != 0 {
-		t.Errorf("got %v %v after %d sends", res, err, u.count())
+	if err != nil || !promisesNotRun(res.StatusCode) || res.Header.Get("Retry-After") == "" || !res.Close || u.requestCount() != 0 {
+		t.Errorf("got %v %v after %d sends", res, err, u.requestCount())
 	}
 	s.SetLoadLevel(strain.Strained)
 	res, _, err = s.get(t, http.MethodPost, "2")
 	if err != nil || res.StatusCode != 200 || !res.Close {
-		t.Errorf("got %v %v, want an answer and the end of the connection", res, err)
+		t.Errorf("got %v %v, want a response and Connection: close", res, err)
 	}
 }
 
-// deafWriter is a caller that can't be written to any more, though nothing has
-// told so yet.
-type deafWriter struct{ header http.Header }
+// brokenWriter is a caller whose connection is broken, which shows only when it is written to.
+type brokenWriter struct{ header http.Header }
 
-func (w *deafWriter) Header() http.Header       { return w.header }
-func (w *deafWriter) WriteHeader(int)           {}
-func (w *deafWriter) Write([]byte) (int, error) { return 0, errors.New("broken pipe") }
+func (w *brokenWriter) Header() http.Header       { return w.header }
+func (w *brokenWriter) WriteHeader(int)           {}
+func (w *brokenWriter) Write([]byte) (int, error) { return 0, errors.New("broken pipe") }
 
-// A caller names headers that concern its connection alone. Sent on, they would
-// change how the upstream treats ours.
-func TestHeadersOfOneConnectionStay(t *testing.T) {
+// Hop-by-hop headers of the caller's connection must not be forwarded: they would change how
+// the upstream treats ours.
+func TestHopByHopHeadersAreNotForwarded(t *testing.T) {
 	from := http.Header{
 		"Connection": {"close, X-One", "x-two"}, "Keep-Alive": {"timeout=5"}, "Transfer-Encoding": {"chunked"},
 		"X-One": {"1"}, "X-Two": {"2"}, "X-Three": {"3"},
@@ -349,32 +345,31 @@
 	}
 }
 
-// An answer comes without the id of any request. Whatever its status, it is not
-// known to be this request's, and is not passed on.
-func TestAnswerWithoutIDIsNobodys(t *testing.T) {
+// A response without a request's id is not known to belong to this request. It must not be
+// forwarded, whatever its status.
+func TestResponseWithoutIDIsNotForwarded(t *testing.T) {
 	for _, status := range []int{200, 404, 500} {
-		u := serveUpstream(t, func(_ int, _ *http.Request, c net.Conn) bool {
+		u := startUpstream(t, func(_ int, _ *http.Request, c net.Conn) bool {
 			fmt.Fprintf(c, "HTTP/1.1 %d x\r\nSigned: 1\r\nContent-Length: 5\r\n\r\nother", status)
 			return true
 		})
-		s := newSite(t, magno.KindOnce, false, u)
+		s := newTestProxy(t, magno.KindOnce, false, u)
 		res, body, err := s.get(t, http.MethodPost, "1")
 		if err != nil || res.StatusCode != http.StatusBadGateway || body != "" || res.Header.Get("Signed") != "" {
-			t.Errorf("status %d without an id came through as %v %q %v", status, res, body, err)
+			t.Errorf("status %d without an id was forwarded as %v %q %v", status, res, body, err)
 		}
 	}
 }
 
-// A request may have run, and is refused by whatever way. Its status must never
-// say that it has not run: the caller would send it again, and a receipt would
-// count twice.
+// If a request may have run, the status of no refusal may guarantee that it has not. The caller
+// would send it again and run it twice.
 func TestNoRefusalPromisesWhatMayHaveRun(t *testing.T) {
-	s := newSite(t, magno.KindOnce, false)
+	s := newTestProxy(t, magno.KindOnce, false)
 	for _, kind := range magno.Kinds() {
 		w := httptest.NewRecorder()
-		j := &job{Handler: s.Handler, w: w, r: httptest.NewRequest(http.MethodPost, "/", nil), snap: s.Book.Now(), ran: true}
+		j := &job{Handler: s.Handler, w: w, r: httptest.NewRequest(http.MethodPost, "/", nil), snap: s.Book.Now(), mayHaveRun: true}
 		j.refuse(magno.Refuse(kind, "for a test").Later(1))
-		if promises(w.Code) || w.Header().Get("Retry-After") != "" {
+		if promisesNotRun(w.Code) || w.Header().Get("Retry-After") != "" {
 			t.Errorf("kind %s: status %d, Retry-After %q", kind, w.Code, w.Header().Get("Retry-After"))
 		}
 	}
--- a/entry/relay/send.go
+++ b/entry/relay/send.go
@@ -14,111 +14,111 @@
 )
 
 const (
-	// answerLimit bounds an answer that is held in memory.
-	answerLimit = 16 << 20
-	// firstTry is how long the first of several upstreams may take to answer an
-	// idempotent request, in parts of its aim, and at least leastTry. One that
-	// hangs would otherwise use up the whole time.
-	firstTry = 4
-	leastTry = 400 * magno.Millis(1)
-	// deadConn is in the past for a connection's deadline: it ends reads and
-	// writes that are under way.
-	deadConn = 1
+	// maxResponseSize bounds a response that is held in memory, in bytes.
+	maxResponseSize = 16 << 20
+	// headTimeoutAims bounds the time until the first of several upstreams responds to an
+	// idempotent request, as a multiple of the route's aim and at least minHeadTimeout.
+	// Otherwise an upstream that hangs would use up the whole timeout.
+	headTimeoutAims = 4
+	minHeadTimeout  = 400 * magno.Millis(1)
+	// pastDeadline is a connection deadline in the past, as Unix time: it aborts pending reads
+	// and writes.
+	pastDeadline = 1
 )
 
-// answer is an upstream's whole answer.
-type answer struct {
+// response is a complete response of an upstream.
+type response struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-// send sends the request to one replica and passes its answer on.
+// send sends the request to one replica and forwards the response.
 func (j *job) send(ctx context.Context, r *magno.Replica, urgency int) result {
 	key := r.Key()
-	j.at = key
+	j.lastReplica = key
 	conn, err := j.Conns.Get(ctx, key, r.Address)
 	if err != nil {
-		j.retrying("connect", err)
-		j.avoid = append(j.avoid, key)
+		j.logTry("connect", err)
+		j.tried = append(j.tried, key)
 		if j.service.Engine != nil && ctx.Err() == nil {
 			j.Permits.ReportUnreachable(key)
 		}
-		return j.over(ctx, resultUnsent)
+		return j.abortedOr(ctx, resultUnsent)
 	}
-	stop := context.AfterFunc(ctx, func() { _ = conn.SetDeadline(time.Unix(deadConn, 0)) })
+	stop := context.AfterFunc(ctx, func() { _ = conn.SetDeadline(time.Unix(pastDeadline, 0)) })
 	defer stop()
-	j.avoid = append(j.avoid, key)
-	j.tries++
-	if err := conn.Send(j.request(r, urgency)); err != nil {
+	j.tried = append(j.tried, key)
+	j.sends++
+	if err := conn.Send(j.upstreamRequest(r, urgency)); err != nil {
 		_ = conn.Close()
 		if !errors.Is(err, hop.ErrSent) {
-			j.retrying("send", err)
-			return j.over(ctx, resultUnsent)
+			j.logTry("send", err)
+			return j.abortedOr(ctx, resultUnsent)
 		}
-		j.mayHaveRun()
-		return j.broken(ctx, r, err)
+		j.recordRun()
+		return j.connectionFailed(ctx, r, err)
 	}
-	j.mayHaveRun()
-	res, err := j.receive(conn)
+	j.recordRun()
+	res, err := j.receiveHead(conn)
 	if err != nil {
 		_ = conn.Close()
-		return j.broken(ctx, r, err)
+		return j.connectionFailed(ctx, r, err)
 	}
-	return j.answered(ctx, r, conn, res)
+	return j.handleResponse(ctx, r, conn, res)
 }
 
-func (j *job) mayHaveRun() {
-	j.ran = true
+func (j *job) recordRun() {
+	j.mayHaveRun = true
 	j.runs++
 }
 
-// notRun takes back that the last upstream may have run the request.
-func (j *job) notRun() {
+// retractRun undoes recordRun: the last upstream did not run the request.
+func (j *job) retractRun() {
 	j.runs--
-	j.ran = j.runs > 0
+	j.mayHaveRun = j.runs > 0
 }
 
-// over tells gone from res once the caller left or the time is over.
-func (j *job) over(ctx context.Context, res result) result {
+// abortedOr returns res, or resultAborted if the caller is gone or the deadline has passed.
+func (j *job) abortedOr(ctx context.Context, res result) result {
 	if ctx.Err() != nil {
-		return resultGone
+		return resultAborted
 	}
 	return res
 }
 
-// broken is the result of a connection that failed after the request was sent.
-func (j *job) broken(ctx context.Context, r *magno.Replica, err error) result {
+// connectionFailed handles a connection that failed after the request was sent.
+func (j *job) connectionFailed(ctx context.Context, r *magno.Replica, err error) result {
 	if ctx.Err() != nil {
-		return resultGone
+		return resultAborted
 	}
-	j.retrying("broken", err)
-	j.suspect(r.Key())
+	j.logTry("broken", err)
+	j.suspectIfCrashed(r.Key())
 	return resultFailed
 }
 
-// retrying logs why a send did not lead to an answer.
-func (j *job) retrying(step string, err error) {
-	j.Log.Info("try", "request", j.id, "replica", j.at, "step", step, "tries", j.tries, "error", err, "left", j.end-j.Clock.Now())
+// logTry logs why a send did not lead to a response.
+func (j *job) logTry(step string, err error) {
+	j.Log.Info("try", "request", j.id, "replica", j.lastReplica, "step", step, "tries", j.sends, "error", err, "left", j.deadline-j.Clock.Now())
 }
 
-// request is what goes on to the upstream.
-func (j *job) request(r *magno.Replica, urgency int) *hop.Request {
+// upstreamRequest returns the request to send to the upstream.
+func (j *job) upstreamRequest(r *magno.Replica, urgency int) *hop.Request {
 	h := make(http.Header, len(j.r.Header)+4)
 	copyHeader(h, j.r.Header)
 	j.Dialect.Write(h, magno.Onward{
-		Replica: r.ID, Left: j.end - j.Clock.Now(), Urgency: min(max(urgency, 0), 9), From: j.last,
-		Customer: j.owner(), Keyed: len(j.snap.Plan.Customers) > 0,
+		Replica: r.ID, Left: j.deadline - j.Clock.Now(), Urgency: min(max(urgency, 0), 9), From: j.lastEvent,
+		Customer: j.customerName(), Keyed: len(j.snap.Plan.Customers) > 0,
 	})
 	return &hop.Request{Method: j.r.Method, Target: j.r.RequestURI, Host: j.r.Host, Header: h, Body: j.body}
 }
 
-// receive reads the head of the answer, within firstTry where another upstream
-// may be tried.
-func (j *job) receive(conn *hop.Conn) (*http.Response, error) {
-	if j.mayGoElsewhere() {
-		limit := max(firstTry*j.route.Aim, leastTry)
-		_ = conn.SetReadDeadline(time.Now().Add(min(limit, j.end-j.Clock.Now()).Span()))
+// receiveHead reads the header of the response, with a shorter timeout if another upstream may
+// be tried.
+func (j *job) receiveHead(conn *hop.Conn) (*http.Response, error) {
+	if j.canRetryElsewhere() {
+		limit := max(headTimeoutAims*j.route.Aim, minHeadTimeout)
+		_ = conn.SetReadDeadline(time.Now().Add(min(limit, j.deadline-j.Clock.Now()).Span()))
 	}
 	res, err := conn.Receive(j.r.Method, func(res *http.Response) bool {
 		id := j.Dialect.Reply(res.StatusCode, res.Header).ID
@@ -130,75 +130,75 @@
 	return res, err
 }
 
-// mayGoElsewhere tells whether a further upstream could be tried after this one.
-func (j *job) mayGoElsewhere() bool {
+// canRetryElsewhere reports whether another upstream could be tried after this one.
+func (j *job) canRetryElsewhere() bool {
 	return j.route.Repeatable() && j.runs < j.route.Attempts
 }
 
-// answered takes the head of an answer.
-func (j *job) answered(ctx context.Context, r *magno.Replica, conn *hop.Conn, res *http.Response) result {
+// handleResponse handles a response whose header was read.
+func (j *job) handleResponse(ctx context.Context, r *magno.Replica, conn *hop.Conn, res *http.Response) result {
 	reply := j.Dialect.Reply(res.StatusCode, res.Header)
-	if j.route.Kind == magno.KindStream && res.StatusCode == http.StatusOK && j.proper(res, &reply) {
-		return j.stream(ctx, r, conn, res)
+	if j.route.Kind == magno.KindStream && res.StatusCode == http.StatusOK && j.authentic(res, &reply) {
+		return j.forwardStream(ctx, r, conn, res)
 	}
-	body, err := j.readAnswer(ctx, res)
+	body, err := j.readResponse(ctx, res)
 	if err != nil {
 		_ = conn.Close()
-		return j.broken(ctx, r, err)
+		return j.connectionFailed(ctx, r, err)
 	}
 	j.Conns.Put(conn, res)
 	switch {
 	case reply.NotRun:
-		j.notRun()
-		j.retrying("notrun", errors.Newf("status %d", res.StatusCode))
+		j.retractRun()
+		j.logTry("notrun", errors.Newf("status %d", res.StatusCode))
 		return resultNotRun
-	case reply.ID != j.id || (res.StatusCode < http.StatusMultipleChoices && !j.proper(res, &reply)):
-		return j.broken(ctx, r, errors.Newf("status %d without the upstream's own marks", res.StatusCode))
+	case reply.ID != j.id || (res.StatusCode < http.StatusMultipleChoices && !j.authentic(res, &reply)):
+		return j.connectionFailed(ctx, r, errors.Newf("status %d without the request's id or the upstream's signature", res.StatusCode))
 	}
-	a := &answer{status: res.StatusCode, header: res.Header, body: body}
-	if res.StatusCode >= http.StatusInternalServerError || promises(res.StatusCode) {
+	a := &response{status: res.StatusCode, header: res.Header, body: body}
+	if res.StatusCode >= http.StatusInternalServerError || promisesNotRun(res.StatusCode) {
 		j.failure = a
-		j.retrying("failed", errors.Newf("status %d", res.StatusCode))
+		j.logTry("failed", errors.Newf("status %d", res.StatusCode))
 		return resultFailed
 	}
-	a.pass(j)
+	a.forward(j)
 	return resultDone
 }
 
-// readAnswer reads an answer that isn't passed on as it comes. It waits until there is
-// room for one that states its length; what others hold is passed on meanwhile.
-func (j *job) readAnswer(ctx context.Context, res *http.Response) ([]byte, error) {
-	j.answerRoom.free() // that of an earlier attempt
-	if res.ContentLength > answerLimit {
-		return nil, errors.Newf("an answer of %d bytes", res.ContentLength)
+// readResponse reads a response that isn't streamed. It waits until there is memory for one
+// that states its length; memory is released as other responses are forwarded.
+func (j *job) readResponse(ctx context.Context, res *http.Response) ([]byte, error) {
+	j.responseMem.release() // reserved by an earlier attempt
+	if res.ContentLength > maxResponseSize {
+		return nil, errors.Newf("response of %d bytes is too large", res.ContentLength)
 	}
-	if err := j.answerRoom.wait(ctx, max(res.ContentLength, 0)); err != nil {
+	if err := j.responseMem.acquire(ctx, max(res.ContentLength, 0)); err != nil {
 		return nil, err
 	}
-	body, err := j.answerRoom.read(res.Body, answerLimit)
-	if err == nil && len(body) > answerLimit {
-		err = errors.Newf("an answer of over %d bytes", answerLimit)
+	body, err := j.responseMem.readAll(res.Body, maxResponseSize)
+	if err == nil && len(body) > maxResponseSize {
+		err = errors.Newf("response is larger than %d bytes", maxResponseSize)
 	}
 	return body, err
 }
 
-// proper tells whether a successful answer is the upstream's own for this
+// authentic reports whether a successful response is signed by the upstream and belongs to this
 // request.
-func (j *job) proper(res *http.Response, reply *magno.Reply) bool {
+func (j *job) authentic(res *http.Response, reply *magno.Reply) bool {
 	return reply.ID == j.id && reply.Signed && res.Header.Get("Content-Encoding") == ""
 }
 
-// pass gives an upstream's answer to the caller. One whose status would promise
-// that the request has not run, though it may have, becomes a plain failure.
-func (a *answer) pass(j *job) {
-	if promises(a.status) {
+// forward sends an upstream's response to the caller. If its status would guarantee that the
+// request has not run, though it may have, the caller gets a plain failure instead.
+func (a *response) forward(j *job) {
+	if promisesNotRun(a.status) {
 		j.refuse(magno.Refuse(magno.KindFailed, "the upstream answered %d without stating that it did not run", a.status))
 		return
 	}
 	h := j.w.Header()
 	copyHeader(h, a.header)
-	plainType(h)
-	j.closing(h)
+	disableSniffing(h)
+	j.setConnectionClose(h)
 	h.Set("Content-Length", strconv.Itoa(len(a.body)))
 	j.w.WriteHeader(a.status)
 	outcome := "served"
@@ -208,29 +208,28 @@
 	if _, err := j.w.Write(a.body); err != nil {
 		outcome = "cancelled"
 	}
-	j.note(a.status, outcome, "")
+	j.logOutcome(a.status, outcome, "")
 }
 
-// plainType keeps the library from guessing a type where the upstream named
-// none.
-func plainType(h http.Header) {
+// disableSniffing prevents net/http from guessing a content type where the upstream sent none.
+func disableSniffing(h http.Header) {
 	if h.Get("Content-Type") == "" {
 		h["Content-Type"] = nil
 	}
 }
 
-// hopHeaders concern one connection only.
-var hopHeaders = map[string]bool{
+// hopByHopHeaders apply to a single connection and aren't forwarded.
+var hopByHopHeaders = map[string]bool{
 	"Connection": true, "Keep-Alive": true, "Proxy-Connection": true, "Proxy-Authenticate": true,
 	"Proxy-Authorization": true, "Te": true, "Trailer": true, "Transfer-Encoding": true, "Upgrade": true,
 	"Content-Length": true, "Expect": true,
 }
 
-// copyHeader copies all but what concerns one connection: the headers above, and
-// those that Connection names.
+// copyHeader copies a header without hop-by-hop fields: those in hopByHopHeaders and those
+// listed in the Connection field.
 func copyHeader(to, from http.Header) {
 	for name, values := range from {
-		if !hopHeaders[name] {
+		if !hopByHopHeaders[name] {
 			to[name] = values
 		}
 	}
--- a/entry/relay/stream.go
+++ b/entry/relay/stream.go
@@ -16,47 +16,48 @@
 )
 
 const (
-	// stallGaps is how many of the longest pauses that a route allows a stream
-	// may stand still until it goes on at another upstream, and leastStall the
-	// least: an engine that reads long prompts pauses for one or two of them.
-	stallGaps  = 5
-	leastStall = magno.Second
-	// firstStall is the same for the first event, in aims.
-	firstStall = 2
-	// eventLimit bounds one event.
-	eventLimit = 1 << 20
-	// streamBuffer holds a few events.
-	streamBuffer = 2 << 10
+	// stallTimeoutGaps is how long a stream may stall before it is resumed at another upstream,
+	// as a multiple of the route's allowed gap, and at least minStallTimeout. An engine that
+	// reads long prompts pauses for one or two gaps.
+	stallTimeoutGaps = 5
+	minStallTimeout  = magno.Second
+	// firstEventTimeoutAims is the timeout for the first event, as a multiple of the route's
+	// aim.
+	firstEventTimeoutAims = 2
+	// maxEventSize bounds one event, in bytes.
+	maxEventSize = 1 << 20
+	// streamBufferSize has room for a few events.
+	streamBufferSize = 2 << 10
 )
 
-// errCaller marks that the caller could not be written to. Taken for a failure of
-// the upstream, it would run the stream again at another one for nobody.
-var errCaller = errors.New("the caller is gone")
+// errCallerGone marks a failed write to the caller. If it counted as a failure of the upstream,
+// the stream would be run again at another one for a caller that is gone.
+var errCallerGone = errors.New("cannot write to the caller")
 
-// stream passes events on as they come. Only whole ones are passed on, so that
-// the stream can go on elsewhere after the last of them.
-func (j *job) stream(ctx context.Context, r *magno.Replica, conn *hop.Conn, res *http.Response) result {
-	err := j.pump(conn, res)
+// forwardStream forwards events as they arrive. It forwards only complete events, so that the
+// stream can be resumed elsewhere after the last of them.
+func (j *job) forwardStream(ctx context.Context, r *magno.Replica, conn *hop.Conn, res *http.Response) result {
+	err := j.copyEvents(conn, res)
 	if err == nil {
 		j.Conns.Put(conn, res)
-		j.begin(res) // a stream without events has a head as well
-		j.note(http.StatusOK, "served", "")
+		j.sendHead(res) // a stream without events has a header as well
+		j.logOutcome(http.StatusOK, "served", "")
 		return resultDone
 	}
-	// Closing makes the upstream stop, before the stream goes on elsewhere.
+	// Closing the connection stops the upstream before the stream is resumed elsewhere.
 	_ = conn.Close()
-	if errors.Is(err, errCaller) {
-		return resultGone
+	if errors.Is(err, errCallerGone) {
+		return resultAborted
 	}
-	return j.broken(ctx, r, err)
+	return j.connectionFailed(ctx, r, err)
 }
 
-// pump reads events until the stream's end.
-func (j *job) pump(conn *hop.Conn, res *http.Response) error {
-	events := bufio.NewReaderSize(res.Body, streamBuffer)
+// copyEvents forwards events until the end of the stream.
+func (j *job) copyEvents(conn *hop.Conn, res *http.Response) error {
+	events := bufio.NewReaderSize(res.Body, streamBufferSize)
 	flush := http.NewResponseController(j.w)
 	for {
-		j.patience(conn)
+		j.setStallTimeout(conn)
 		event, err := readEvent(events)
 		if err != nil {
 			if errors.Is(err, io.EOF) && len(event) == 0 {
@@ -64,78 +65,77 @@
 			}
 			return errors.Wrap(err, "stream")
 		}
-		if !j.newer(event) {
+		if !j.isNewEvent(event) {
 			continue
 		}
-		j.begin(res)
+		j.sendHead(res)
 		if _, err := j.w.Write(event); err != nil {
-			return errors.Mark(err, errCaller)
+			return errors.Mark(err, errCallerGone)
 		}
-		j.timed()
+		j.recordEventTime()
 		if events.Buffered() > 0 {
-			continue // the next event goes out with it
+			continue // flushed with the next event
 		}
 		if err := flush.Flush(); err != nil {
-			return errors.Mark(err, errCaller)
+			return errors.Mark(err, errCallerGone)
 		}
 	}
 }
 
-// timed notes when the first event came and the longest pause between two.
-func (j *job) timed() {
+// recordEventTime records the time of the first event and the longest pause between two.
+func (j *job) recordEventTime() {
 	now := j.Clock.Now()
 	if j.events == 0 {
-		j.first = now - j.came
+		j.firstEvent = now - j.received
 	} else {
-		j.pause = max(j.pause, now-j.passed)
+		j.longestPause = max(j.longestPause, now-j.lastEventAt)
 	}
-	j.passed = now
+	j.lastEventAt = now
 	j.events++
 }
 
-// patience bounds the wait for the next event where the stream could go on
-// elsewhere.
-func (j *job) patience(conn *hop.Conn) {
-	if !j.mayGoElsewhere() {
+// setStallTimeout bounds the wait for the next event if the stream could be resumed elsewhere.
+func (j *job) setStallTimeout(conn *hop.Conn) {
+	if !j.canRetryElsewhere() {
 		return
 	}
-	limit := max(stallGaps*j.route.Gap, leastStall)
+	limit := max(stallTimeoutGaps*j.route.Gap, minStallTimeout)
 	if j.events == 0 {
-		limit = max(firstStall*j.route.Aim, leastStall)
+		limit = max(firstEventTimeoutAims*j.route.Aim, minStallTimeout)
 	}
 	_ = conn.SetReadDeadline(time.Now().Add(limit.Span()))
 }
 
-// newer notes an event's number; false when the caller has it already, as the
-// first events of an upstream that began anew.
-func (j *job) newer(event []byte) bool {
+// isNewEvent records an event's id. It returns false if the caller already has the event, for
+// example because the upstream started the stream from the beginning.
+func (j *job) isNewEvent(event []byte) bool {
 	id := eventID(event)
 	if id == "" {
 		return true
 	}
-	if number(id) <= number(j.last) && j.last != "" {
+	if eventNumber(id) <= eventNumber(j.lastEvent) && j.lastEvent != "" {
 		return false
 	}
-	j.last = id
+	j.lastEvent = id
 	return true
 }
 
-// begin sends the head of the answer, of the first upstream whose event is
-// passed on.
-func (j *job) begin(res *http.Response) {
-	if j.started {
+// sendHead sends the header of the response, once: that of the first upstream whose event is
+// forwarded.
+func (j *job) sendHead(res *http.Response) {
+	if j.headSent {
 		return
 	}
-	j.started = true
+	j.headSent = true
 	h := j.w.Header()
 	copyHeader(h, res.Header)
-	plainType(h)
-	j.closing(h)
+	disableSniffing(h)
+	j.setConnectionClose(h)
 	j.w.WriteHeader(res.StatusCode)
 }
 
-// readEvent reads up to the empty line that ends an event. With io.EOF, what
-// it returns is the beginning of an event that was cut off.
+// readEvent reads up to the empty line that ends an event. With io.EOF it returns the start of
+// a truncated event, empty if there is none.
 func readEvent(r *bufio.Reader) ([]byte, error) {
 	var event []byte
 	for {
@@ -147,13 +147,13 @@
 		if err == nil && len(bytes.TrimRight(line, "\r\n")) == 0 {
 			return event, nil
 		}
-		if len(event) > eventLimit {
-			return event, errors.Newf("an event of over %d bytes", eventLimit)
+		if len(event) > maxEventSize {
+			return event, errors.Newf("event is larger than %d bytes", maxEventSize)
 		}
 	}
 }
 
-// eventID is the number that an event states, empty when it states none.
+// eventID returns the id of an event, empty if it has none.
 func eventID(event []byte) string {
 	for _, line := range bytes.Split(event, []byte("\n")) {
 		if value, ok := bytes.CutPrefix(line, []byte("id:")); ok {
@@ -163,8 +163,8 @@
 	return ""
 }
 
-// number reads an event's number; one that is none counts as before all.
-func number(id string) int64 {
+// eventNumber parses an event's id. An invalid id sorts before all others.
+func eventNumber(id string) int64 {
 	n, err := strconv.ParseInt(id, 10, 64)
 	if err != nil {
 		return -1
--- a/entry/relay/suspect.go
+++ b/entry/relay/suspect.go
@@ -6,23 +6,22 @@
 	"magnoliastall.example/magno"
 )
 
-// crashLook is when an upstream is looked at again after a connection to it
-// broke: its agent notices a crash within half a second, and tells of it at the
-// next poll.
-const crashLook = 1200 * magno.Millis(1)
+// crashCheckDelay is how long after a connection broke the upstream's state is checked. An
+// agent notices a crash within half a second, and reports it with the next poll.
+const crashCheckDelay = 1200 * magno.Millis(1)
 
-// suspect counts a crash against the request if the upstream turns out to have
-// crashed under it. Answers that break off for other reasons are no sign of it.
-func (j *job) suspect(key string) {
-	if j.print == 0 || j.service.Engine == nil {
+// suspectIfCrashed counts a crash against the request if the upstream turns out to have crashed
+// while running it. A response that breaks off for another reason doesn't count.
+func (j *job) suspectIfCrashed(key string) {
+	if j.fingerprint == 0 || j.service.Engine == nil {
 		return
 	}
-	print, h, id := j.print, j.Handler, j.id
-	time.AfterFunc(crashLook.Span(), func() {
+	fingerprint, h, id := j.fingerprint, j.Handler, j.id
+	time.AfterFunc(crashCheckDelay.Span(), func() {
 		if !h.Permits.Down(key) {
 			return
 		}
-		h.Suspects.RecordFailure(print)
-		h.Log.Warn("suspect", "request", id, "replica", key, "crashes", h.Suspects.CrashCount(print))
+		h.Suspects.RecordFailure(fingerprint)
+		h.Log.Warn("suspect", "request", id, "replica", key, "crashes", h.Suspects.CrashCount(fingerprint))
 	})
 }
