--- a/agent/daemon/daemon.go
+++ b/agent/daemon/daemon.go
@@ -105,7 +105,7 @@
 		Version: a.Store.Version, Retired: a.retired, Ready: a.ready,
 	}
 	a.server.Register(a.Mesh)
-	a.Fleet.Changed = a.standing
+	a.Fleet.OnChange = a.standing
 	a.turns = &turns.Turns{
 		Self: opts.Name, Pool: opts.Pool, Clock: a.Clock, Loop: a.loop, Mesh: a.Mesh, Fleet: a.Fleet, Log: log,
 		Terms: a.terms, Load: a.loadTime,
@@ -121,7 +121,7 @@
 // is cut off from the list would go on sending work to an instance that is
 // about to be taken away; the agent itself refuses it.
 func (a *agent) standing() {
-	list, _ := a.Fleet.Listed()
+	list, _ := a.Fleet.PlatformList()
 	for _, in := range list {
 		if in.Name == a.opts.Name {
 			a.server.Listed(in.State == magno.InstanceLeaving)
@@ -217,7 +217,7 @@
 
 // ready tells whether new work can be taken.
 func (a *agent) ready() bool {
-	return a.Node.Settled() && a.probe.Last() != nil
+	return a.Node.Synced() && a.probe.Last() != nil
 }
 
 // remembers tells whether keys issued now are ones that this process's witness
--- a/agent/turns/turns.go
+++ b/agent/turns/turns.go
@@ -180,7 +180,7 @@
 	}
 	rate, width := t.Terms()
 	k := turn.Coordinator{Clock: t.Clock, Rate: rate, MaxLoads: width, LoadTime: t.Load()}
-	t.alone = now + k.FallbackInterval(len(t.Fleet.Pool(t.Pool)))
+	t.alone = now + k.FallbackInterval(len(t.Fleet.LiveAgents(t.Pool)))
 	t.Log.Info("turns", "keeper", "unreachable", "error", err)
 	metrics.GetOrCreateCounter(`magno_turns_total{from="share"}`).Inc()
 	t.Loop.Load(ctx, k.LeaseTime())
@@ -190,7 +190,7 @@
 // that it changes only when that agent comes or goes.
 func (t *Turns) choose() (name, address string) {
 	least := ^uint64(0)
-	for _, in := range t.Fleet.Pool(t.Pool) {
+	for _, in := range t.Fleet.LiveAgents(t.Pool) {
 		if h := xxhash.Sum64String(t.Pool + "\x00" + in.Name); h <= least {
 			least, name, address = h, in.Name, in.Address
 		}
--- a/agent/turns/turns_test.go
+++ b/agent/turns/turns_test.go
@@ -94,7 +94,7 @@
 	mesh := &wire.Mesh{}
 	run(f)
 	run(l)
-	for end := time.Now().Add(time.Minute); len(f.Pool("p")) != len(list); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(time.Minute); len(f.LiveAgents("p")) != len(list); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("the list was not read")
 		}
--- a/entry/daemon/daemon.go
+++ b/entry/daemon/daemon.go
@@ -64,7 +64,7 @@
 	if err := e.routers.try(); err != nil {
 		return nil, err
 	}
-	e.Fleet.Changed, e.Follow = e.routers.update, e.follow
+	e.Fleet.OnChange, e.Follow = e.routers.update, e.follow
 	sender := &send.Sender{
 		Clock: e.Clock, Mesh: e.Mesh, Fleet: e.Fleet, Router: e.routers.pool, Budget: e.routers.budget, Suspects: e.Suspects,
 		Events: e.Events, Attempts: opts.Attempts, DataCentre: opts.DataCentre,
@@ -75,7 +75,7 @@
 	}
 	e.lease.Open()
 	e.front = &front.Front{
-		Listen: opts.Listen, Clock: e.Clock, Catalogue: &catalogue{store: e.Store}, Settled: e.Node.Settled, Sender: sender, Quotas: e.lease,
+		Listen: opts.Listen, Clock: e.Clock, Catalogue: &catalogue{store: e.Store}, Settled: e.Node.Synced, Sender: sender, Quotas: e.lease,
 		Events: e.Events, Log: log, Body: opts.Body, Deadline: magno.Millis(opts.Deadline),
 		Grace: magno.Millis(opts.Grace), Drain: magno.Millis(opts.Drain),
 		Bound: func(addr string) { log.Info("listening", "addr", addr, "dc", opts.DataCentre) },
--- a/entry/daemon/routers.go
+++ b/entry/daemon/routers.go
@@ -65,7 +65,7 @@
 // targets lists the agents of a pool; leaving and drained ones get no new
 // work.
 func (r *routers) targets(pool string) []magno.Target {
-	agents := r.fleet.Pool(pool)
+	agents := r.fleet.LiveAgents(pool)
 	targets := make([]magno.Target, 0, len(agents))
 	for _, in := range agents {
 		targets = append(targets, magno.Target{
--- a/entry/daemon/status.go
+++ b/entry/daemon/status.go
@@ -26,7 +26,7 @@
 func (e *entry) status() any {
 	return Status{
 		Name: e.opts.Name, Role: magno.RoleEntry, DataCentre: e.opts.DataCentre, Ready: e.front.Ready(),
-		Config: e.Store.Status(), Busy: e.front.Busy(), Instances: e.Fleet.All(), Seen: e.Fleet.Seen(),
+		Config: e.Store.Status(), Busy: e.front.Busy(), Instances: e.Fleet.All(), Seen: e.Fleet.LastPoll(),
 	}
 }
 
@@ -48,7 +48,7 @@
 	}
 	ref := magno.Ref{Adapter: p.Adapter, Version: p.Version}
 	out := Explanation{
-		Profile: p, Retired: p.Retired || e.Store.Retired(ref), Agents: e.Fleet.Pool(p.Pool), Drained: []string{},
+		Profile: p, Retired: p.Retired || e.Store.Retired(ref), Agents: e.Fleet.LiveAgents(p.Pool), Drained: []string{},
 		Order: e.routers.pool(p.Pool).Route(magno.Query{Ref: ref, DataCentre: e.opts.DataCentre, Work: 1}),
 	}
 	for _, in := range out.Agents {
--- a/entry/send/send.go
+++ b/entry/send/send.go
@@ -310,7 +310,7 @@
 		// caller's answer up for cancelLimit.
 		go s.stop(address, call.Call) //nolint:contextcheck // the call's context has ended
 	}
-	if wire.Slow(err) {
+	if wire.SlowConsumer(err) {
 		// Another attempt would be as slow, and the agent is not at fault.
 		return outcome{refusal: magno.Refuse(magno.KindCancelled, "the caller took its answer too slowly")}
 	}
--- a/entry/send/send_test.go
+++ b/entry/send/send_test.go
@@ -97,7 +97,7 @@
 	log := slog.New(slog.DiscardHandler)
 	fl := &fleet.Fleet{URL: list.URL, Clock: &magno.Clock{}, Log: log}
 	run(fl)
-	for end := time.Now().Add(limit.Span()); len(fl.Pool("p")) < len(instances); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(limit.Span()); len(fl.LiveAgents("p")) < len(instances); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("the list was not read")
 		}
--- a/magno/alert/alert.go
+++ b/magno/alert/alert.go
@@ -31,7 +31,7 @@
 func (s *Sharer) Changed(rec crash.Record) {
 	s.Mark(gossip.Mark{
 		Key: prefix + strconv.FormatUint(rec.Fingerprint, 16), Seq: int64(rec.UpdatedAt),
-		Data: strconv.Itoa(rec.Crashes), Left: crash.Retention,
+		Data: strconv.Itoa(rec.Crashes), TTL: crash.Retention,
 	})
 }
 
--- a/magno/fleet/fleet.go
+++ b/magno/fleet/fleet.go
@@ -20,15 +20,15 @@
 
 // Figures of the poll.
 const (
-	// DefaultEvery is how often the list is read, in milliseconds.
-	DefaultEvery = magno.Second
-	readLimit    = 2 * time.Second
+	// DefaultPollInterval is how often the list is read, in milliseconds.
+	DefaultPollInterval = magno.Second
+	readLimit           = 2 * time.Second
 	// listLimit is the most bytes of the list; a cut one is not used.
 	listLimit = 4 << 20
-	// RareEvery is how often a process that peers keep up to date reads the
+	// SlowPollInterval is how often a process that peers keep up to date reads the
 	// list: 2,600 of them read it 43 times a second together, where once a
 	// second each would be more than the platform allows in all.
-	RareEvery = magno.Minute
+	SlowPollInterval = magno.Minute
 	// learnedFor is how long a peer's word on an instance outweighs the list,
 	// in milliseconds: longer than the list lags, short enough that an
 	// instance returned under the same name is soon used again.
@@ -55,16 +55,16 @@
 // Fleet is safe for concurrent use. It implements magno.Duty.
 type Fleet struct {
 	// URL is the platform's instance list, up to its path.
-	URL   string
-	Every magno.Millis
-	Clock *magno.Clock
-	Log   *slog.Logger
-	// Often, when not nil, tells whether this process reads the list each time;
+	URL          string
+	PollInterval magno.Millis
+	Clock        *magno.Clock
+	Log          *slog.Logger
+	// FastPoll, when not nil, tells whether this process reads the list each time;
 	// otherwise it does so once in RareEvery, and peers tell it the rest.
-	Often func() bool
-	// Changed is called after each change, by one goroutine at a time. It may
+	FastPoll func() bool
+	// OnChange is called after each change, by one goroutine at a time. It may
 	// be nil.
-	Changed func()
+	OnChange func()
 
 	mu sync.RWMutex
 	// revision is that of the list in use. It grows but for a list that
@@ -83,11 +83,11 @@
 // Run polls the list until ctx ends. While the list can't be read the last
 // one stays in use.
 func (f *Fleet) Run(ctx context.Context) error {
-	if f.Every == 0 {
-		f.Every = DefaultEvery
+	if f.PollInterval == 0 {
+		f.PollInterval = DefaultPollInterval
 	}
 	client := &http.Client{Timeout: readLimit}
-	ticker := time.NewTicker(f.Every.Span())
+	ticker := time.NewTicker(f.PollInterval.Span())
 	defer ticker.Stop()
 	failed := false
 	var last magno.Millis
@@ -110,7 +110,7 @@
 
 // due tells whether the list is to be read now.
 func (f *Fleet) due(failed bool, last magno.Millis) bool {
-	return failed || f.Often == nil || f.Often() || f.Clock.Now()-last >= RareEvery
+	return failed || f.FastPoll == nil || f.FastPoll() || f.Clock.Now()-last >= SlowPollInterval
 }
 
 func (f *Fleet) read(ctx context.Context, client *http.Client) error {
@@ -118,8 +118,8 @@
 	if err := fetch.JSON(ctx, client, f.URL+"/v1/instances", listLimit, &l); err != nil {
 		return err
 	}
-	if f.take(l) && f.Changed != nil {
-		f.Changed()
+	if f.take(l) && f.OnChange != nil {
+		f.OnChange()
 	}
 	return nil
 }
@@ -147,9 +147,9 @@
 	return true
 }
 
-// Learn takes a peer's word on an instance. The list lags by seconds; a leaving
+// Override takes a peer's word on an instance. The list lags by seconds; a leaving
 // upstream must lose its work sooner.
-func (f *Fleet) Learn(in magno.Instance) {
+func (f *Fleet) Override(in magno.Instance) {
 	f.mu.Lock()
 	if f.learned == nil {
 		f.learned = map[string]learned{}
@@ -157,13 +157,13 @@
 	before, known := f.learned[in.Name]
 	f.learned[in.Name] = learned{address: in.Address, state: in.State, until: f.Clock.Now() + learnedFor}
 	f.mu.Unlock()
-	if f.Changed != nil && (!known || before.state != in.State || before.address != in.Address) {
-		f.Changed()
+	if f.OnChange != nil && (!known || before.state != in.State || before.address != in.Address) {
+		f.OnChange()
 	}
 }
 
-// Pool returns the live agents of a pool in order of name.
-func (f *Fleet) Pool(pool string) []magno.Instance {
+// LiveAgents returns the live agents of a pool in order of name.
+func (f *Fleet) LiveAgents(pool string) []magno.Instance {
 	return f.filter(func(in magno.Instance) bool {
 		return in.Role == magno.RoleAgent && in.Pool == pool && in.State == magno.InstanceLive
 	})
@@ -195,9 +195,9 @@
 	return f.current(in), ok
 }
 
-// Listed returns the platform's list as last read, without what peers told;
+// PlatformList returns the platform's list as last read, without what peers told;
 // false before the first time.
-func (f *Fleet) Listed() ([]magno.Instance, bool) {
+func (f *Fleet) PlatformList() ([]magno.Instance, bool) {
 	f.mu.RLock()
 	defer f.mu.RUnlock()
 	list := make([]magno.Instance, 0, len(f.instances))
@@ -207,8 +207,8 @@
 	return list, f.seen > 0
 }
 
-// Seen returns when the list was last read, zero before the first time.
-func (f *Fleet) Seen() magno.Millis {
+// LastPoll returns when the list was last read, zero before the first time.
+func (f *Fleet) LastPoll() magno.Millis {
 	f.mu.RLock()
 	defer f.mu.RUnlock()
 	return f.seen
--- a/magno/fleet/fleet_test.go
+++ b/magno/fleet/fleet_test.go
@@ -27,7 +27,7 @@
 		if _, ok := fl.Find("known"); taken != (l.Revision > 1) || (!taken && !ok) {
 			t.Errorf("%q: taken %v", data, taken)
 		}
-		for _, in := range fl.Pool("p") {
+		for _, in := range fl.LiveAgents("p") {
 			if found, ok := fl.Find(in.Name); !ok || found.Role != magno.RoleAgent {
 				t.Errorf("%q: %v", data, found)
 			}
--- a/magno/gossip/budget.go
+++ b/magno/gossip/budget.go
@@ -38,11 +38,11 @@
 	if room < 0 {
 		return nil, 0, false
 	}
-	m = &Message{From: s.Self.Name, DataCentre: s.Self.DataCentre, Sum: s.table.sum(wide), Inside: s.table.sum(inside), Age: -1}
+	m = &Message{From: s.Self.Name, DataCentre: s.Self.DataCentre, GlobalSum: s.table.sum(wide), LocalSum: s.table.sum(inside), ConfigAge: -1}
 	if now := s.Store.Now(); now != nil {
-		m.Version, m.Config = now.Version, now.Sum
+		m.ConfigVersion, m.ConfigSum = now.Version, now.Sum
 		if at := s.Store.Confirmed(); at > 0 {
-			m.Age = max(s.Clock.Now()-at, 0)
+			m.ConfigAge = max(s.Clock.Now()-at, 0)
 		}
 	}
 	return m, room, true
--- a/magno/gossip/conf.go
+++ b/magno/gossip/conf.go
@@ -10,10 +10,10 @@
 // A part of the way is worth sending too.
 func (s *State) deltas(in *Message, room int) ([]*config.Delta, int) {
 	now := s.Store.Now()
-	if now == nil || in.Version == 0 || in.Version >= now.Version {
+	if now == nil || in.ConfigVersion == 0 || in.ConfigVersion >= now.Version {
 		return nil, room
 	}
-	all, ok := s.Store.Since(in.Version, in.Config)
+	all, ok := s.Store.Since(in.ConfigVersion, in.ConfigSum)
 	if !ok {
 		return nil, room
 	}
@@ -42,29 +42,29 @@
 	}
 	version := s.Store.Version()
 	if version > before {
-		s.Fresh()
+		s.ConfigChanged()
 	}
-	if in.Version == version && version > 0 {
-		s.Store.Compare(in.Version, in.Config, in.From)
-		if in.Age >= 0 {
-			s.Store.Confirm(version, s.Clock.Now()-in.Age)
+	if in.ConfigVersion == version && version > 0 {
+		s.Store.Compare(in.ConfigVersion, in.ConfigSum, in.From)
+		if in.ConfigAge >= 0 {
+			s.Store.Confirm(version, s.Clock.Now()-in.ConfigAge)
 		}
 	}
 }
 
-// Pull returns a peer that holds a version which deltas could not bring; the
+// NextPull returns a peer that holds a version which deltas could not bring; the
 // caller fetches it. False when there is none.
-func (s *State) Pull() (Out, bool) {
+func (s *State) NextPull() (Outbound, bool) {
 	to := s.behind
-	s.behind = Out{}
+	s.behind = Outbound{}
 	return to, to.Name != ""
 }
 
-// Pulled ends a fetch. A version that this process refuses is not asked for
+// PullDone ends a fetch. A version that this process refuses is not asked for
 // again; told is the version that the peer had.
-func (s *State) Pulled(told int64, err error) {
+func (s *State) PullDone(told int64, err error) {
 	if err == nil {
-		s.Fresh()
+		s.ConfigChanged()
 		return
 	}
 	if errors.Is(err, config.ErrBad) {
@@ -72,9 +72,9 @@
 	}
 }
 
-// Fresh tells that this process itself put a new version in force, so that it
+// ConfigChanged tells that this process itself put a new version in force, so that it
 // goes to peers at once.
-func (s *State) Fresh() {
+func (s *State) ConfigChanged() {
 	s.init()
 	s.fresh = true
 	s.hasten()
@@ -82,26 +82,26 @@
 
 // Status describes the state for operators.
 type Status struct {
-	Reader  bool `json:"reader"`
-	Relay   bool `json:"relay"`
-	Settled bool `json:"settled"`
-	// Alone is true when no peer answered at the start.
-	Alone   bool `json:"alone,omitempty"`
+	Reader bool `json:"reader"`
+	Relay  bool `json:"relay"`
+	Synced bool `json:"settled"`
+	// NoPeers is true when no peer answered at the start.
+	NoPeers bool `json:"alone,omitempty"`
 	Members int  `json:"members"`
 	Suspect int  `json:"suspect"`
 	Leaving int  `json:"leaving"`
 	Marks   int  `json:"marks"`
-	// Rumours counts records still to be passed on.
-	Rumours int `json:"rumours"`
+	// Pending counts records still to be passed on.
+	Pending int `json:"rumours"`
 }
 
 // Status counts what is known.
 func (s *State) Status() Status {
-	st := Status{Reader: s.Reads(), Relay: s.Relays(), Settled: s.Settled(), Alone: s.join.alone,
-		Marks: s.table.marks, Rumours: len(s.table.rumours)}
+	st := Status{Reader: s.IsReader(), Relay: s.IsRelay(), Synced: s.Synced(), NoPeers: s.join.alone,
+		Marks: s.table.marks, Pending: len(s.table.rumours)}
 	for _, m := range s.Members() {
 		st.Members++
-		switch m.Condition {
+		switch m.State {
 		case Suspect:
 			st.Suspect++
 		case Leaving:
@@ -112,11 +112,11 @@
 	return st
 }
 
-// Holds is true when a member is known in that condition.
-func (s *State) Holds(name string, c Condition) bool {
+// HasMember is true when a member is known in that condition.
+func (s *State) HasMember(name string, c MemberState) bool {
 	s.init()
 	e := s.table.entries["m"+name]
-	return e != nil && e.record.Member != nil && e.record.Member.Condition == c
+	return e != nil && e.record.Member != nil && e.record.Member.State == c
 }
 
 // Members lists every known member but the dead, in no order.
@@ -124,7 +124,7 @@
 	s.init()
 	out := make([]Member, 0, len(s.table.entries))
 	for _, e := range s.table.entries {
-		if m := e.record.Member; m != nil && m.Condition != Dead {
+		if m := e.record.Member; m != nil && m.State != Dead {
 			out = append(out, *m)
 		}
 	}
--- a/magno/gossip/exchange.go
+++ b/magno/gossip/exchange.go
@@ -4,7 +4,7 @@
 // is used up.
 func (s *State) Receive(in *Message) (*Message, bool) {
 	s.init()
-	s.join.answered(in.From, in.Version)
+	s.join.answered(in.From, in.ConfigVersion)
 	s.take(in)
 	out, room, ok := s.message()
 	if !ok {
@@ -12,8 +12,8 @@
 	}
 	abroad := in.DataCentre != s.Self.DataCentre
 	out.Deltas, room = s.deltas(in, room)
-	if len(in.Want) > 0 {
-		out.Records = s.groups(in.Scope, in.Want, abroad, room)
+	if len(in.WantBuckets) > 0 {
+		out.Records = s.groups(in.Scope, in.WantBuckets, abroad, room)
 	} else if s.differs(in, out) {
 		s.attachSums(in, out, &room)
 		out.Records = s.rumours(room, abroad)
@@ -29,7 +29,7 @@
 
 // differs is true when one side lacks records that concern it.
 func (s *State) differs(in, out *Message) bool {
-	return in.Sum != out.Sum || (in.DataCentre == out.DataCentre && in.Inside != out.Inside)
+	return in.GlobalSum != out.GlobalSum || (in.DataCentre == out.DataCentre && in.LocalSum != out.LocalSum)
 }
 
 // groups returns the records of groups that fit in room.
@@ -60,30 +60,30 @@
 		return
 	}
 	out.Scope = wide
-	if in.Sum == out.Sum {
+	if in.GlobalSum == out.GlobalSum {
 		out.Scope = inside
 	}
-	out.Sums = s.table.encode(out.Scope)
+	out.BucketSums = s.table.encode(out.Scope)
 	*room -= size
 }
 
-// Answer takes the reply to an exchange and returns a further message to the
+// HandleReply takes the reply to an exchange and returns a further message to the
 // same peer when something still differs.
-func (s *State) Answer(to Out, in *Message) []Out {
+func (s *State) HandleReply(to Outbound, in *Message) []Outbound {
 	s.init()
 	delete(s.failed, to.Name)
 	delete(s.retry, to.Name)
-	s.join.answered(to.Name, in.Version)
+	s.join.answered(to.Name, in.ConfigVersion)
 	s.take(in)
-	if in.Version > s.Store.Version() && in.Version != s.refused {
+	if in.ConfigVersion > s.Store.Version() && in.ConfigVersion != s.refused {
 		s.behind = to
 	}
 	now := s.Store.Now()
 	var differ []int
 	if in.Scope == inside || in.Scope == wide {
-		differ = s.table.differ(in.Scope, in.Sums)
+		differ = s.table.differ(in.Scope, in.BucketSums)
 	}
-	if len(differ) == 0 && (now == nil || in.Version >= now.Version || in.Version == 0) {
+	if len(differ) == 0 && (now == nil || in.ConfigVersion >= now.Version || in.ConfigVersion == 0) {
 		return nil
 	}
 	m, room, ok := s.message()
@@ -92,11 +92,11 @@
 	}
 	m.Deltas, room = s.deltas(in, room)
 	s.Rand.Shuffle(len(differ), func(i, k int) { differ[i], differ[k] = differ[k], differ[i] })
-	m.Scope, m.Want = in.Scope, differ[:min(len(differ), mendGroups)]
-	m.Records = s.groups(m.Scope, m.Want, in.DataCentre != s.Self.DataCentre, room)
-	if len(m.Deltas) == 0 && len(m.Want) == 0 {
+	m.Scope, m.WantBuckets = in.Scope, differ[:min(len(differ), mendGroups)]
+	m.Records = s.groups(m.Scope, m.WantBuckets, in.DataCentre != s.Self.DataCentre, room)
+	if len(m.Deltas) == 0 && len(m.WantBuckets) == 0 {
 		return nil
 	}
 	s.pay(m)
-	return []Out{{Name: to.Name, Address: to.Address, Message: m}}
+	return []Outbound{{Name: to.Name, Address: to.Address, Message: m}}
 }
--- a/magno/gossip/fuzz_test.go
+++ b/magno/gossip/fuzz_test.go
@@ -33,8 +33,8 @@
 		if out, ok := s.Receive(&in); ok && out.Size() > maxMessage+overhead {
 			t.Errorf("%q was answered by %d bytes", data, out.Size())
 		}
-		s.Answer(Out{Name: "b", Message: &Message{}}, &in)
-		clock.Advance(Period)
+		s.HandleReply(Outbound{Name: "b", Message: &Message{}}, &in)
+		clock.Advance(Interval)
 		s.Tick()
 	})
 }
--- a/magno/gossip/join.go
+++ b/magno/gossip/join.go
@@ -42,10 +42,10 @@
 	}
 }
 
-// Settled is true once this process knows that it is not behind its peers: as
+// Synced is true once this process knows that it is not behind its peers: as
 // many as needed answered, and its version is as new as theirs. It becomes
 // false again after the process was paused.
-func (s *State) Settled() bool {
+func (s *State) Synced() bool {
 	s.init()
 	j := &s.join
 	if j.done {
@@ -84,10 +84,10 @@
 	return !j.done && len(j.heard) < joinPeers && now-j.since < joinLimit && len(s.look().local) > 0
 }
 
-// Seed takes the platform's list of instances. It lags, so it never outweighs
+// MergeInstances takes the platform's list of instances. It lags, so it never outweighs
 // what a process says of itself; but the first to read there that an instance
 // leaves tells the others.
-func (s *State) Seed(list []magno.Instance) {
+func (s *State) MergeInstances(list []magno.Instance) {
 	s.init()
 	s.join.seeded = true
 	now := s.Clock.Now()
@@ -103,9 +103,9 @@
 		switch {
 		case e == nil || e.record.Member.Incarnation == 0:
 			s.seedNew(in, e, now)
-		case in.State == magno.InstanceLeaving && ranks[e.record.Member.Condition] < ranks[Leaving]:
+		case in.State == magno.InstanceLeaving && ranks[e.record.Member.State] < ranks[Leaving]:
 			m := *e.record.Member
-			m.Condition, m.Left = Leaving, 0
+			m.State, m.TTL = Leaving, 0
 			s.merge(Record{Member: &m})
 		}
 	}
@@ -120,9 +120,9 @@
 
 // seedNew keeps an instance that no process has told of yet.
 func (s *State) seedNew(in *magno.Instance, old *entry, now magno.Millis) {
-	m := &Member{Name: in.Name, Role: in.Role, DataCentre: in.DataCentre, Pool: in.Pool, Address: in.Address, Condition: Live}
+	m := &Member{Name: in.Name, Role: in.Role, DataCentre: in.DataCentre, Pool: in.Pool, Address: in.Address, State: Live}
 	if in.State == magno.InstanceLeaving {
-		m.Condition = Leaving
+		m.State = Leaving
 	}
 	if old != nil && *old.record.Member == *m {
 		return
@@ -141,13 +141,13 @@
 	switch {
 	case in.State == magno.InstanceLeaving && !s.listed:
 		s.listed = true
-		if s.Self.Condition != Leaving {
-			s.Self.Condition = Leaving
+		if s.Self.State != Leaving {
+			s.Self.State = Leaving
 			s.tellSelf()
 		}
 	case in.State == magno.InstanceLive && s.listed && !s.leaving:
 		s.listed = false
-		s.Self.Condition, s.Self.Wide = Live, true
+		s.Self.State, s.Self.Global = Live, true
 		s.Self.Incarnation++
 		s.tellSelf()
 	}
--- a/magno/gossip/merge.go
+++ b/magno/gossip/merge.go
@@ -1,9 +1,9 @@
 package gossip
 
-// Failed notes that a peer did not answer. A peer of the same data centre
+// PeerFailed notes that a peer did not answer. A peer of the same data centre
 // becomes a suspect; of another data centre only its own processes judge, for
 // a cut between the two says nothing about it.
-func (s *State) Failed(name string) {
+func (s *State) PeerFailed(name string) {
 	s.init()
 	now := s.Clock.Now()
 	s.failed[name] = now
@@ -13,12 +13,12 @@
 		return
 	}
 	m := *e.record.Member
-	m.Left = 0
+	m.TTL = 0
 	if m.Incarnation == 0 {
 		s.ghosts[name] = true
 		return
 	}
-	if m.DataCentre != s.Self.DataCentre || m.Condition != Live {
+	if m.DataCentre != s.Self.DataCentre || m.State != Live {
 		return
 	}
 	if !s.retry[name] {
@@ -27,7 +27,7 @@
 		return
 	}
 	delete(s.retry, name)
-	m.Condition = Suspect
+	m.State = Suspect
 	s.merge(Record{Member: &m})
 }
 
@@ -47,7 +47,7 @@
 		s.contradict(m)
 		return
 	}
-	if r.Mark != nil && r.Mark.Left <= leastLeft {
+	if r.Mark != nil && r.Mark.TTL <= leastLeft {
 		return
 	}
 	if m := r.Member; m != nil {
@@ -57,26 +57,26 @@
 		return
 	}
 	if r.Mark != nil {
-		if s.Marked != nil {
-			s.Marked(*r.Mark)
+		if s.OnMark != nil {
+			s.OnMark(*r.Mark)
 		}
 		return
 	}
 	delete(s.ghosts, r.Member.Name)
-	if s.Learn != nil && (r.Member.Condition == Live || r.Member.Condition == Leaving) {
-		s.Learn(*r.Member)
+	if s.OnMember != nil && (r.Member.State == Live || r.Member.State == Leaving) {
+		s.OnMember(*r.Member)
 	}
 }
 
 // widen makes a record concern all data centres when it leaves, or when it
 // replaces one that did: others still hold the member for leaving.
 func (s *State) widen(m *Member) {
-	if m.Condition == Leaving {
-		m.Wide = true
+	if m.State == Leaving {
+		m.Global = true
 		return
 	}
 	if old := s.table.entries["m"+m.Name]; old != nil && old.scope == wide && m.over(old.record.Member) {
-		m.Wide = true
+		m.Global = true
 	}
 }
 
@@ -86,17 +86,17 @@
 	if !m.over(&s.Self) || now-s.contradicted < contradictEvery {
 		return
 	}
-	if m.Condition == Leaving && m.Incarnation == s.Self.Incarnation {
+	if m.State == Leaving && m.Incarnation == s.Self.Incarnation {
 		// Another process read in the platform's list that this one leaves.
-		s.Self.Condition = Leaving
-		if s.Learn != nil {
-			s.Learn(s.Self)
+		s.Self.State = Leaving
+		if s.OnMember != nil {
+			s.OnMember(s.Self)
 		}
 		s.tellSelf()
 		return
 	}
-	if m.Condition == s.Self.Condition && m.Incarnation == s.Self.Incarnation {
-		s.Self.Wide = m.Wide
+	if m.State == s.Self.State && m.Incarnation == s.Self.Incarnation {
+		s.Self.Global = m.Global
 		s.tellSelf()
 		return
 	}
--- a/magno/gossip/record.go
+++ b/magno/gossip/record.go
@@ -8,21 +8,21 @@
 	"magnoliastall.example/magno"
 )
 
-// Condition is what processes hold of a member.
-type Condition string
+// MemberState is what processes hold of a member.
+type MemberState string
 
 // The conditions, each outweighing those before it within one incarnation. A
 // suspect keeps its work: a missed answer is no proof that it stopped. It only
 // isn't chosen as reader or relay.
 const (
-	Live    Condition = "live"
-	Suspect Condition = "suspect"
-	Dead    Condition = "dead"
-	Leaving Condition = "leaving"
+	Live    MemberState = "live"
+	Suspect MemberState = "suspect"
+	Dead    MemberState = "dead"
+	Leaving MemberState = "leaving"
 )
 
 // ranks orders conditions of the same incarnation.
-var ranks = map[Condition]int{Live: 0, Suspect: 1, Dead: 2, Leaving: 3}
+var ranks = map[MemberState]int{Live: 0, Suspect: 1, Dead: 2, Leaving: 3}
 
 // Member is one process of the system.
 type Member struct {
@@ -35,14 +35,14 @@
 	// Incarnation is when the process started, and one more each time it
 	// contradicts what others hold of it. Only the process itself raises it;
 	// zero means that only the platform's list told of it.
-	Incarnation int64     `json:"inc"`
-	Condition   Condition `json:"state"`
-	// Wide is true when other data centres are to know: the member leaves, or
+	Incarnation int64       `json:"inc"`
+	State       MemberState `json:"state"`
+	// Global is true when other data centres are to know: the member leaves, or
 	// came back after it left.
-	Wide bool `json:"wide,omitempty"`
-	// Left is how long a dead or wide member is still remembered, in
+	Global bool `json:"wide,omitempty"`
+	// TTL is how long a dead or wide member is still remembered, in
 	// milliseconds; zero means until it changes.
-	Left magno.Millis `json:"left,omitempty"`
+	TTL magno.Millis `json:"left,omitempty"`
 }
 
 // over is true when m is news to whoever holds old.
@@ -50,14 +50,14 @@
 	if m.Incarnation != old.Incarnation {
 		return m.Incarnation > old.Incarnation
 	}
-	if m.Condition != old.Condition {
-		return ranks[m.Condition] > ranks[old.Condition]
+	if m.State != old.State {
+		return ranks[m.State] > ranks[old.State]
 	}
-	return m.Wide && !old.Wide
+	return m.Global && !old.Global
 }
 
 // fades is true for what is only remembered for a time.
-func (m *Member) fades() bool { return m.Wide || m.Condition == Dead || m.Condition == Leaving }
+func (m *Member) fades() bool { return m.Global || m.State == Dead || m.State == Leaving }
 
 // Mark is a small record that ends by itself, such as the fingerprint of a
 // request that crashed an upstream. Its content is opaque here.
@@ -66,9 +66,9 @@
 	// Seq grows with each change; the highest wins.
 	Seq  int64  `json:"seq"`
 	Data string `json:"data,omitempty"`
-	// Left is how long it still holds, in milliseconds, so that clocks need
+	// TTL is how long it still holds, in milliseconds, so that clocks need
 	// not agree.
-	Left magno.Millis `json:"left"`
+	TTL magno.Millis `json:"left"`
 }
 
 // Record is a member or a mark.
@@ -79,7 +79,7 @@
 
 // urgent is true for what others must hear within a second or two.
 func (r *Record) urgent() bool {
-	return r.Mark != nil || r.Member.Wide || r.Member.Condition == Suspect
+	return r.Mark != nil || r.Member.Global || r.Member.State == Suspect
 }
 
 // key is unique over both sorts.
@@ -97,7 +97,7 @@
 func (r *Record) valid() bool {
 	switch {
 	case r.Member != nil && r.Mark == nil:
-		_, known := ranks[r.Member.Condition]
+		_, known := ranks[r.Member.State]
 		return known && r.Member.Name != "" && r.Member.Incarnation > 0
 	case r.Mark != nil && r.Member == nil:
 		return r.Mark.Key != "" && len(r.Mark.Key)+len(r.Mark.Data) <= maxMark
@@ -118,7 +118,7 @@
 	var text []byte
 	if r.Member != nil {
 		m := *r.Member
-		m.Left = 0
+		m.TTL = 0
 		text, _ = json.Marshal(m) //nolint:errchkjson // plain data
 	} else {
 		text, _ = json.Marshal(Mark{Key: r.Mark.Key, Seq: r.Mark.Seq}) //nolint:errchkjson // plain data
--- a/magno/gossip/role.go
+++ b/magno/gossip/role.go
@@ -36,10 +36,10 @@
 		if m == nil {
 			continue
 		}
-		able := m.Condition == Live && !s.ghosts[m.Name]
+		able := m.State == Live && !s.ghosts[m.Name]
 		switch {
 		case m.DataCentre != s.Self.DataCentre:
-			if m.Condition == Live {
+			if m.State == Live {
 				v.far[m.DataCentre] = append(v.far[m.DataCentre], m)
 			}
 			continue
@@ -49,7 +49,7 @@
 		if m.Name == s.Self.Name {
 			continue
 		}
-		if able || (m.Condition == Leaving && !s.ghosts[m.Name]) {
+		if able || (m.State == Leaving && !s.ghosts[m.Name]) {
 			v.local = append(v.local, m)
 		} else {
 			v.lost = append(v.lost, m)
@@ -75,9 +75,9 @@
 	return v
 }
 
-// Candidates is how many relays of another data centre are remembered, in
+// RoleCandidates is how many relays of another data centre are remembered, in
 // order: when the first don't answer, the next are tried.
-const Candidates = 4 * Wide
+const RoleCandidates = 4 * RoleReplicas
 
 // top returns the first members by rendezvous hash for a duty. Every process
 // with the same members makes the same choice, and one member lost moves only
@@ -86,29 +86,29 @@
 	slices.SortFunc(members, func(a, b *Member) int {
 		return cmp.Or(cmp.Compare(weight(b.Name, duty), weight(a.Name, duty)), cmp.Compare(a.Name, b.Name))
 	})
-	return members[:min(len(members), Candidates)]
+	return members[:min(len(members), RoleCandidates)]
 }
 
 func weight(name, duty string) uint64 { return xxhash.Sum64String(duty + "\x00" + name) }
 
 // holds is true when self is among the first Wide.
 func holds(ranked []*Member, name string) bool {
-	return among(ranked[:min(len(ranked), Wide)], name)
+	return among(ranked[:min(len(ranked), RoleReplicas)], name)
 }
 
 func among(members []*Member, name string) bool {
 	return slices.ContainsFunc(members, func(m *Member) bool { return m.Name == name })
 }
 
-// Reads is true when this process is to watch the configuration service for
+// IsReader is true when this process is to watch the configuration service for
 // its data centre.
-func (s *State) Reads() bool {
+func (s *State) IsReader() bool {
 	s.init()
 	return holds(s.look().readers, s.Self.Name)
 }
 
-// Relays is true when this process exchanges with other data centres.
-func (s *State) Relays() bool {
+// IsRelay is true when this process exchanges with other data centres.
+func (s *State) IsRelay() bool {
 	s.init()
 	return holds(s.look().relays, s.Self.Name)
 }
@@ -140,11 +140,11 @@
 		}
 		chosen = append(chosen, s.distant(v, abroad, now)...)
 	} else if s.news {
-		near := v.relays[:min(len(v.relays), Wide)]
+		near := v.relays[:min(len(v.relays), RoleReplicas)]
 		chosen = append(chosen, s.pick(near, 1, now)...)
 	}
-	if heir := v.readers[min(len(v.readers), Wide):]; among(heir[:min(len(heir), heirs)], s.Self.Name) {
-		chosen = append(chosen, v.readers[s.Rand.IntN(Wide)])
+	if heir := v.readers[min(len(v.readers), RoleReplicas):]; among(heir[:min(len(heir), heirs)], s.Self.Name) {
+		chosen = append(chosen, v.readers[s.Rand.IntN(RoleReplicas)])
 	}
 	if len(v.lost) > 0 && s.Rand.IntN(reconnect) == 0 {
 		chosen = append(chosen, v.lost[s.Rand.IntN(len(v.lost))])
@@ -190,7 +190,7 @@
 			break
 		}
 		ranked := v.far[v.centres[i]]
-		first := s.Rand.IntN(min(len(ranked), Wide))
+		first := s.Rand.IntN(min(len(ranked), RoleReplicas))
 		for k := range ranked {
 			m := ranked[(first+k)%len(ranked)]
 			if !s.silent(m.Name, now) {
--- a/magno/gossip/state.go
+++ b/magno/gossip/state.go
@@ -29,18 +29,18 @@
 
 // Figures of the exchange. docs/CAPACITY.md has the measurements.
 const (
-	// Period is how often a process exchanges without news.
-	Period = 500 * magno.Millis(1)
-	// Haste is the least time between exchanges with news; it gathers what
+	// Interval is how often a process exchanges without news.
+	Interval = 500 * magno.Millis(1)
+	// UrgentInterval is the least time between exchanges with news; it gathers what
 	// comes together into one message.
-	Haste = 50 * magno.Millis(1)
+	UrgentInterval = 50 * magno.Millis(1)
 	// fanout is how many peers get news at once.
 	fanout = 3
-	// Wide is how many readers, and how many relays, a data centre has.
-	Wide = 2
-	// DefaultBudget is in bytes a second sent; with as much received it stays
+	// RoleReplicas is how many readers, and how many relays, a data centre has.
+	RoleReplicas = 2
+	// DefaultSendRate is in bytes a second sent; with as much received it stays
 	// under the 21 KB a second that a daemon may use for control.
-	DefaultBudget = 8 << 10
+	DefaultSendRate = 8 << 10
 	// maxMessage bounds one message, in bytes.
 	maxMessage = 4 << 10
 	// overhead is a message without records, its frame included.
@@ -77,30 +77,30 @@
 type Message struct {
 	From       string `json:"from"`
 	DataCentre string `json:"dc"`
-	// Sum is over the sender's records that concern all data centres, Inside
+	// GlobalSum is over the sender's records that concern all data centres, Inside
 	// over those that concern its own.
-	Sum    uint64 `json:"sum"`
-	Inside uint64 `json:"inside"`
-	// Version and Config are the number and sum of its configuration, Age how
+	GlobalSum uint64 `json:"sum"`
+	LocalSum  uint64 `json:"inside"`
+	// ConfigVersion and Config are the number and sum of its configuration, Age how
 	// long ago it was confirmed as the newest, negative for never.
-	Version int64        `json:"version"`
-	Config  uint64       `json:"config"`
-	Age     magno.Millis `json:"age"`
+	ConfigVersion int64        `json:"version"`
+	ConfigSum     uint64       `json:"config"`
+	ConfigAge     magno.Millis `json:"age"`
 	// Records are news or mend a group.
 	Records []Record `json:"records,omitempty"`
 	// Deltas lead from the receiver's version to the sender's.
 	Deltas []*config.Delta `json:"deltas,omitempty"`
-	// Sums of all groups of a scope, sent when the sum of that scope differs
+	// BucketSums of all groups of a scope, sent when the sum of that scope differs
 	// and news is not the reason.
-	Sums []byte `json:"sums,omitempty"`
+	BucketSums []byte `json:"sums,omitempty"`
 	// Scope is that of Sums and Want.
 	Scope scope `json:"scope,omitempty"`
-	// Want lists groups whose records are asked for.
-	Want []int `json:"want,omitempty"`
+	// WantBuckets lists groups whose records are asked for.
+	WantBuckets []int `json:"want,omitempty"`
 }
 
-// Out is a message to be sent as a call; the reply goes to Answer.
-type Out struct {
+// Outbound is a message to be sent as a call; the reply goes to Answer.
+type Outbound struct {
 	Name    string
 	Address string
 	Message *Message
@@ -115,13 +115,13 @@
 	Clock *magno.Clock
 	// Rand makes choices; a seeded one gives the same run again.
 	Rand *rand.Rand
-	// Budget is in bytes a second sent; zero means DefaultBudget.
-	Budget int
-	// Learn is told when a member's condition changed to live or leaving; it
+	// SendRate is in bytes a second sent; zero means DefaultBudget.
+	SendRate int
+	// OnMember is told when a member's condition changed to live or leaving; it
 	// may be nil.
-	Learn func(m Member)
-	// Marked is told of each new mark; it may be nil.
-	Marked func(m Mark)
+	OnMember func(m Member)
+	// OnMark is told of each new mark; it may be nil.
+	OnMark func(m Mark)
 
 	table  *table
 	budget bucket
@@ -149,7 +149,7 @@
 	join   join
 	// behind is the peer that has a version which deltas didn't lead to, its
 	// Name empty for none; refused is a version that this process can't take.
-	behind  Out
+	behind  Outbound
 	refused int64
 }
 
@@ -159,12 +159,12 @@
 	}
 	s.table = newTable()
 	s.failed, s.ghosts, s.retry = map[string]magno.Millis{}, map[string]bool{}, map[string]bool{}
-	if s.Budget <= 0 {
-		s.Budget = DefaultBudget
+	if s.SendRate <= 0 {
+		s.SendRate = DefaultSendRate
 	}
 	now := s.Clock.Now()
-	s.budget = bucket{rate: s.Budget, tokens: burst, last: now}
-	s.Self.Incarnation, s.Self.Condition = max(int64(now), 1), Live
+	s.budget = bucket{rate: s.SendRate, tokens: burst, last: now}
+	s.Self.Incarnation, s.Self.State = max(int64(now), 1), Live
 	s.last = now
 	s.join.begin(now)
 	s.tellSelf()
@@ -172,8 +172,8 @@
 
 // tellSelf puts this process's own record into the table.
 func (s *State) tellSelf() {
-	if s.Self.Condition == Leaving {
-		s.Self.Wide = true
+	if s.Self.State == Leaving {
+		s.Self.Global = true
 	}
 	self := s.Self
 	s.put(Record{Member: &self})
@@ -181,8 +181,8 @@
 
 // put takes a record into the table and hastens when it is urgent news.
 func (s *State) put(r Record) bool {
-	if m := r.Member; m != nil && m.fades() && m.Left == 0 {
-		m.Left = fadeFor
+	if m := r.Member; m != nil && m.fades() && m.TTL == 0 {
+		m.TTL = fadeFor
 	}
 	v := s.look()
 	left := passes(len(v.local))
@@ -204,19 +204,19 @@
 // hasten makes the next exchange due soon.
 func (s *State) hasten() {
 	s.news = true
-	s.next = min(s.next, s.Clock.Now()+Haste)
+	s.next = min(s.next, s.Clock.Now()+UrgentInterval)
 }
 
 // Leave tells that this process takes no new work from now on.
 func (s *State) Leave() {
 	s.init()
 	s.leaving = true
-	s.Self.Condition = Leaving
+	s.Self.State = Leaving
 	s.tellSelf()
 }
 
-// Mark spreads a mark; one with a higher Seq replaces it.
-func (s *State) Mark(m Mark) {
+// SetMark spreads a mark; one with a higher Seq replaces it.
+func (s *State) SetMark(m Mark) {
 	s.init()
 	if r := (Record{Mark: &m}); r.valid() {
 		s.merge(r)
@@ -225,7 +225,7 @@
 
 // Tick returns the exchanges that are due. It is called at least as often as
 // Haste.
-func (s *State) Tick() []Out {
+func (s *State) Tick() []Outbound {
 	s.init()
 	now := s.Clock.Now()
 	if now-s.last > pauseLimit {
@@ -241,7 +241,7 @@
 	peers := s.partners(now)
 	s.next = now + s.pause(now)
 	s.news, s.fresh = false, false
-	var out []Out
+	var out []Outbound
 	for _, p := range peers {
 		m, room, ok := s.message()
 		if !ok {
@@ -250,9 +250,9 @@
 		}
 		m.Records = s.rumours(room, p.DataCentre != s.Self.DataCentre)
 		s.pay(m)
-		out = append(out, Out{Name: p.Name, Address: p.Address, Message: m})
+		out = append(out, Outbound{Name: p.Name, Address: p.Address, Message: m})
 	}
-	if !s.Relays() {
+	if !s.IsRelay() {
 		s.table.quiet()
 	}
 	return out
@@ -264,11 +264,11 @@
 func (s *State) pause(now magno.Millis) magno.Millis {
 	switch {
 	case len(s.retry) > 0 || s.seeking(now):
-		return 2 * Haste
+		return 2 * UrgentInterval
 	case s.table.pending(false) || s.table.pending(true):
-		return 2*Haste + magno.Millis(s.Rand.Int64N(int64(2*Haste)))
+		return 2*UrgentInterval + magno.Millis(s.Rand.Int64N(int64(2*UrgentInterval)))
 	}
-	return Period/2 + magno.Millis(s.Rand.Int64N(int64(Period)))
+	return Interval/2 + magno.Millis(s.Rand.Int64N(int64(Interval)))
 }
 
 // wake forgets timers that ran while the process slept, and asks peers again
@@ -290,9 +290,9 @@
 		switch {
 		case e.until > 0 && now >= e.until:
 			s.forget(key, m)
-		case m != nil && m.Condition == Suspect && now-e.since > suspectFor:
+		case m != nil && m.State == Suspect && now-e.since > suspectFor:
 			dead := *m
-			dead.Condition, dead.Left = Dead, 0
+			dead.State, dead.TTL = Dead, 0
 			s.merge(Record{Member: &dead})
 		}
 	}
@@ -304,7 +304,7 @@
 	s.view = nil
 	if m != nil && m.Name == s.Self.Name {
 		s.Self.Incarnation++
-		s.Self.Wide = s.Self.Condition == Leaving
+		s.Self.Global = s.Self.State == Leaving
 		s.tellSelf()
 	}
 }
--- a/magno/gossip/state_test.go
+++ b/magno/gossip/state_test.go
@@ -41,7 +41,7 @@
 				sum -= n.sent[first].bytes
 				first++
 			}
-			if most := DefaultBudget*10 + burst; sum > most {
+			if most := DefaultSendRate*10 + burst; sum > most {
 				t.Fatalf("%s sent %d bytes in ten seconds up to %d (message %d), allowed are %d", n.name, sum, s.at, i, most)
 			}
 		}
@@ -147,8 +147,8 @@
 		w.nodes[7].Leave()
 		w.run(2*magno.Second, nil)
 		for _, n := range w.nodes {
-			if m := n.table.entries["m"+w.nodes[7].name].record.Member; m.Condition != Leaving {
-				t.Fatalf("seed %d: %s holds %s for %s", seed, n.name, m.Name, m.Condition)
+			if m := n.table.entries["m"+w.nodes[7].name].record.Member; m.State != Leaving {
+				t.Fatalf("seed %d: %s holds %s for %s", seed, n.name, m.Name, m.State)
 			}
 		}
 		w.within(t)
@@ -164,7 +164,7 @@
 	w.nodes[7].Leave()
 	w.run(2*magno.Second, nil)
 	for _, n := range w.nodes {
-		if !n.Holds("n0-7", Leaving) {
+		if !n.HasMember("n0-7", Leaving) {
 			t.Fatalf("%s has not heard of it", n.name)
 		}
 	}
@@ -178,7 +178,7 @@
 	w := newWorld(1, 1, 2)
 	n := w.nodes[0]
 	for i := range 300 {
-		m := Member{Name: fmt.Sprint("other", i), DataCentre: "dc0", Address: "a:1", Incarnation: 5, Condition: Live}
+		m := Member{Name: fmt.Sprint("other", i), DataCentre: "dc0", Address: "a:1", Incarnation: 5, State: Live}
 		n.Receive(&Message{From: "peer", DataCentre: "dc0", Records: []Record{{Member: &m}}})
 	}
 	ask := &Message{From: "peer", DataCentre: "dc0"}
@@ -189,7 +189,7 @@
 	}
 	n.Leave()
 	reply, ok := n.Receive(ask)
-	if !ok || len(reply.Records) == 0 || reply.Records[0].Member.Condition != Leaving {
+	if !ok || len(reply.Records) == 0 || reply.Records[0].Member.State != Leaving {
 		t.Fatalf("answered %v with %+v", ok, reply)
 	}
 }
@@ -201,18 +201,18 @@
 	w.run(15*magno.Second, nil)
 	list := append([]magno.Instance(nil), w.list...)
 	list[3].State = magno.InstanceLeaving
-	w.nodes[0].Seed(list)
+	w.nodes[0].MergeInstances(list)
 	w.run(2*magno.Second, nil)
 	for _, n := range w.nodes {
-		if got := n.table.entries["mn0-3"].record.Member.Condition; got != Leaving {
+		if got := n.table.entries["mn0-3"].record.Member.State; got != Leaving {
 			t.Fatalf("%s holds it for %s", n.name, got)
 		}
 	}
-	w.nodes[3].Seed(list)
-	w.nodes[3].Seed(w.list)
+	w.nodes[3].MergeInstances(list)
+	w.nodes[3].MergeInstances(w.list)
 	w.run(2*magno.Second, nil)
 	for _, n := range w.nodes {
-		if got := n.table.entries["mn0-3"].record.Member.Condition; got != Live {
+		if got := n.table.entries["mn0-3"].record.Member.State; got != Live {
 			t.Fatalf("%s holds it for %s after it was returned", n.name, got)
 		}
 	}
@@ -229,12 +229,12 @@
 	}
 	readers := 0
 	for _, n := range w.nodes {
-		if n.Reads() {
+		if n.IsReader() {
 			readers++
 			n.dead = true
 		}
 	}
-	if readers != Wide {
+	if readers != RoleReplicas {
 		t.Fatalf("%d readers", readers)
 	}
 	// Long before the two are held for dead.
@@ -258,17 +258,17 @@
 		w.run(15*magno.Second, nil)
 		w.publish(sample(2), true)
 		n := w.restart(w.nodes[seed%8])
-		if n.Store.Load(sample(2), nil, "service") != nil || n.Settled() {
+		if n.Store.Load(sample(2), nil, "service") != nil || n.Synced() {
 			t.Fatal("settled before any peer was asked")
 		}
 		for range 1000 {
 			w.run(step, func() { w.sound(t) })
-			if n.Settled() {
+			if n.Synced() {
 				break
 			}
 		}
-		if !n.Settled() || n.Store.Version() != 5 || n.Status().Alone {
-			t.Fatalf("seed %d: settled %v with version %d", seed, n.Settled(), n.Store.Version())
+		if !n.Synced() || n.Store.Version() != 5 || n.Status().NoPeers {
+			t.Fatalf("seed %d: settled %v with version %d", seed, n.Synced(), n.Store.Version())
 		}
 	}
 }
@@ -285,15 +285,15 @@
 	w.run(30*magno.Second, nil)
 	n.paused = false
 	n.Tick()
-	if n.Settled() {
+	if n.Synced() {
 		t.Fatal("settled with what it knew before")
 	}
 	w.run(5*magno.Second, nil)
-	if !n.Settled() || n.Store.Version() != 2 {
-		t.Fatalf("settled %v, version %d", n.Settled(), n.Store.Version())
+	if !n.Synced() || n.Store.Version() != 2 {
+		t.Fatalf("settled %v, version %d", n.Synced(), n.Store.Version())
 	}
 	for _, o := range w.nodes {
-		if got := o.table.entries["m"+n.name].record.Member.Condition; got != Live {
+		if got := o.table.entries["m"+n.name].record.Member.State; got != Live {
 			t.Fatalf("%s still holds it for %s", o.name, got)
 		}
 	}
@@ -304,7 +304,7 @@
 func TestMarksEnd(t *testing.T) {
 	w := newWorld(4, 2, 5)
 	w.run(15*magno.Second, nil)
-	w.nodes[0].Mark(Mark{Key: "print", Seq: 1, Data: "1", Left: 20 * magno.Second})
+	w.nodes[0].SetMark(Mark{Key: "print", Seq: 1, Data: "1", TTL: 20 * magno.Second})
 	w.run(3*magno.Second, nil)
 	for _, n := range w.nodes {
 		if n.table.marks != 1 {
@@ -332,8 +332,8 @@
 	w.publish(sample(2), true, "dc0", "dc1")
 	w.run(5*magno.Minute, nil)
 	for _, m := range w.nodes[0].Members() {
-		if m.Condition != Live {
-			t.Fatalf("%s is held for %s", m.Name, m.Condition)
+		if m.State != Live {
+			t.Fatalf("%s is held for %s", m.Name, m.State)
 		}
 	}
 	w.cut = func(_, _ *node) bool { return false }
--- a/magno/gossip/table.go
+++ b/magno/gossip/table.go
@@ -72,13 +72,13 @@
 		return false
 	}
 	e := &entry{record: r, size: r.size(), since: now, left: left}
-	if r.Mark != nil || r.Member.Wide {
+	if r.Mark != nil || r.Member.Global {
 		e.scope, e.far = wide, far
 	}
 	if r.Mark != nil {
-		e.until = now + r.Mark.Left
-	} else if r.Member.Left > 0 {
-		e.until = now + r.Member.Left
+		e.until = now + r.Mark.TTL
+	} else if r.Member.TTL > 0 {
+		e.until = now + r.Member.TTL
 	}
 	// What only the platform's list told isn't passed on, nor compared.
 	if r.Mark != nil || r.Member.Incarnation > 0 {
@@ -207,7 +207,7 @@
 func urgency(e *entry) int {
 	m := e.record.Member
 	switch {
-	case m != nil && m.Condition == Leaving:
+	case m != nil && m.State == Leaving:
 		return 2
 	case e.record.urgent():
 		return 1
@@ -223,14 +223,14 @@
 	}
 	if e.record.Mark != nil {
 		m := *e.record.Mark
-		m.Left = left
+		m.TTL = left
 		return Record{Mark: &m}, true
 	}
 	if e.until == 0 {
 		return e.record, e.record.Member.Incarnation > 0
 	}
 	m := *e.record.Member
-	m.Left = left
+	m.TTL = left
 	return Record{Member: &m}, m.Incarnation > 0
 }
 
--- a/magno/gossip/world_test.go
+++ b/magno/gossip/world_test.go
@@ -59,7 +59,7 @@
 type packet struct {
 	at       magno.Millis
 	from, to *node
-	out      Out
+	out      Outbound
 	reply    []byte
 	request  []byte
 	failed   bool
@@ -92,7 +92,7 @@
 		}
 	}
 	for _, n := range w.nodes {
-		n.Seed(w.list)
+		n.MergeInstances(w.list)
 	}
 	return w
 }
@@ -117,7 +117,7 @@
 	w.nodes = w.nodes[:len(w.nodes)-1]
 	w.list = w.list[:len(w.list)-1]
 	w.nodes[i] = n
-	n.Seed(w.list)
+	n.MergeInstances(w.list)
 	return n
 }
 
@@ -143,7 +143,7 @@
 			for _, out := range n.Tick() {
 				w.send(n, out)
 			}
-			if to, ok := n.Pull(); ok {
+			if to, ok := n.NextPull(); ok {
 				w.pull(n, to)
 			}
 		}
@@ -156,21 +156,21 @@
 // read stands for the reader: what the service shows goes to the store.
 func (w *world) read(n *node) {
 	cfg := w.service[n.Self.DataCentre]
-	if cfg == nil || !n.Reads() || n.Store.Version() >= cfg.Version {
+	if cfg == nil || !n.IsReader() || n.Store.Version() >= cfg.Version {
 		return
 	}
 	if n.Store.Load(cfg, nil, "service") == nil {
-		n.Fresh()
+		n.ConfigChanged()
 	}
 }
 
 // pull stands for the fetch of a whole version from a peer.
-func (w *world) pull(n *node, to Out) {
+func (w *world) pull(n *node, to Outbound) {
 	peer := w.find(to.Name)
 	if peer == nil || peer.dead || peer.paused || w.cut(n, peer) || peer.Store.Now() == nil {
 		return
 	}
-	n.Pulled(peer.Store.Version(), n.Store.Install(peer.Store.Now(), nil, to.Name))
+	n.PullDone(peer.Store.Version(), n.Store.Install(peer.Store.Now(), nil, to.Name))
 }
 
 func (w *world) delay() magno.Millis {
@@ -180,7 +180,7 @@
 	return magno.Millis(1 + w.rand.IntN(20))
 }
 
-func (w *world) send(n *node, out Out) {
+func (w *world) send(n *node, out Outbound) {
 	text, err := json.Marshal(out.Message)
 	if err != nil {
 		panic(err)
@@ -215,11 +215,11 @@
 	switch {
 	case p.from.dead || p.from.paused:
 	case p.failed:
-		p.from.Failed(p.out.Name)
+		p.from.PeerFailed(p.out.Name)
 	case p.reply != nil:
 		var m Message
 		_ = json.Unmarshal(p.reply, &m)
-		for _, out := range p.from.Answer(p.out, &m) {
+		for _, out := range p.from.HandleReply(p.out, &m) {
 			w.send(p.from, out)
 		}
 	case p.to.dead || p.to.paused:
--- a/magno/proc/proc.go
+++ b/magno/proc/proc.go
@@ -66,11 +66,11 @@
 	p.Node = &spread.Node{
 		Self: gossip.Member{Name: p.Self.Name, Role: p.Self.Role, DataCentre: p.Self.DataCentre,
 			Pool: p.Self.Pool, Address: p.Self.Address},
-		Mesh: p.Mesh, Store: p.Store, List: p.Fleet.Listed, Learn: p.Fleet.Learn, Marked: sharer.Marked,
+		Mesh: p.Mesh, Store: p.Store, List: p.Fleet.PlatformList, OnInstance: p.Fleet.Override, OnMark: sharer.Marked,
 		Reader: &watch.Reader{URL: p.Config, Store: p.Store, Clock: p.Clock, Log: p.Log, Metrics: set},
 		Clock:  p.Clock, Log: p.Log, Metrics: set,
 	}
-	sharer.Mark, p.Suspects.OnChange = p.Node.Mark, sharer.Changed
+	sharer.Mark, p.Suspects.OnChange = p.Node.SetMark, sharer.Changed
 	p.Node.Open()
 	return nil
 }
--- a/magno/spread/node.go
+++ b/magno/spread/node.go
@@ -56,16 +56,16 @@
 	Reader *watch.Reader
 	// List returns the platform's list as last read, false before that.
 	List func() ([]magno.Instance, bool)
-	// Learn is told what peers say of an instance; Marked of a mark. Both may
+	// OnInstance is told what peers say of an instance; Marked of a mark. Both may
 	// be nil, and neither may call the node.
-	Learn  func(magno.Instance)
-	Marked func(gossip.Mark)
-	Clock  *magno.Clock
-	Log    *slog.Logger
+	OnInstance func(magno.Instance)
+	OnMark     func(gossip.Mark)
+	Clock      *magno.Clock
+	Log        *slog.Logger
 	// Metrics may be nil.
 	Metrics *metrics.Set
-	// Budget is in bytes a second sent; zero means gossip.DefaultBudget.
-	Budget int
+	// SendRate is in bytes a second sent; zero means gossip.DefaultBudget.
+	SendRate int
 
 	mu    sync.Mutex
 	state *gossip.State
@@ -92,7 +92,7 @@
 	}
 	now := n.Clock.Now()
 	n.state = &gossip.State{
-		Self: n.Self, Store: n.Store, Clock: n.Clock, Budget: n.Budget, Marked: n.Marked, Learn: n.learn,
+		Self: n.Self, Store: n.Store, Clock: n.Clock, SendRate: n.SendRate, OnMark: n.OnMark, OnMember: n.learn,
 		Rand: rand.New(rand.NewPCG(uint64(now), uint64(len(n.Self.Name)))), //nolint:gosec // no secret
 	}
 	n.mender = &mend.Mender{Store: n.Store}
@@ -120,15 +120,15 @@
 }
 
 func (n *Node) learn(m gossip.Member) {
-	if n.Learn == nil {
+	if n.OnInstance == nil {
 		return
 	}
 	in := magno.Instance{Name: m.Name, Role: m.Role, DataCentre: m.DataCentre, Pool: m.Pool, Address: m.Address,
 		State: magno.InstanceLive}
-	if m.Condition == gossip.Leaving {
+	if m.State == gossip.Leaving {
 		in.State = magno.InstanceLeaving
 	}
-	n.Learn(in)
+	n.OnInstance(in)
 }
 
 // Run exchanges until ctx ends.
@@ -147,7 +147,7 @@
 		case <-ctx.Done():
 			return nil
 		case <-changes:
-			n.with(func(s *gossip.State) { s.Fresh() })
+			n.with(func(s *gossip.State) { s.ConfigChanged() })
 		case <-ticks.C:
 			if now := n.Clock.Now(); now-seeded >= seedEvery {
 				seeded = now
@@ -155,7 +155,7 @@
 			}
 			n.tick(ctx)
 			if n.Reader != nil {
-				reader.set(ctx, n.Reads(), n.Reader.Run)
+				reader.set(ctx, n.IsReader(), n.Reader.Run)
 			}
 		}
 	}
@@ -176,9 +176,9 @@
 		return
 	}
 	n.with(func(s *gossip.State) {
-		s.Seed(list)
+		s.MergeInstances(list)
 		for _, m := range s.Members() {
-			if m.Condition == gossip.Leaving && m.Incarnation > 0 {
+			if m.State == gossip.Leaving && m.Incarnation > 0 {
 				n.learn(m)
 			}
 		}
@@ -186,12 +186,12 @@
 }
 
 func (n *Node) tick(ctx context.Context) {
-	var outs []gossip.Out
-	var from gossip.Out
+	var outs []gossip.Outbound
+	var from gossip.Outbound
 	n.with(func(s *gossip.State) {
 		outs = s.Tick()
 		if !n.pulling {
-			from, n.pulling = s.Pull()
+			from, n.pulling = s.NextPull()
 		}
 	})
 	for _, out := range outs {
@@ -204,7 +204,7 @@
 }
 
 // send starts an exchange unless too many run.
-func (n *Node) send(ctx context.Context, out gossip.Out) {
+func (n *Node) send(ctx context.Context, out gossip.Outbound) {
 	select {
 	case n.exchanges <- struct{}{}:
 	default:
@@ -219,8 +219,8 @@
 }
 
 // exchange sends a message and whatever follows from the reply.
-func (n *Node) exchange(ctx context.Context, out gossip.Out) {
-	for next := []gossip.Out{out}; len(next) > 0; {
+func (n *Node) exchange(ctx context.Context, out gossip.Outbound) {
+	for next := []gossip.Outbound{out}; len(next) > 0; {
 		out, next = next[0], next[1:]
 		var reply gossip.Message
 		n.calls.Inc()
@@ -233,12 +233,12 @@
 			n.failures.Inc()
 			n.Log.Debug("exchange failed", "peer", out.Name, "error", err)
 			if !answered(err) {
-				n.with(func(s *gossip.State) { s.Failed(out.Name) })
+				n.with(func(s *gossip.State) { s.PeerFailed(out.Name) })
 			}
 			return
 		}
 		n.received.Add(reply.Size())
-		n.with(func(s *gossip.State) { next = append(next, s.Answer(out, &reply)...) })
+		n.with(func(s *gossip.State) { next = append(next, s.HandleReply(out, &reply)...) })
 	}
 }
 
@@ -249,7 +249,7 @@
 }
 
 // pull fetches a version from a peer.
-func (n *Node) pull(ctx context.Context, from gossip.Out) {
+func (n *Node) pull(ctx context.Context, from gossip.Outbound) {
 	defer n.working.Done()
 	ctx, cancel := context.WithTimeout(ctx, pullLimit.Span())
 	defer cancel()
@@ -262,7 +262,7 @@
 		n.Log.Warn("pull failed", "peer", from.Name, "version", told, "error", err)
 	}
 	n.with(func(s *gossip.State) {
-		s.Pulled(told, err)
+		s.PullDone(told, err)
 		n.pulling = false
 	})
 }
@@ -300,24 +300,24 @@
 	}
 }
 
-// Settled is true once this process knows that it is not behind its peers; it
+// Synced is true once this process knows that it is not behind its peers; it
 // isn't ready before.
-func (n *Node) Settled() (settled bool) {
-	n.with(func(s *gossip.State) { settled = s.Settled() })
+func (n *Node) Synced() (settled bool) {
+	n.with(func(s *gossip.State) { settled = s.Synced() })
 	return settled
 }
 
-// Reads is true while this process is a reader of its data centre.
-func (n *Node) Reads() (reads bool) {
-	n.with(func(s *gossip.State) { reads = s.Reads() })
+// IsReader is true while this process is a reader of its data centre.
+func (n *Node) IsReader() (reads bool) {
+	n.with(func(s *gossip.State) { reads = s.IsReader() })
 	return reads
 }
 
 // Leave tells all that this process takes no new work from now on.
 func (n *Node) Leave() { n.with(func(s *gossip.State) { s.Leave() }) }
 
-// Mark spreads a mark.
-func (n *Node) Mark(m gossip.Mark) { n.with(func(s *gossip.State) { s.Mark(m) }) }
+// SetMark spreads a mark.
+func (n *Node) SetMark(m gossip.Mark) { n.with(func(s *gossip.State) { s.SetMark(m) }) }
 
 // Status describes what is known.
 func (n *Node) Status() (st gossip.Status) {
--- a/magno/spread/node_test.go
+++ b/magno/spread/node_test.go
@@ -44,7 +44,7 @@
 	p.Node = &Node{
 		Self: gossip.Member{Name: name, Role: magno.RoleAgent, DataCentre: dc, Address: mesh.Addr()},
 		Mesh: mesh, Store: &config.Store{}, List: l.get, Clock: clock,
-		Learn: func(in magno.Instance) {
+		OnInstance: func(in magno.Instance) {
 			p.mu.Lock()
 			defer p.mu.Unlock()
 			p.told[in.Name] = in.State
@@ -118,7 +118,7 @@
 	everyone := func(version int64) func() bool {
 		return func() bool {
 			for _, p := range all {
-				if p.Store.Version() != version || !p.Settled() {
+				if p.Store.Version() != version || !p.Synced() {
 					return false
 				}
 			}
@@ -157,19 +157,19 @@
 	}
 	readers := func() (n int) {
 		for _, p := range all {
-			if p.Reads() {
+			if p.IsReader() {
 				n++
 			}
 		}
 		return n
 	}
-	until(t, "two readers", func() bool { return readers() == gossip.Wide })
+	until(t, "two readers", func() bool { return readers() == gossip.RoleReplicas })
 	for i, p := range all {
-		if p.Reads() {
+		if p.IsReader() {
 			p.stop()
 			all = append(all[:i:i], all[i+1:]...)
 			break
 		}
 	}
-	until(t, "two readers again", func() bool { return readers() == gossip.Wide })
+	until(t, "two readers again", func() bool { return readers() == gossip.RoleReplicas })
 }
--- a/magno/wire/call.go
+++ b/magno/wire/call.go
@@ -45,8 +45,8 @@
 	errShut = errors.New("this process is closing its connections")
 )
 
-// Slow is true when a stream ended because its caller took no parts.
-func Slow(err error) bool { return errors.Is(err, errSlow) }
+// SlowConsumer is true when a stream ended because its caller took no parts.
+func SlowConsumer(err error) bool { return errors.Is(err, errSlow) }
 
 // TooLarge is true when a message was over the limit and not sent.
 func TooLarge(err error) bool { return errors.Is(err, errTooLarge) }
@@ -276,7 +276,7 @@
 // room makes place for one more connection by closing the one unused for
 // longest. The caller holds mu.
 func (m *Mesh) room() bool {
-	if len(m.links) < m.MaxLinks {
+	if len(m.links) < m.MaxConns {
 		return true
 	}
 	var oldest *link
--- a/magno/wire/mesh.go
+++ b/magno/wire/mesh.go
@@ -63,8 +63,8 @@
 	// Allow lists IP addresses and CIDR prefixes whose calls are taken. Empty
 	// means loopback alone.
 	Allow []string
-	// MaxLinks bounds outgoing connections; zero means 512.
-	MaxLinks int
+	// MaxConns bounds outgoing connections; zero means 512.
+	MaxConns int
 	// Clock may be nil, for the machine's.
 	Clock *magno.Clock
 	// Log may be nil.
@@ -129,8 +129,8 @@
 	m.links = map[string]*link{}
 	m.peers = map[*link]struct{}{}
 	m.calls = make(chan struct{}, maxCalls)
-	if m.MaxLinks <= 0 {
-		m.MaxLinks = maxLinks
+	if m.MaxConns <= 0 {
+		m.MaxConns = maxLinks
 	}
 	if m.Log == nil {
 		m.Log = slog.New(slog.DiscardHandler)
--- a/magno/wire/mesh_test.go
+++ b/magno/wire/mesh_test.go
@@ -187,7 +187,7 @@
 // A process that talks to many peers in turn must not keep a connection to
 // each; one in use is never closed for another.
 func TestCacheIsBounded(t *testing.T) {
-	client := &Mesh{MaxLinks: 2}
+	client := &Mesh{MaxConns: 2}
 	hold := make(chan struct{})
 	servers := make([]*Mesh, 0, 4)
 	for range 4 {
@@ -247,7 +247,7 @@
 				t.Error(err)
 			}
 		})
-		if !Slow(err) {
+		if !SlowConsumer(err) {
 			t.Fatalf("round %d: %v", round, err)
 		}
 	}
