--- a/magno/gossip/conf.go
+++ b/magno/gossip/conf.go
@@ -6,9 +6,9 @@
 	"magnoliastall.example/magno/config"
 )
 
-// deltas returns those that lead on from the peer's version and fit in room.
-// A part of the way is worth sending too.
-func (s *State) deltas(in *Message, room int) ([]*config.Delta, int) {
+// deltasFor returns the deltas that follow the peer's version and fit in room,
+// and the room left. A prefix of the chain is sent if not all of it fits.
+func (s *State) deltasFor(in *Message, room int) ([]*config.Delta, int) {
 	now := s.Store.Now()
 	if now == nil || in.ConfigVersion == 0 || in.ConfigVersion >= now.Version {
 		return nil, room
@@ -28,14 +28,15 @@
 	return out, room
 }
 
-// takeConfig applies deltas and notes how sure the peer is of its version.
-func (s *State) takeConfig(in *Message) {
+// applyConfig applies the deltas of a message. If the peer has the same version,
+// its content is compared and the time of its confirmation taken over.
+func (s *State) applyConfig(in *Message) {
 	before := s.Store.Version()
 	for _, d := range in.Deltas {
 		err := s.Store.Apply(d, in.From)
 		if err != nil && !errors.Is(err, config.ErrOld) {
 			if !errors.Is(err, config.ErrGap) && !errors.Is(err, config.ErrSum) {
-				s.refused = d.To
+				s.rejected = d.To
 			}
 			break
 		}
@@ -52,35 +53,35 @@
 	}
 }
 
-// NextPull returns a peer that holds a version which deltas could not bring; the
-// caller fetches it. False when there is none.
+// NextPull returns the peer to fetch a full configuration from, if deltas could
+// not bring this process up to the peer's version, or false.
 func (s *State) NextPull() (Outbound, bool) {
-	to := s.behind
-	s.behind = Outbound{}
+	to := s.pullFrom
+	s.pullFrom = Outbound{}
 	return to, to.Name != ""
 }
 
-// PullDone ends a fetch. A version that this process refuses is not asked for
-// again; told is the version that the peer had.
-func (s *State) PullDone(told int64, err error) {
+// PullDone reports the result of a fetch from a peer that had the given version.
+// A version that is invalid here is not fetched again.
+func (s *State) PullDone(version int64, err error) {
 	if err == nil {
 		s.ConfigChanged()
 		return
 	}
 	if errors.Is(err, config.ErrBad) {
-		s.refused = told
+		s.rejected = version
 	}
 }
 
-// ConfigChanged tells that this process itself put a new version in force, so that it
-// goes to peers at once.
+// ConfigChanged reports that this process applied a new configuration version,
+// so that peers get it at once.
 func (s *State) ConfigChanged() {
 	s.init()
-	s.fresh = true
-	s.hasten()
+	s.configPending = true
+	s.scheduleUrgent()
 }
 
-// Status describes the state for operators.
+// Status describes the protocol state for operators.
 type Status struct {
 	Reader bool `json:"reader"`
 	Relay  bool `json:"relay"`
@@ -91,14 +92,14 @@
 	Suspect int  `json:"suspect"`
 	Leaving int  `json:"leaving"`
 	Marks   int  `json:"marks"`
-	// Pending counts records still to be passed on.
+	// Pending counts records that are still to be sent to peers.
 	Pending int `json:"rumours"`
 }
 
-// Status counts what is known.
+// Status returns the roles of this process and counts of members and records.
 func (s *State) Status() Status {
-	st := Status{Reader: s.IsReader(), Relay: s.IsRelay(), Synced: s.Synced(), NoPeers: s.join.alone,
-		Marks: s.table.marks, Pending: len(s.table.rumours)}
+	st := Status{Reader: s.IsReader(), Relay: s.IsRelay(), Synced: s.Synced(), NoPeers: s.join.noPeers,
+		Marks: s.table.marks, Pending: len(s.table.queue)}
 	for _, m := range s.Members() {
 		st.Members++
 		switch m.State {
@@ -112,14 +113,14 @@
 	return st
 }
 
-// HasMember is true when a member is known in that condition.
-func (s *State) HasMember(name string, c MemberState) bool {
+// HasMember reports whether a member is known in the given state.
+func (s *State) HasMember(name string, state MemberState) bool {
 	s.init()
 	e := s.table.entries["m"+name]
-	return e != nil && e.record.Member != nil && e.record.Member.State == c
+	return e != nil && e.record.Member != nil && e.record.Member.State == state
 }
 
-// Members lists every known member but the dead, in no order.
+// Members returns every known member that is not dead, in no particular order.
 func (s *State) Members() []Member {
 	s.init()
 	out := make([]Member, 0, len(s.table.entries))
--- a/magno/gossip/exchange.go
+++ b/magno/gossip/exchange.go
@@ -1,102 +1,105 @@
 package gossip
 
-// Receive takes a peer's message and returns the reply; false when the budget
-// is used up.
+// Receive handles a message of a peer and returns the reply, or false if the
+// byte budget is used up.
 func (s *State) Receive(in *Message) (*Message, bool) {
 	s.init()
-	s.join.answered(in.From, in.ConfigVersion)
-	s.take(in)
-	out, room, ok := s.message()
+	s.join.heardFrom(in.From, in.ConfigVersion)
+	s.apply(in)
+	out, room, ok := s.newMessage()
 	if !ok {
 		return nil, false
 	}
-	abroad := in.DataCentre != s.Self.DataCentre
-	out.Deltas, room = s.deltas(in, room)
+	remote := in.DataCentre != s.Self.DataCentre
+	out.Deltas, room = s.deltasFor(in, room)
 	if len(in.WantBuckets) > 0 {
-		out.Records = s.groups(in.Scope, in.WantBuckets, abroad, room)
-	} else if s.differs(in, out) {
-		s.attachSums(in, out, &room)
-		out.Records = s.rumours(room, abroad)
+		out.Records = s.bucketRecords(in.Scope, in.WantBuckets, remote, room)
+	} else if s.sumsDiffer(in, out) {
+		s.attachBucketSums(in, out, &room)
+		out.Records = s.pendingRecords(room, remote)
 	}
-	s.pay(out)
+	s.charge(out)
 	return out, true
 }
 
-// rumours returns what is to be passed on; what isn't urgent leaves the reserve.
-func (s *State) rumours(room int, abroad bool) []Record {
-	return s.table.news(s.Clock.Now(), room, min(room, s.budget.tokens-reserve-overhead), abroad)
+// pendingRecords returns queued records that fit in room. Those that are not
+// urgent leave the urgent reserve untouched.
+func (s *State) pendingRecords(room int, remote bool) []Record {
+	return s.table.dequeue(s.Clock.Now(), room, min(room, s.budget.tokens-urgentReserve-messageOverhead), remote)
 }
 
-// differs is true when one side lacks records that concern it.
-func (s *State) differs(in, out *Message) bool {
+// sumsDiffer reports whether the two sides differ in records that concern both.
+func (s *State) sumsDiffer(in, out *Message) bool {
 	return in.GlobalSum != out.GlobalSum || (in.DataCentre == out.DataCentre && in.LocalSum != out.LocalSum)
 }
 
-// groups returns the records of groups that fit in room.
-func (s *State) groups(sc scope, want []int, abroad bool, room int) []Record {
+// bucketRecords returns the records of the wanted buckets that fit in room.
+// Another data centre gets only records of global scope.
+func (s *State) bucketRecords(sc scope, want []int, remote bool, room int) []Record {
 	var out []Record
-	if sc < inside || sc >= scopes || (abroad && sc != wide) {
+	if sc < scopeLocal || sc >= numScopes || (remote && sc != scopeGlobal) {
 		return nil
 	}
-	for _, g := range want[:min(len(want), mendGroups)] {
-		if g < 0 || g >= groups {
+	for _, g := range want[:min(len(want), maxRepairBuckets)] {
+		if g < 0 || g >= numBuckets {
 			continue
 		}
 		var records []Record
-		records, room = s.table.group(sc, g, s.Clock.Now(), room, s.Rand.IntN(1<<16))
+		records, room = s.table.bucket(sc, g, s.Clock.Now(), room, s.Rand.IntN(1<<16))
 		out = append(out, records...)
 	}
 	return out
 }
 
-// attachSums adds the sums of all groups of a scope that differs. While there
-// is news it is most likely the reason, so that only each fourth time counts.
-func (s *State) attachSums(in, out *Message, room *int) {
-	const size = 4*groups*4/3 + 32
+// attachBucketSums adds all bucket sums of a scope that differs. While records
+// are queued they are the likely cause of the difference, so that sums are only
+// attached every fourth time.
+func (s *State) attachBucketSums(in, out *Message, room *int) {
+	const size = 4*numBuckets*4/3 + 32
 	if *room < size {
 		return
 	}
-	if s.mends++; len(s.table.rumours) > 0 && s.mends%4 != 0 {
+	if s.mismatches++; len(s.table.queue) > 0 && s.mismatches%4 != 0 {
 		return
 	}
-	out.Scope = wide
+	out.Scope = scopeGlobal
 	if in.GlobalSum == out.GlobalSum {
-		out.Scope = inside
+		out.Scope = scopeLocal
 	}
-	out.BucketSums = s.table.encode(out.Scope)
+	out.BucketSums = s.table.encodeSums(out.Scope)
 	*room -= size
 }
 
-// HandleReply takes the reply to an exchange and returns a further message to the
-// same peer when something still differs.
+// HandleReply handles the reply to an exchange and returns a further message to
+// the same peer if records or configuration still differ.
 func (s *State) HandleReply(to Outbound, in *Message) []Outbound {
 	s.init()
-	delete(s.failed, to.Name)
+	delete(s.failedAt, to.Name)
 	delete(s.retry, to.Name)
-	s.join.answered(to.Name, in.ConfigVersion)
-	s.take(in)
-	if in.ConfigVersion > s.Store.Version() && in.ConfigVersion != s.refused {
-		s.behind = to
+	s.join.heardFrom(to.Name, in.ConfigVersion)
+	s.apply(in)
+	if in.ConfigVersion > s.Store.Version() && in.ConfigVersion != s.rejected {
+		s.pullFrom = to
 	}
 	now := s.Store.Now()
-	var differ []int
-	if in.Scope == inside || in.Scope == wide {
-		differ = s.table.differ(in.Scope, in.BucketSums)
+	var mismatched []int
+	if in.Scope == scopeLocal || in.Scope == scopeGlobal {
+		mismatched = s.table.mismatched(in.Scope, in.BucketSums)
 	}
-	if len(differ) == 0 && (now == nil || in.ConfigVersion >= now.Version || in.ConfigVersion == 0) {
+	if len(mismatched) == 0 && (now == nil || in.ConfigVersion >= now.Version || in.ConfigVersion == 0) {
 		return nil
 	}
-	m, room, ok := s.message()
+	m, room, ok := s.newMessage()
 	if !ok {
 		return nil
 	}
-	m.Deltas, room = s.deltas(in, room)
-	s.Rand.Shuffle(len(differ), func(i, k int) { differ[i], differ[k] = differ[k], differ[i] })
-	m.Scope, m.WantBuckets = in.Scope, differ[:min(len(differ), mendGroups)]
-	m.Records = s.groups(m.Scope, m.WantBuckets, in.DataCentre != s.Self.DataCentre, room)
+	m.Deltas, room = s.deltasFor(in, room)
+	s.Rand.Shuffle(len(mismatched), func(i, k int) { mismatched[i], mismatched[k] = mismatched[k], mismatched[i] })
+	m.Scope, m.WantBuckets = in.Scope, mismatched[:min(len(mismatched), maxRepairBuckets)]
+	m.Records = s.bucketRecords(m.Scope, m.WantBuckets, in.DataCentre != s.Self.DataCentre, room)
 	if len(m.Deltas) == 0 && len(m.WantBuckets) == 0 {
 		return nil
 	}
-	s.pay(m)
+	s.charge(m)
 	return []Outbound{{Name: to.Name, Address: to.Address, Message: m}}
 }
--- a/magno/gossip/fuzz_test.go
+++ b/magno/gossip/fuzz_test.go
@@ -9,8 +9,8 @@
 	"magnoliastall.example/magno/config"
 )
 
-// FuzzReceive feeds a process what a peer may send, as a message and as a
-// reply. It must answer within a message's size, or be silent.
+// FuzzReceive feeds arbitrary JSON to a process, as a message and as a reply. A
+// reply must not exceed the size limit.
 func FuzzReceive(f *testing.F) {
 	for _, seed := range []string{
 		`{}`, `null`, `{"from": "b", "dc": "x", "records": [{"member": {"name": "c", "inc": 1, "state": "live"}}, {"mark": {"key": "k", "left": 9}}]}`,
@@ -30,8 +30,8 @@
 			Self: Member{Name: "a", Role: magno.RoleAgent, DataCentre: "x", Address: "127.0.0.1:1"}, Clock: clock,
 			Store: &config.Store{Clock: clock}, Rand: rand.New(rand.NewPCG(1, 1)),
 		}
-		if out, ok := s.Receive(&in); ok && out.Size() > maxMessage+overhead {
-			t.Errorf("%q was answered by %d bytes", data, out.Size())
+		if out, ok := s.Receive(&in); ok && out.Size() > maxMessageSize+messageOverhead {
+			t.Errorf("%q: the reply has %d bytes", data, out.Size())
 		}
 		s.HandleReply(Outbound{Name: "b", Message: &Message{}}, &in)
 		clock.Advance(Interval)
--- a/magno/gossip/merge.go
+++ b/magno/gossip/merge.go
@@ -1,12 +1,13 @@
 package gossip
 
-// PeerFailed notes that a peer did not answer. A peer of the same data centre
-// becomes a suspect; of another data centre only its own processes judge, for
-// a cut between the two says nothing about it.
+// PeerFailed reports that a peer did not answer. A peer of the same data centre
+// becomes suspect when it fails a second time. Peers of another data centre are
+// left to the processes there, since a partition between the two data centres
+// is no evidence against the peer.
 func (s *State) PeerFailed(name string) {
 	s.init()
 	now := s.Clock.Now()
-	s.failed[name] = now
+	s.failedAt[name] = now
 	s.view = nil
 	e := s.table.entries["m"+name]
 	if e == nil {
@@ -15,7 +16,7 @@
 	m := *e.record.Member
 	m.TTL = 0
 	if m.Incarnation == 0 {
-		s.ghosts[name] = true
+		s.neverReached[name] = true
 		return
 	}
 	if m.DataCentre != s.Self.DataCentre || m.State != Live {
@@ -23,7 +24,7 @@
 	}
 	if !s.retry[name] {
 		s.retry[name] = true
-		s.next = now
+		s.nextExchange = now
 		return
 	}
 	delete(s.retry, name)
@@ -31,27 +32,27 @@
 	s.merge(Record{Member: &m})
 }
 
-// take merges what a message brings.
-func (s *State) take(in *Message) {
+// apply merges the records and the configuration of a message.
+func (s *State) apply(in *Message) {
 	for _, r := range in.Records {
 		if r.valid() {
 			s.merge(r)
 		}
 	}
-	s.takeConfig(in)
+	s.applyConfig(in)
 }
 
-// merge takes one record and hastens when it is news.
+// merge stores a record if it supersedes the known one, and runs the hooks.
 func (s *State) merge(r Record) {
 	if m := r.Member; m != nil && m.Name == s.Self.Name {
-		s.contradict(m)
+		s.refute(m)
 		return
 	}
-	if r.Mark != nil && r.Mark.TTL <= leastLeft {
+	if r.Mark != nil && r.Mark.TTL <= minTTL {
 		return
 	}
 	if m := r.Member; m != nil {
-		s.widen(m)
+		s.setGlobal(m)
 	}
 	if !s.put(r) {
 		return
@@ -62,45 +63,46 @@
 		}
 		return
 	}
-	delete(s.ghosts, r.Member.Name)
+	delete(s.neverReached, r.Member.Name)
 	if s.OnMember != nil && (r.Member.State == Live || r.Member.State == Leaving) {
 		s.OnMember(*r.Member)
 	}
 }
 
-// widen makes a record concern all data centres when it leaves, or when it
-// replaces one that did: others still hold the member for leaving.
-func (s *State) widen(m *Member) {
+// setGlobal gives a member global scope if it is leaving, or if its record
+// supersedes a global one: other data centres still have it as leaving.
+func (s *State) setGlobal(m *Member) {
 	if m.State == Leaving {
 		m.Global = true
 		return
 	}
-	if old := s.table.entries["m"+m.Name]; old != nil && old.scope == wide && m.over(old.record.Member) {
+	if old := s.table.entries["m"+m.Name]; old != nil && old.scope == scopeGlobal && m.supersedes(old.record.Member) {
 		m.Global = true
 	}
 }
 
-// contradict answers what others hold of this process.
-func (s *State) contradict(m *Member) {
+// refute handles a record of this process that came from a peer. If it is wrong,
+// this process raises its incarnation to override it.
+func (s *State) refute(m *Member) {
 	now := s.Clock.Now()
-	if !m.over(&s.Self) || now-s.contradicted < contradictEvery {
+	if !m.supersedes(&s.Self) || now-s.refutedAt < refuteInterval {
 		return
 	}
 	if m.State == Leaving && m.Incarnation == s.Self.Incarnation {
-		// Another process read in the platform's list that this one leaves.
+		// Another process read in the platform's list that this one is leaving.
 		s.Self.State = Leaving
 		if s.OnMember != nil {
 			s.OnMember(s.Self)
 		}
-		s.tellSelf()
+		s.announceSelf()
 		return
 	}
 	if m.State == s.Self.State && m.Incarnation == s.Self.Incarnation {
 		s.Self.Global = m.Global
-		s.tellSelf()
+		s.announceSelf()
 		return
 	}
-	s.contradicted = now
+	s.refutedAt = now
 	s.Self.Incarnation = m.Incarnation + 1
-	s.tellSelf()
+	s.announceSelf()
 }
--- a/magno/gossip/role.go
+++ b/magno/gossip/role.go
@@ -9,167 +9,170 @@
 	"magnoliastall.example/magno"
 )
 
-// view is what follows from the members.
+// view is derived from the members and rebuilt after a change of them.
 type view struct {
-	// local are other members of this data centre that can be talked to.
+	// local are the other members of this data centre that are contacted.
 	local []*Member
-	// lost are other members of this data centre that are suspect or dead, or
-	// never answered.
-	lost []*Member
-	// readers and relays of this data centre, Wide at most.
+	// unreachable are the other members of this data centre that are suspect or
+	// dead, or were listed but never answered.
+	unreachable []*Member
+	// readers and relays are the candidates of this data centre, in order of
+	// rank; the first RoleReplicas of each have the role.
 	readers, relays []*Member
-	// centres lists other data centres, and far their members by rank as
-	// relays.
-	centres []string
-	far     map[string][]*Member
+	// remoteCentres are the other data centres, remoteRelays the candidates for
+	// relays there, in order of rank.
+	remoteCentres []string
+	remoteRelays  map[string][]*Member
 }
 
-// look returns the view, made anew after a change of members.
-func (s *State) look() *view {
+// currentView returns the view, rebuilt if members changed.
+func (s *State) currentView() *view {
 	if s.view != nil {
 		return s.view
 	}
-	v := &view{far: map[string][]*Member{}}
-	var chosen []*Member
+	v := &view{remoteRelays: map[string][]*Member{}}
+	var candidates []*Member
 	for _, e := range s.table.entries {
 		m := e.record.Member
 		if m == nil {
 			continue
 		}
-		able := m.State == Live && !s.ghosts[m.Name]
+		eligible := m.State == Live && !s.neverReached[m.Name]
 		switch {
 		case m.DataCentre != s.Self.DataCentre:
 			if m.State == Live {
-				v.far[m.DataCentre] = append(v.far[m.DataCentre], m)
+				v.remoteRelays[m.DataCentre] = append(v.remoteRelays[m.DataCentre], m)
 			}
 			continue
-		case able:
-			chosen = append(chosen, m)
+		case eligible:
+			candidates = append(candidates, m)
 		}
 		if m.Name == s.Self.Name {
 			continue
 		}
-		if able || (m.State == Leaving && !s.ghosts[m.Name]) {
+		if eligible || (m.State == Leaving && !s.neverReached[m.Name]) {
 			v.local = append(v.local, m)
 		} else {
-			v.lost = append(v.lost, m)
+			v.unreachable = append(v.unreachable, m)
 		}
 	}
 	byName := func(a, b *Member) int { return cmp.Compare(a.Name, b.Name) }
 	slices.SortFunc(v.local, byName)
-	slices.SortFunc(v.lost, byName)
-	v.readers = slices.Clone(top(chosen, "reader"))
-	v.relays = slices.Clone(top(chosen, "relay"))
-	for dc, members := range v.far {
-		v.centres = append(v.centres, dc)
-		// Those that never answered come last, not never: a cut may have lain
-		// between when this process started.
-		heard := slices.DeleteFunc(slices.Clone(members), func(m *Member) bool { return s.ghosts[m.Name] })
-		if len(heard) > 0 {
-			members = heard
+	slices.SortFunc(v.unreachable, byName)
+	v.readers = slices.Clone(topRanked(candidates, "reader"))
+	v.relays = slices.Clone(topRanked(candidates, "relay"))
+	for dc, members := range v.remoteRelays {
+		v.remoteCentres = append(v.remoteCentres, dc)
+		// Members that never answered are used only if there are no others, but
+		// not excluded: this process may have started during a partition.
+		reached := slices.DeleteFunc(slices.Clone(members), func(m *Member) bool { return s.neverReached[m.Name] })
+		if len(reached) > 0 {
+			members = reached
 		}
-		v.far[dc] = top(members, "relay")
+		v.remoteRelays[dc] = topRanked(members, "relay")
 	}
-	slices.Sort(v.centres)
+	slices.Sort(v.remoteCentres)
 	s.view = v
 	return v
 }
 
-// RoleCandidates is how many relays of another data centre are remembered, in
-// order: when the first don't answer, the next are tried.
+// RoleCandidates is how many members are ranked for a role in a data centre;
+// if the first don't answer, the next are tried.
 const RoleCandidates = 4 * RoleReplicas
 
-// top returns the first members by rendezvous hash for a duty. Every process
-// with the same members makes the same choice, and one member lost moves only
-// its own place.
-func top(members []*Member, duty string) []*Member {
+// topRanked returns the RoleCandidates best members by rendezvous hash for a
+// role. Processes with the same members agree on the ranking, and the loss of
+// one member only moves the roles that it had.
+func topRanked(members []*Member, role string) []*Member {
 	slices.SortFunc(members, func(a, b *Member) int {
-		return cmp.Or(cmp.Compare(weight(b.Name, duty), weight(a.Name, duty)), cmp.Compare(a.Name, b.Name))
+		return cmp.Or(cmp.Compare(score(b.Name, role), score(a.Name, role)), cmp.Compare(a.Name, b.Name))
 	})
 	return members[:min(len(members), RoleCandidates)]
 }
 
-func weight(name, duty string) uint64 { return xxhash.Sum64String(duty + "\x00" + name) }
+func score(name, role string) uint64 { return xxhash.Sum64String(role + "\x00" + name) }
 
-// holds is true when self is among the first Wide.
-func holds(ranked []*Member, name string) bool {
-	return among(ranked[:min(len(ranked), RoleReplicas)], name)
+// hasRole reports whether the member is among the first RoleReplicas.
+func hasRole(ranked []*Member, name string) bool {
+	return contains(ranked[:min(len(ranked), RoleReplicas)], name)
 }
 
-func among(members []*Member, name string) bool {
+func contains(members []*Member, name string) bool {
 	return slices.ContainsFunc(members, func(m *Member) bool { return m.Name == name })
 }
 
-// IsReader is true when this process is to watch the configuration service for
+// IsReader reports whether this process watches the configuration service for
 // its data centre.
 func (s *State) IsReader() bool {
 	s.init()
-	return holds(s.look().readers, s.Self.Name)
+	return hasRole(s.currentView().readers, s.Self.Name)
 }
 
-// IsRelay is true when this process exchanges with other data centres.
+// IsRelay reports whether this process exchanges with other data centres.
 func (s *State) IsRelay() bool {
 	s.init()
-	return holds(s.look().relays, s.Self.Name)
+	return hasRole(s.currentView().relays, s.Self.Name)
 }
 
-// reconnect is how many exchanges there are, on average, to one that tries a
-// lost member of the own data centre: after a cut heals somebody has to begin.
-const reconnect = 8
+// reconnectOdds: one exchange in this many, on average, also tries an
+// unreachable member of the data centre, so that the two sides of a partition
+// find each other after it heals.
+const reconnectOdds = 8
 
-// heirs is how many members, next in rank after the readers, talk to a reader
-// in each exchange. By chance alone both readers lost with a rack would go
-// unnoticed for as long as it takes to ask dozens of the dead.
-const heirs = 4
+// readerSuccessors is how many members, next in rank after the readers, contact
+// a reader in each exchange. With random peers alone, the loss of both readers
+// in one rack would stay unnoticed while dozens of other lost members are tried.
+const readerSuccessors = 4
 
-// partners chooses who is talked to now.
-func (s *State) partners(now magno.Millis) []*Member {
-	v := s.look()
+// selectPeers chooses the peers of this exchange.
+func (s *State) selectPeers(now magno.Millis) []*Member {
+	v := s.currentView()
 	n := 1
 	switch {
-	case s.news || s.seeking(now):
+	case s.urgent || s.joining(now):
 		n = fanout
-	case s.table.pending(false):
+	case s.table.urgentPending(false):
 		n = fanout - 1
 	}
-	chosen := s.pick(v.local, n, now)
-	if holds(v.relays, s.Self.Name) {
-		abroad := 1
-		if s.table.pending(true) || s.fresh {
-			abroad = fanout
+	chosen := s.pickResponsive(v.local, n, now)
+	if hasRole(v.relays, s.Self.Name) {
+		remote := 1
+		if s.table.urgentPending(true) || s.configPending {
+			remote = fanout
 		}
-		chosen = append(chosen, s.distant(v, abroad, now)...)
-	} else if s.news {
-		near := v.relays[:min(len(v.relays), RoleReplicas)]
-		chosen = append(chosen, s.pick(near, 1, now)...)
+		chosen = append(chosen, s.pickRemote(v, remote, now)...)
+	} else if s.urgent {
+		relays := v.relays[:min(len(v.relays), RoleReplicas)]
+		chosen = append(chosen, s.pickResponsive(relays, 1, now)...)
 	}
-	if heir := v.readers[min(len(v.readers), RoleReplicas):]; among(heir[:min(len(heir), heirs)], s.Self.Name) {
+	if successors := v.readers[min(len(v.readers), RoleReplicas):]; contains(successors[:min(len(successors), readerSuccessors)], s.Self.Name) {
 		chosen = append(chosen, v.readers[s.Rand.IntN(RoleReplicas)])
 	}
-	if len(v.lost) > 0 && s.Rand.IntN(reconnect) == 0 {
-		chosen = append(chosen, v.lost[s.Rand.IntN(len(v.lost))])
+	if len(v.unreachable) > 0 && s.Rand.IntN(reconnectOdds) == 0 {
+		chosen = append(chosen, v.unreachable[s.Rand.IntN(len(v.unreachable))])
 	}
 	for name := range s.retry {
 		if e := s.table.entries["m"+name]; e != nil {
 			chosen = append(chosen, e.record.Member)
 		}
 	}
-	return distinct(chosen, s.Self.Name)
+	return deduplicate(chosen, s.Self.Name)
 }
 
-// pick returns up to n random members that answered when last asked.
-func (s *State) pick(from []*Member, n int, now magno.Millis) []*Member {
+// pickResponsive returns up to n random members that did not fail recently.
+func (s *State) pickResponsive(from []*Member, n int, now magno.Millis) []*Member {
 	var out []*Member
-	for _, i := range s.draw(len(from), 2*n) {
-		if len(out) < n && !s.silent(from[i].Name, now) {
+	for _, i := range s.randomIndexes(len(from), 2*n) {
+		if len(out) < n && !s.failedRecently(from[i].Name, now) {
 			out = append(out, from[i])
 		}
 	}
 	return out
 }
 
-// draw returns up to k different numbers below n, in random order.
-func (s *State) draw(n, k int) []int {
+// randomIndexes returns distinct numbers below n in random order: k of them, or
+// all if n is small.
+func (s *State) randomIndexes(n, k int) []int {
 	if n <= 2*k {
 		return s.Rand.Perm(n)
 	}
@@ -182,18 +185,18 @@
 	return out
 }
 
-// distant picks a relay in each of n random other data centres.
-func (s *State) distant(v *view, n int, now magno.Millis) []*Member {
+// pickRemote returns one relay in each of up to n random other data centres.
+func (s *State) pickRemote(v *view, n int, now magno.Millis) []*Member {
 	var out []*Member
-	for _, i := range s.draw(len(v.centres), n) {
+	for _, i := range s.randomIndexes(len(v.remoteCentres), n) {
 		if len(out) == n {
 			break
 		}
-		ranked := v.far[v.centres[i]]
+		ranked := v.remoteRelays[v.remoteCentres[i]]
 		first := s.Rand.IntN(min(len(ranked), RoleReplicas))
 		for k := range ranked {
 			m := ranked[(first+k)%len(ranked)]
-			if !s.silent(m.Name, now) {
+			if !s.failedRecently(m.Name, now) {
 				out = append(out, m)
 				break
 			}
@@ -202,13 +205,15 @@
 	return out
 }
 
-// silent is true when a member did not answer lately.
-func (s *State) silent(name string, now magno.Millis) bool {
-	at, failed := s.failed[name]
-	return failed && now-at < failedFor
+// failedRecently reports whether a member left a call unanswered within
+// failedBackoff.
+func (s *State) failedRecently(name string, now magno.Millis) bool {
+	at, failed := s.failedAt[name]
+	return failed && now-at < failedBackoff
 }
 
-func distinct(members []*Member, self string) []*Member {
+// deduplicate removes self and repeated members.
+func deduplicate(members []*Member, self string) []*Member {
 	seen := map[string]bool{self: true}
 	return slices.DeleteFunc(members, func(m *Member) bool {
 		had := seen[m.Name]
--- a/magno/gossip/table.go
+++ b/magno/gossip/table.go
@@ -11,128 +11,130 @@
 	"magnoliastall.example/magno"
 )
 
-// groups is how many sums tell two tables apart in each scope: a data centre
-// of 118 members has some two in a group, so mending one costs a few hundred
-// bytes.
-const groups = 64
+// numBuckets is how many checksums describe a table in each scope. A data centre
+// of 118 members has about two in a bucket, so that the repair of one takes a
+// few hundred bytes.
+const numBuckets = 64
 
-// scope says who is to know a record.
+// scope is the set of processes that need a record.
 type scope int
 
-// The scopes. Who is live, suspect or dead concerns its own data centre; who
-// leaves, and marks, concern all. Were every restart told to all 2,600
-// processes, one of a whole region would fill everyone's budget for minutes.
+// The scopes. Live, suspect and dead members concern their own data centre only;
+// leaving members and marks concern all. If every restart were sent to all 2,600
+// processes, that of a whole region would use up every budget for minutes.
 const (
-	inside scope = iota
-	wide
-	scopes
+	scopeLocal scope = iota
+	scopeGlobal
+	numScopes
 )
 
-// entry is a record with what this process keeps on it.
+// entry is a record with the local state of its dissemination.
 type entry struct {
 	record Record
 	scope  scope
-	// sum is zero for what only the platform's list told.
+	// sum is zero for a member that is only known from the platform's list.
 	sum  uint32
 	size int
-	// left is how many more times it is passed on within the data centre, far
-	// to others.
-	left, far int
-	// since is when this process learned the present content.
-	since magno.Millis
-	// until is when it is forgotten, zero for never.
-	until magno.Millis
+	// localSends is how many more times the record is sent within the data
+	// centre, remoteSends to others.
+	localSends, remoteSends int
+	// changedAt is when this process got the present content.
+	changedAt magno.Millis
+	// expiresAt is when the record is dropped, zero for never.
+	expiresAt magno.Millis
 }
 
-// table holds records, sums over them and what is still to be passed on.
+// table holds the records, their checksums and the queue of records to send.
 type table struct {
 	entries map[string]*entry
-	// order lists keys of each group.
-	order [scopes][groups][]string
-	sums  [scopes][groups]uint32
-	// rumours are keys with left or far over zero.
-	rumours map[string]*entry
-	marks   int
+	// keys lists the keys of each bucket.
+	keys [numScopes][numBuckets][]string
+	sums [numScopes][numBuckets]uint32
+	// queue has the entries with sends left.
+	queue map[string]*entry
+	marks int
 }
 
 func newTable() *table {
-	return &table{entries: map[string]*entry{}, rumours: map[string]*entry{}}
+	return &table{entries: map[string]*entry{}, queue: map[string]*entry{}}
 }
 
-func groupOf(key string) int { return int(xxhash.Sum64String(key) % groups) }
+func bucketOf(key string) int { return int(xxhash.Sum64String(key) % numBuckets) }
 
-// put takes r when it is news and returns whether it was.
-func (t *table) put(r Record, now magno.Millis, left, far int) bool {
+// put stores and queues r if it supersedes the known record, and reports
+// whether it did.
+func (t *table) put(r Record, now magno.Millis, localSends, remoteSends int) bool {
 	key := r.key()
 	old := t.entries[key]
-	if old != nil && !r.over(&old.record) {
+	if old != nil && !r.supersedes(&old.record) {
 		return false
 	}
 	if old == nil && r.Mark != nil && t.marks >= maxMarks {
 		return false
 	}
-	e := &entry{record: r, size: r.size(), since: now, left: left}
+	e := &entry{record: r, size: r.size(), changedAt: now, localSends: localSends}
 	if r.Mark != nil || r.Member.Global {
-		e.scope, e.far = wide, far
+		e.scope, e.remoteSends = scopeGlobal, remoteSends
 	}
 	if r.Mark != nil {
-		e.until = now + r.Mark.TTL
+		e.expiresAt = now + r.Mark.TTL
 	} else if r.Member.TTL > 0 {
-		e.until = now + r.Member.TTL
+		e.expiresAt = now + r.Member.TTL
 	}
-	// What only the platform's list told isn't passed on, nor compared.
+	// Members that are only known from the platform's list are neither sent nor
+	// compared.
 	if r.Mark != nil || r.Member.Incarnation > 0 {
 		e.sum = r.sum()
 	}
 	t.drop(key)
-	g := groupOf(key)
+	g := bucketOf(key)
 	t.entries[key] = e
-	t.order[e.scope][g] = append(t.order[e.scope][g], key)
+	t.keys[e.scope][g] = append(t.keys[e.scope][g], key)
 	t.sums[e.scope][g] += e.sum
 	if r.Mark != nil {
 		t.marks++
 	}
-	if e.left > 0 {
-		t.rumours[key] = e
+	if e.localSends > 0 {
+		t.queue[key] = e
 	}
 	return true
 }
 
-// drop forgets a record.
+// drop removes a record.
 func (t *table) drop(key string) {
 	e := t.entries[key]
 	if e == nil {
 		return
 	}
-	g := groupOf(key)
+	g := bucketOf(key)
 	t.sums[e.scope][g] -= e.sum
-	t.order[e.scope][g] = slices.DeleteFunc(t.order[e.scope][g], func(k string) bool { return k == key })
+	t.keys[e.scope][g] = slices.DeleteFunc(t.keys[e.scope][g], func(k string) bool { return k == key })
 	delete(t.entries, key)
-	delete(t.rumours, key)
+	delete(t.queue, key)
 	if e.record.Mark != nil {
 		t.marks--
 	}
 }
 
-// sum is equal for tables of equal content in a scope.
-func (t *table) sum(s scope) uint64 { return xxhash.Sum64(t.encode(s)) }
+// sum is the checksum over the records of a scope.
+func (t *table) sum(s scope) uint64 { return xxhash.Sum64(t.encodeSums(s)) }
 
-// encode returns the sums of all groups, four bytes each.
-func (t *table) encode(s scope) []byte {
-	out := make([]byte, 0, 4*groups)
+// encodeSums returns the checksums of all buckets, four bytes each.
+func (t *table) encodeSums(s scope) []byte {
+	out := make([]byte, 0, 4*numBuckets)
 	for _, sum := range t.sums[s] {
 		out = binary.LittleEndian.AppendUint32(out, sum)
 	}
 	return out
 }
 
-// differ lists the groups whose sums are not those encoded.
-func (t *table) differ(s scope, encoded []byte) []int {
+// mismatched returns the buckets whose checksums differ from those encoded.
+func (t *table) mismatched(s scope, encoded []byte) []int {
 	var out []int
-	if len(encoded) != 4*groups {
+	if len(encoded) != 4*numBuckets {
 		return nil
 	}
-	for g := range groups {
+	for g := range numBuckets {
 		if binary.LittleEndian.Uint32(encoded[4*g:]) != t.sums[s][g] {
 			out = append(out, g)
 		}
@@ -140,71 +142,71 @@
 	return out
 }
 
-// news returns rumours that fit in room bytes and counts them as passed on:
-// leaving members first, for they must lose their work within a second or
-// two, then those that were passed on least. To another data centre only what
-// is wide goes. Records that aren't urgent may take calm bytes at most.
-func (t *table) news(now magno.Millis, room, calm int, abroad bool) []Record {
-	if len(t.rumours) == 0 {
+// dequeue returns queued records that fit in room bytes and counts them as sent:
+// leaving members first, which must lose their work within a second or two, then
+// those with the most sends left. Another data centre gets only records of
+// global scope. Records that aren't urgent may take normalRoom bytes at most.
+func (t *table) dequeue(now magno.Millis, room, normalRoom int, remote bool) []Record {
+	if len(t.queue) == 0 {
 		return nil
 	}
-	waiting := make([]*entry, 0, len(t.rumours))
-	for _, e := range t.rumours {
-		if *e.count(abroad) > 0 {
-			waiting = append(waiting, e)
+	queued := make([]*entry, 0, len(t.queue))
+	for _, e := range t.queue {
+		if *e.sends(remote) > 0 {
+			queued = append(queued, e)
 		}
 	}
-	slices.SortFunc(waiting, func(a, b *entry) int {
-		return cmp.Or(cmp.Compare(urgency(b), urgency(a)), cmp.Compare(*b.count(abroad), *a.count(abroad)),
+	slices.SortFunc(queued, func(a, b *entry) int {
+		return cmp.Or(cmp.Compare(priority(b), priority(a)), cmp.Compare(*b.sends(remote), *a.sends(remote)),
 			cmp.Compare(a.record.key(), b.record.key()))
 	})
 	var out []Record
-	for _, e := range waiting {
-		r, ok := e.aged(now)
-		if ok && (e.size > room || (!r.urgent() && e.size > calm)) {
+	for _, e := range queued {
+		r, ok := e.outgoing(now)
+		if ok && (e.size > room || (!r.urgent() && e.size > normalRoom)) {
 			break
 		}
 		if ok {
-			room, calm = room-e.size, calm-e.size
+			room, normalRoom = room-e.size, normalRoom-e.size
 			out = append(out, r)
 		}
-		*e.count(abroad)--
-		if !ok || (e.left <= 0 && e.far <= 0) {
-			delete(t.rumours, e.record.key())
+		*e.sends(remote)--
+		if !ok || (e.localSends <= 0 && e.remoteSends <= 0) {
+			delete(t.queue, e.record.key())
 		}
 	}
 	return out
 }
 
-// count is how often the record is still to be passed on.
-func (e *entry) count(abroad bool) *int {
-	if abroad {
-		return &e.far
+// sends is how many more times the record is sent.
+func (e *entry) sends(remote bool) *int {
+	if remote {
+		return &e.remoteSends
 	}
-	return &e.left
+	return &e.localSends
 }
 
-// pending is true when something urgent is still to be passed on.
-func (t *table) pending(abroad bool) bool {
-	for _, e := range t.rumours {
-		if *e.count(abroad) > 0 && e.record.urgent() {
+// urgentPending reports whether an urgent record is queued.
+func (t *table) urgentPending(remote bool) bool {
+	for _, e := range t.queue {
+		if *e.sends(remote) > 0 && e.record.urgent() {
 			return true
 		}
 	}
 	return false
 }
 
-// quiet forgets what was to be told abroad; only relays tell it.
-func (t *table) quiet() {
-	for key, e := range t.rumours {
-		if e.far = 0; e.left <= 0 {
-			delete(t.rumours, key)
+// dropRemote cancels sends to other data centres, which are left to relays.
+func (t *table) dropRemote() {
+	for key, e := range t.queue {
+		if e.remoteSends = 0; e.localSends <= 0 {
+			delete(t.queue, key)
 		}
 	}
 }
 
-// urgency orders rumours, the highest first.
-func urgency(e *entry) int {
+// priority orders queued records, the highest first.
+func priority(e *entry) int {
 	m := e.record.Member
 	switch {
 	case m != nil && m.State == Leaving:
@@ -215,34 +217,35 @@
 	return 0
 }
 
-// aged returns the record as it is to be sent now; false when it has ended.
-func (e *entry) aged(now magno.Millis) (Record, bool) {
-	left := e.until - now
-	if e.until > 0 && left <= leastLeft {
+// outgoing returns the record with its remaining TTL, or false if it expires
+// within minTTL or must not be sent.
+func (e *entry) outgoing(now magno.Millis) (Record, bool) {
+	ttl := e.expiresAt - now
+	if e.expiresAt > 0 && ttl <= minTTL {
 		return Record{}, false
 	}
 	if e.record.Mark != nil {
 		m := *e.record.Mark
-		m.TTL = left
+		m.TTL = ttl
 		return Record{Mark: &m}, true
 	}
-	if e.until == 0 {
+	if e.expiresAt == 0 {
 		return e.record, e.record.Member.Incarnation > 0
 	}
 	m := *e.record.Member
-	m.TTL = left
+	m.TTL = ttl
 	return Record{Member: &m}, m.Incarnation > 0
 }
 
-// group returns the records of one group that fit in room, beginning at a
-// place that differs from call to call, so that a group too large for one
-// message gets through in several.
-func (t *table) group(s scope, g int, now magno.Millis, room, start int) ([]Record, int) {
+// bucket returns the records of one bucket that fit in room, and the room left.
+// It begins at start, which callers vary, so that a bucket too large for one
+// message is transferred in several.
+func (t *table) bucket(s scope, g int, now magno.Millis, room, start int) ([]Record, int) {
 	var out []Record
-	keys := t.order[s][g]
+	keys := t.keys[s][g]
 	for i := range keys {
 		e := t.entries[keys[(start+i)%len(keys)]]
-		r, ok := e.aged(now)
+		r, ok := e.outgoing(now)
 		if !ok || e.size > room {
 			continue
 		}
@@ -252,7 +255,7 @@
 	return out, room
 }
 
-// passes returns how often a record is passed on among n processes: with
-// three more than the binary logarithm nearly all have heard it, and sums
-// mend the rest.
-func passes(n int) int { return bits.Len(uint(max(n, 1))) + 3 }
+// retransmits returns how often a record is sent by each of n processes that
+// have it: with three more than the binary logarithm nearly all get it, and
+// anti-entropy delivers it to the rest.
+func retransmits(n int) int { return bits.Len(uint(max(n, 1))) + 3 }
