--- a/magno/spread/node.go
+++ b/magno/spread/node.go
@@ -1,10 +1,10 @@
-// Package spread carries gossip between processes and follows what it decides:
-// it watches the configuration service while this process is a reader, and
-// fetches from a peer what deltas can't bring.
+// Package spread runs the gossip protocol over the network and acts on its
+// decisions: it watches the configuration service while this process is a reader,
+// and fetches the full configuration from a peer if deltas are not enough.
 //
 //	gossip.State --exchanges--> mesh --> peers
 //	      |  ^------ replies, requests ----'
-//	      +-- reads? --> watch.Reader --> config.Store
+//	      +-- reader? --> watch.Reader --> config.Store
 //	      +-- behind? --> mend.Mender --> config.Store
 package spread
 
@@ -26,63 +26,66 @@
 	"magnoliastall.example/magno/wire"
 )
 
-// Figures of a node.
 const (
-	// tickEvery is half of gossip.Haste, so that news waits no longer.
-	tickEvery = 25 * magno.Millis(1)
-	// callLimit is how long an exchange waits: several round trips between
-	// regions, and short enough that a lost peer is noticed within seconds.
-	callLimit = magno.Second
-	// pullLimit is how long a whole version may take; tens of megabytes.
-	pullLimit = magno.Minute
-	// seedEvery is how often the platform's list is compared.
-	seedEvery = magno.Second
-	// maxExchanges is how many run at once.
+	// tickInterval is half of gossip.UrgentInterval, so that ticks add little delay
+	// to urgent changes.
+	tickInterval = 25 * magno.Millis(1)
+	// exchangeTimeout is several round trips between regions, but short enough that a
+	// lost peer is noticed within seconds.
+	exchangeTimeout = magno.Second
+	// pullTimeout is for a full configuration of tens of megabytes.
+	pullTimeout = magno.Minute
+	// mergeInterval is how often the platform's list is merged.
+	mergeInterval = magno.Second
+	// maxExchanges is how many exchanges run at once.
 	maxExchanges = 16
-	// maxPulls is how many peers this process serves at once. The others go
-	// to peers that were served before, so that the number doubles.
-	maxPulls = 2
+	// maxServedPulls is how many peers fetch a configuration from this process at
+	// once. The others try peers that already have it, so that the number of
+	// sources doubles each round.
+	maxServedPulls = 2
 )
 
-// Node is the part of a process that talks about state with others. Fields
+// Node connects the gossip protocol of a process to its mesh and store. Fields
 // are set before Open.
 type Node struct {
-	// Self is this process, without condition and incarnation.
+	// Self is this process, without state and incarnation.
 	Self  gossip.Member
 	Mesh  *wire.Mesh
 	Store *config.Store
-	// Reader is run while this process is a reader of its data centre; nil
-	// for a process that never is.
+	// Reader runs while this process is a reader of its data centre; nil for a
+	// process that never is.
 	Reader *watch.Reader
-	// List returns the platform's list as last read, false before that.
+	// List returns the platform's list as last read, false before the first read.
 	List func() ([]magno.Instance, bool)
-	// OnInstance is told what peers say of an instance; Marked of a mark. Both may
-	// be nil, and neither may call the node.
+	// OnInstance is called when an instance is live or leaving according to a peer,
+	// OnMark with each new mark. Both may be nil, and neither may call the node.
 	OnInstance func(magno.Instance)
 	OnMark     func(gossip.Mark)
 	Clock      *magno.Clock
 	Log        *slog.Logger
 	// Metrics may be nil.
 	Metrics *metrics.Set
-	// SendRate is in bytes a second sent; zero means gossip.DefaultBudget.
+	// SendRate is in bytes a second; zero means gossip.DefaultSendRate.
 	SendRate int
 
 	mu    sync.Mutex
 	state *gossip.State
 
-	mender    *mend.Mender
-	pulls     chan struct{}
-	exchanges chan struct{}
-	pulling   bool
-	working   sync.WaitGroup
+	mender *mend.Mender
+	// servedPulls and running limit concurrent pulls by peers and exchanges.
+	servedPulls chan struct{}
+	running     chan struct{}
+	pulling     bool
+	wg          sync.WaitGroup
 
-	sent, received, calls, failures, refused *metrics.Counter
+	sent, received, exchanges, failures, overBudget *metrics.Counter
 }
 
-// Name returns the duty's name.
+// Name implements magno.Duty.
 func (n *Node) Name() string { return "spread" }
 
-// Open takes its methods on the mesh. It is called once, before either runs.
+// Open registers the handlers on the mesh. It is called once, before the mesh or
+// the node runs.
 func (n *Node) Open() {
 	if n.Log == nil {
 		n.Log = slog.New(slog.DiscardHandler)
@@ -92,23 +95,23 @@
 	}
 	now := n.Clock.Now()
 	n.state = &gossip.State{
-		Self: n.Self, Store: n.Store, Clock: n.Clock, SendRate: n.SendRate, OnMark: n.OnMark, OnMember: n.learn,
+		Self: n.Self, Store: n.Store, Clock: n.Clock, SendRate: n.SendRate, OnMark: n.OnMark, OnMember: n.onMember,
 		Rand: rand.New(rand.NewPCG(uint64(now), uint64(len(n.Self.Name)))), //nolint:gosec // no secret
 	}
 	n.mender = &mend.Mender{Store: n.Store}
-	n.pulls = make(chan struct{}, maxPulls)
-	n.exchanges = make(chan struct{}, maxExchanges)
-	n.measure()
-	n.Mesh.Handle(magno.MethodGossip, n.receive)
-	n.Mesh.Handle(magno.MethodDelta, n.serve)
+	n.servedPulls = make(chan struct{}, maxServedPulls)
+	n.running = make(chan struct{}, maxExchanges)
+	n.initMetrics()
+	n.Mesh.Handle(magno.MethodGossip, n.handleMessage)
+	n.Mesh.Handle(magno.MethodDelta, n.servePull)
 }
 
-func (n *Node) measure() {
+func (n *Node) initMetrics() {
 	n.sent = n.Metrics.GetOrCreateCounter("gossip_sent_bytes_total")
 	n.received = n.Metrics.GetOrCreateCounter("gossip_received_bytes_total")
-	n.calls = n.Metrics.GetOrCreateCounter("gossip_exchanges_total")
+	n.exchanges = n.Metrics.GetOrCreateCounter("gossip_exchanges_total")
 	n.failures = n.Metrics.GetOrCreateCounter("gossip_failures_total")
-	n.refused = n.Metrics.GetOrCreateCounter("gossip_over_budget_total")
+	n.overBudget = n.Metrics.GetOrCreateCounter("gossip_over_budget_total")
 	n.Metrics.GetOrCreateGauge("gossip_members", func() float64 { return float64(n.Status().Members) })
 	n.Metrics.GetOrCreateGauge("gossip_suspects", func() float64 { return float64(n.Status().Suspect) })
 	n.Metrics.GetOrCreateGauge("gossip_reader", func() float64 {
@@ -119,7 +122,7 @@
 	})
 }
 
-func (n *Node) learn(m gossip.Member) {
+func (n *Node) onMember(m gossip.Member) {
 	if n.OnInstance == nil {
 		return
 	}
@@ -131,99 +134,99 @@
 	n.OnInstance(in)
 }
 
-// Run exchanges until ctx ends.
+// Run runs the protocol until ctx ends.
 func (n *Node) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
-	defer n.working.Wait()
+	defer n.wg.Wait()
 	defer cancel()
 	changes := n.Store.Subscribe()
-	ticks := time.NewTicker(tickEvery.Span())
+	ticks := time.NewTicker(tickInterval.Span())
 	defer ticks.Stop()
 	reader := &role{name: "reader", log: n.Log}
 	defer reader.stop()
-	var seeded magno.Millis
+	var lastMerge magno.Millis
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
 		case <-changes:
-			n.with(func(s *gossip.State) { s.ConfigChanged() })
+			n.withState(func(s *gossip.State) { s.ConfigChanged() })
 		case <-ticks.C:
-			if now := n.Clock.Now(); now-seeded >= seedEvery {
-				seeded = now
-				n.seed()
+			if now := n.Clock.Now(); now-lastMerge >= mergeInterval {
+				lastMerge = now
+				n.mergeInstances()
 			}
 			n.tick(ctx)
 			if n.Reader != nil {
-				reader.set(ctx, n.IsReader(), n.Reader.Run)
+				reader.setHeld(ctx, n.IsReader(), n.Reader.Run)
 			}
 		}
 	}
 }
 
-// with calls f while no other goroutine uses the state.
-func (n *Node) with(f func(*gossip.State)) {
+// withState calls f with the state locked.
+func (n *Node) withState(f func(*gossip.State)) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	f(n.state)
 }
 
-// seed compares the platform's list, and says again who leaves, for a lagging
-// list may have said otherwise since.
-func (n *Node) seed() {
+// mergeInstances merges the platform's list, and reports leaving members again:
+// the list, which lags, may have replaced their state since.
+func (n *Node) mergeInstances() {
 	list, ok := n.List()
 	if !ok {
 		return
 	}
-	n.with(func(s *gossip.State) {
+	n.withState(func(s *gossip.State) {
 		s.MergeInstances(list)
 		for _, m := range s.Members() {
 			if m.State == gossip.Leaving && m.Incarnation > 0 {
-				n.learn(m)
+				n.onMember(m)
 			}
 		}
 	})
 }
 
 func (n *Node) tick(ctx context.Context) {
-	var outs []gossip.Outbound
+	var messages []gossip.Outbound
 	var from gossip.Outbound
-	n.with(func(s *gossip.State) {
-		outs = s.Tick()
+	n.withState(func(s *gossip.State) {
+		messages = s.Tick()
 		if !n.pulling {
 			from, n.pulling = s.NextPull()
 		}
 	})
-	for _, out := range outs {
+	for _, out := range messages {
 		n.send(ctx, out)
 	}
 	if from.Name != "" {
-		n.working.Add(1)
+		n.wg.Add(1)
 		go n.pull(ctx, from)
 	}
 }
 
-// send starts an exchange unless too many run.
+// send starts an exchange, or drops the message if too many are running.
 func (n *Node) send(ctx context.Context, out gossip.Outbound) {
 	select {
-	case n.exchanges <- struct{}{}:
+	case n.running <- struct{}{}:
 	default:
 		return
 	}
-	n.working.Add(1)
+	n.wg.Add(1)
 	go func() {
-		defer n.working.Done()
-		defer func() { <-n.exchanges }()
+		defer n.wg.Done()
+		defer func() { <-n.running }()
 		n.exchange(ctx, out)
 	}()
 }
 
-// exchange sends a message and whatever follows from the reply.
+// exchange sends a message and the further ones that result from replies.
 func (n *Node) exchange(ctx context.Context, out gossip.Outbound) {
 	for next := []gossip.Outbound{out}; len(next) > 0; {
 		out, next = next[0], next[1:]
 		var reply gossip.Message
-		n.calls.Inc()
+		n.exchanges.Inc()
 		n.sent.Add(out.Message.Size())
 		err := n.call(ctx, out.Address, magno.MethodGossip, out.Message, &reply)
 		if ctx.Err() != nil {
@@ -232,43 +235,43 @@
 		if err != nil {
 			n.failures.Inc()
 			n.Log.Debug("exchange failed", "peer", out.Name, "error", err)
-			if !answered(err) {
-				n.with(func(s *gossip.State) { s.PeerFailed(out.Name) })
+			if !refusedByPeer(err) {
+				n.withState(func(s *gossip.State) { s.PeerFailed(out.Name) })
 			}
 			return
 		}
 		n.received.Add(reply.Size())
-		n.with(func(s *gossip.State) { next = append(next, s.HandleReply(out, &reply)...) })
+		n.withState(func(s *gossip.State) { next = append(next, s.HandleReply(out, &reply)...) })
 	}
 }
 
 func (n *Node) call(ctx context.Context, addr, method string, params, result any) error {
-	ctx, cancel := context.WithTimeout(ctx, callLimit.Span())
+	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout.Span())
 	defer cancel()
 	return n.Mesh.Call(ctx, addr, method, params, result)
 }
 
-// pull fetches a version from a peer.
+// pull fetches the configuration from a peer.
 func (n *Node) pull(ctx context.Context, from gossip.Outbound) {
-	defer n.working.Done()
-	ctx, cancel := context.WithTimeout(ctx, pullLimit.Span())
+	defer n.wg.Done()
+	ctx, cancel := context.WithTimeout(ctx, pullTimeout.Span())
 	defer cancel()
-	told, err := n.mender.Pull(ctx, from.Name, func(ctx context.Context, ask mend.Ask) (mend.Reply, error) {
+	version, err := n.mender.Pull(ctx, from.Name, func(ctx context.Context, req mend.Ask) (mend.Reply, error) {
 		var reply mend.Reply
-		err := n.Mesh.Call(ctx, from.Address, magno.MethodDelta, ask, &reply)
+		err := n.Mesh.Call(ctx, from.Address, magno.MethodDelta, req, &reply)
 		return reply, err
 	})
 	if err != nil && ctx.Err() == nil {
-		n.Log.Warn("pull failed", "peer", from.Name, "version", told, "error", err)
+		n.Log.Warn("configuration fetch failed", "peer", from.Name, "version", version, "error", err)
 	}
-	n.with(func(s *gossip.State) {
-		s.PullDone(told, err)
+	n.withState(func(s *gossip.State) {
+		s.PullDone(version, err)
 		n.pulling = false
 	})
 }
 
-// receive answers a peer's message.
-func (n *Node) receive(_ context.Context, _ *wire.Peer, params json.RawMessage) (any, error) {
+// handleMessage answers a message of a peer.
+func (n *Node) handleMessage(_ context.Context, _ *wire.Peer, params json.RawMessage) (any, error) {
 	var in gossip.Message
 	if err := json.Unmarshal(params, &in); err != nil {
 		return nil, magno.Refuse(magno.KindMalformed, "%v", err)
@@ -276,51 +279,51 @@
 	n.received.Add(len(params))
 	var reply *gossip.Message
 	var ok bool
-	n.with(func(s *gossip.State) { reply, ok = s.Receive(&in) })
+	n.withState(func(s *gossip.State) { reply, ok = s.Receive(&in) })
 	if !ok {
-		n.refused.Inc()
+		n.overBudget.Inc()
 		return nil, magno.Refuse(magno.KindBusy, "the budget for exchanges is used up")
 	}
 	n.sent.Add(reply.Size())
 	return reply, nil
 }
 
-// serve answers a peer that fetches a version.
-func (n *Node) serve(_ context.Context, _ *wire.Peer, params json.RawMessage) (any, error) {
-	var ask mend.Ask
-	if err := json.Unmarshal(params, &ask); err != nil {
+// servePull answers a peer that fetches the configuration.
+func (n *Node) servePull(_ context.Context, _ *wire.Peer, params json.RawMessage) (any, error) {
+	var req mend.Ask
+	if err := json.Unmarshal(params, &req); err != nil {
 		return nil, magno.Refuse(magno.KindMalformed, "%v", err)
 	}
 	select {
-	case n.pulls <- struct{}{}:
-		defer func() { <-n.pulls }()
-		return n.mender.Serve(ask), nil
+	case n.servedPulls <- struct{}{}:
+		defer func() { <-n.servedPulls }()
+		return n.mender.Serve(req), nil
 	default:
 		return nil, magno.Refuse(magno.KindBusy, "enough peers fetch from this process")
 	}
 }
 
-// Synced is true once this process knows that it is not behind its peers; it
-// isn't ready before.
-func (n *Node) Synced() (settled bool) {
-	n.with(func(s *gossip.State) { settled = s.Synced() })
-	return settled
+// Synced reports whether this process knows that it is not behind its peers. It is
+// not ready before.
+func (n *Node) Synced() (synced bool) {
+	n.withState(func(s *gossip.State) { synced = s.Synced() })
+	return synced
 }
 
-// IsReader is true while this process is a reader of its data centre.
-func (n *Node) IsReader() (reads bool) {
-	n.with(func(s *gossip.State) { reads = s.IsReader() })
-	return reads
+// IsReader reports whether this process is a reader of its data centre.
+func (n *Node) IsReader() (is bool) {
+	n.withState(func(s *gossip.State) { is = s.IsReader() })
+	return is
 }
 
-// Leave tells all that this process takes no new work from now on.
-func (n *Node) Leave() { n.with(func(s *gossip.State) { s.Leave() }) }
+// Leave announces that this process accepts no new work from now on.
+func (n *Node) Leave() { n.withState(func(s *gossip.State) { s.Leave() }) }
 
-// SetMark spreads a mark.
-func (n *Node) SetMark(m gossip.Mark) { n.with(func(s *gossip.State) { s.SetMark(m) }) }
+// SetMark sends a mark to all members.
+func (n *Node) SetMark(m gossip.Mark) { n.withState(func(s *gossip.State) { s.SetMark(m) }) }
 
-// Status describes what is known.
+// Status returns the protocol state for operators.
 func (n *Node) Status() (st gossip.Status) {
-	n.with(func(s *gossip.State) { st = s.Status() })
+	n.withState(func(s *gossip.State) { st = s.Status() })
 	return st
 }
--- a/magno/spread/node_test.go
+++ b/magno/spread/node_test.go
@@ -13,29 +13,30 @@
 	"magnoliastall.example/magno/wire"
 )
 
-// process is a node on a port of its own.
+// process is a node with a mesh on a port of its own.
 type process struct {
 	*Node
 	stop func()
 	mu   sync.Mutex
-	told map[string]magno.InstanceState
+	// states has the last state reported by OnInstance.
+	states map[string]magno.InstanceState
 }
 
 // list is the platform's list, shared by the processes of a test.
 type list struct {
-	mu   sync.Mutex
-	rows []magno.Instance
+	mu        sync.Mutex
+	instances []magno.Instance
 }
 
 func (l *list) get() ([]magno.Instance, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return append([]magno.Instance(nil), l.rows...), true
+	return append([]magno.Instance(nil), l.instances...), true
 }
 
 func start(t *testing.T, l *list, name, dc string) *process {
 	t.Helper()
-	p := &process{told: map[string]magno.InstanceState{}}
+	p := &process{states: map[string]magno.InstanceState{}}
 	mesh := &wire.Mesh{Listen: "127.0.0.1:0"}
 	if err := mesh.Open(); err != nil {
 		t.Fatal(err)
@@ -47,23 +48,23 @@
 		OnInstance: func(in magno.Instance) {
 			p.mu.Lock()
 			defer p.mu.Unlock()
-			p.told[in.Name] = in.State
+			p.states[in.Name] = in.State
 		},
 	}
 	p.Open()
 	l.mu.Lock()
-	l.rows = append(l.rows, magno.Instance{Name: name, Role: magno.RoleAgent, DataCentre: dc, Address: mesh.Addr(), State: magno.InstanceLive})
+	l.instances = append(l.instances, magno.Instance{Name: name, Role: magno.RoleAgent, DataCentre: dc, Address: mesh.Addr(), State: magno.InstanceLive})
 	l.mu.Unlock()
 	ctx, cancel := context.WithCancel(context.Background())
-	ends := make(chan error, 2)
-	go func() { ends <- mesh.Run(ctx) }()
-	go func() { ends <- p.Run(ctx) }()
+	errs := make(chan error, 2)
+	go func() { errs <- mesh.Run(ctx) }()
+	go func() { errs <- p.Run(ctx) }()
 	var once sync.Once
 	p.stop = func() {
 		once.Do(func() {
 			cancel()
 			for range 2 {
-				if err := <-ends; err != nil {
+				if err := <-errs; err != nil {
 					t.Error(err)
 				}
 			}
@@ -73,17 +74,17 @@
 	return p
 }
 
-func (p *process) heard(name string) magno.InstanceState {
+func (p *process) stateOf(name string) magno.InstanceState {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.told[name]
+	return p.states[name]
 }
 
-func until(t *testing.T, what string, ok func() bool) {
+func waitFor(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(time.Minute); !ok(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("waited in vain for " + what)
+			t.Fatal("timed out waiting for " + what)
 		}
 	}
 }
@@ -103,10 +104,10 @@
 	return cfg
 }
 
-// Processes in two data centres, over real connections: a whole version that
-// one of them has reaches all, so does a change, so does a leaving process,
-// and a process that starts late isn't settled before it has what they have.
-func TestProcesses(t *testing.T) {
+// Six processes in two data centres, over TCP: a configuration that one of them
+// loads must reach all, and so must a change and a leaving process. A process that
+// starts later must not count as synced before it has their version.
+func TestStateReachesAllProcesses(t *testing.T) {
 	l := &list{}
 	var all []*process
 	for i := range 6 {
@@ -125,22 +126,22 @@
 			return true
 		}
 	}
-	until(t, "version 1", everyone(1))
+	waitFor(t, "version 1", everyone(1))
 	cfg := sample(2, 3000)
 	cfg.Adapters[9].Versions = []string{"v1", "v2"}
 	if err := all[3].Store.Load(cfg, nil, "test"); err != nil {
 		t.Fatal(err)
 	}
-	until(t, "version 2", everyone(2))
+	waitFor(t, "version 2", everyone(2))
 	all = append(all, start(t, l, "late", "dc1"))
-	until(t, "the late one", everyone(2))
+	waitFor(t, "the process that started later", everyone(2))
 	if all[6].Store.Now().Sum != all[0].Store.Now().Sum {
-		t.Fatal("other content")
+		t.Fatal("the new process has other content of the same version")
 	}
 	all[5].Leave()
-	until(t, "leaving", func() bool {
+	waitFor(t, "leaving", func() bool {
 		for _, p := range all {
-			if p != all[5] && p.heard("n5") != magno.InstanceLeaving {
+			if p != all[5] && p.stateOf("n5") != magno.InstanceLeaving {
 				return false
 			}
 		}
@@ -148,7 +149,7 @@
 	})
 }
 
-// The reader of a data centre ends; another must take the role up.
+// A reader of a data centre stops: another process must take over the role.
 func TestReaderRoleMoves(t *testing.T) {
 	l := &list{}
 	var all []*process
@@ -163,7 +164,7 @@
 		}
 		return n
 	}
-	until(t, "two readers", func() bool { return readers() == gossip.RoleReplicas })
+	waitFor(t, "two readers", func() bool { return readers() == gossip.RoleReplicas })
 	for i, p := range all {
 		if p.IsReader() {
 			p.stop()
@@ -171,5 +172,5 @@
 			break
 		}
 	}
-	until(t, "two readers again", func() bool { return readers() == gossip.RoleReplicas })
+	waitFor(t, "two readers again", func() bool { return readers() == gossip.RoleReplicas })
 }
