--- a/magno/fleet/fleet.go
+++ b/magno/fleet/fleet.go
@@ -1,8 +1,8 @@
-// Package fleet keeps the instances that this process knows of: the
-// platform's lagging list, with what peers have told since laid over it.
+// Package fleet is the directory of instances: the platform's list, which lags,
+// overridden by newer states that came from peers.
 //
-//	instance list --poll--> Fleet --Pool, Find--> router, home choice
-//	peers' gossip --Learn--^
+//	instance list --poll--> Fleet --LiveAgents, Find--> router, home choice
+//	peers' gossip --Override--^
 package fleet
 
 import (
@@ -18,86 +18,87 @@
 	"magnoliastall.example/magno/fetch"
 )
 
-// Figures of the poll.
 const (
-	// DefaultPollInterval is how often the list is read, in milliseconds.
+	// DefaultPollInterval is how often the list is read.
 	DefaultPollInterval = magno.Second
-	readLimit           = 2 * time.Second
-	// listLimit is the most bytes of the list; a cut one is not used.
-	listLimit = 4 << 20
-	// SlowPollInterval is how often a process that peers keep up to date reads the
-	// list: 2,600 of them read it 43 times a second together, where once a
-	// second each would be more than the platform allows in all.
+	requestTimeout      = 2 * time.Second
+	// maxListSize is the maximum size of the list in bytes; a longer one is rejected.
+	maxListSize = 4 << 20
+	// SlowPollInterval is how often a process that is kept up to date by peers reads
+	// the list. With it 2,600 processes make 43 reads a second; at one read a second
+	// each they would exceed what the platform allows in all.
 	SlowPollInterval = magno.Minute
-	// learnedFor is how long a peer's word on an instance outweighs the list,
-	// in milliseconds: longer than the list lags, short enough that an
-	// instance returned under the same name is soon used again.
-	learnedFor = 30 * magno.Second
-	// renumbered is how long only older revisions must be seen before one is
-	// taken, in milliseconds: longer than replicas of the list lag behind one
-	// another. A list that lost its count would else never be heard again.
-	renumbered = magno.Minute
+	// overrideTTL is how long a state from a peer overrides the list: longer than the
+	// list lags, short enough that an instance which comes back under the same name
+	// is soon used again.
+	overrideTTL = 30 * magno.Second
+	// revisionResetAfter is how long only older revisions must be read before one is
+	// applied: longer than replicas of the list lag behind one another. Without it a
+	// list whose revisions were reset would be ignored for ever.
+	revisionResetAfter = magno.Minute
 )
 
-// list is the answer of the platform.
+// list is the response of the platform.
 type list struct {
 	Revision  int64            `json:"revision"`
 	Instances []magno.Instance `json:"instances"`
 }
 
-// learned is what a peer told of an instance.
-type learned struct {
+// override is the state of an instance that came from a peer.
+type override struct {
 	address string
 	state   magno.InstanceState
 	until   magno.Millis
 }
 
-// Fleet is safe for concurrent use. It implements magno.Duty.
+// Fleet is the directory of instances. It is safe for concurrent use and
+// implements magno.Duty.
 type Fleet struct {
-	// URL is the platform's instance list, up to its path.
+	// URL is the base URL of the platform's instance list.
 	URL          string
 	PollInterval magno.Millis
 	Clock        *magno.Clock
 	Log          *slog.Logger
-	// FastPoll, when not nil, tells whether this process reads the list each time;
-	// otherwise it does so once in RareEvery, and peers tell it the rest.
+	// FastPoll reports whether this process reads the list every PollInterval; if
+	// not, it does so every SlowPollInterval and gets changes from peers meanwhile.
+	// Nil means every PollInterval.
 	FastPoll func() bool
 	// OnChange is called after each change, by one goroutine at a time. It may
 	// be nil.
 	OnChange func()
 
 	mu sync.RWMutex
-	// revision is that of the list in use. It grows but for a list that
-	// begins to count anew: a lagging replica may answer with an older one.
+	// revision is that of the list in use. Older ones, which a lagging replica may
+	// return, are ignored unless the list's revisions were reset.
 	revision int64
-	// newest is when a list at least as new as that in use was last seen.
-	newest    magno.Millis
+	// newestAt is when a list at least as new as that in use was last read.
+	newestAt  magno.Millis
 	instances map[string]magno.Instance
-	learned   map[string]learned
-	seen      magno.Millis
+	overrides map[string]override
+	lastPoll  magno.Millis
 }
 
 // Name implements magno.Duty.
 func (f *Fleet) Name() string { return "fleet" }
 
-// Run polls the list until ctx ends. While the list can't be read the last
-// one stays in use.
+// Run polls the list until ctx ends. While the list can't be read, the last one
+// stays in use.
 func (f *Fleet) Run(ctx context.Context) error {
 	if f.PollInterval == 0 {
 		f.PollInterval = DefaultPollInterval
 	}
-	client := &http.Client{Timeout: readLimit}
+	client := &http.Client{Timeout: requestTimeout}
 	ticker := time.NewTicker(f.PollInterval.Span())
 	defer ticker.Stop()
-	failed := false
-	var last magno.Millis
+	failing := false
+	var lastPoll magno.Millis
 	for {
-		if f.due(failed, last) {
-			last = f.Clock.Now()
-			err := f.read(ctx, client)
-			if (err != nil) != failed && ctx.Err() == nil {
-				failed = err != nil
-				f.Log.Info("instances", "reachable", !failed, "error", fmt.Sprint(err))
+		if f.pollDue(failing, lastPoll) {
+			lastPoll = f.Clock.Now()
+			err := f.poll(ctx, client)
+			if (err != nil) != failing && ctx.Err() == nil {
+				failing = err != nil
+				f.Log.Info("instance list", "reachable", !failing, "error", fmt.Sprint(err))
 			}
 		}
 		select {
@@ -108,38 +109,38 @@
 	}
 }
 
-// due tells whether the list is to be read now.
-func (f *Fleet) due(failed bool, last magno.Millis) bool {
-	return failed || f.FastPoll == nil || f.FastPoll() || f.Clock.Now()-last >= SlowPollInterval
+// pollDue reports whether the list is to be read now.
+func (f *Fleet) pollDue(failing bool, lastPoll magno.Millis) bool {
+	return failing || f.FastPoll == nil || f.FastPoll() || f.Clock.Now()-lastPoll >= SlowPollInterval
 }
 
-func (f *Fleet) read(ctx context.Context, client *http.Client) error {
+func (f *Fleet) poll(ctx context.Context, client *http.Client) error {
 	var l list
-	if err := fetch.JSON(ctx, client, f.URL+"/v1/instances", listLimit, &l); err != nil {
+	if err := fetch.JSON(ctx, client, f.URL+"/v1/instances", maxListSize, &l); err != nil {
 		return err
 	}
-	if f.take(l) && f.OnChange != nil {
+	if f.apply(l) && f.OnChange != nil {
 		f.OnChange()
 	}
 	return nil
 }
 
-// take puts a newer list in use and tells whether it did.
-func (f *Fleet) take(l list) bool {
+// apply replaces the list by a newer one and reports whether it did.
+func (f *Fleet) apply(l list) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.seen = f.Clock.Now()
+	f.lastPoll = f.Clock.Now()
 	if l.Revision >= f.revision {
-		f.newest = f.seen
+		f.newestAt = f.lastPoll
 	}
 	if l.Revision == f.revision && f.instances != nil {
 		return false
 	}
-	if l.Revision < f.revision && f.seen < f.newest+renumbered {
+	if l.Revision < f.revision && f.lastPoll < f.newestAt+revisionResetAfter {
 		return false
 	}
 	f.revision = l.Revision
-	f.newest = f.seen
+	f.newestAt = f.lastPoll
 	f.instances = make(map[string]magno.Instance, len(l.Instances))
 	for _, in := range l.Instances {
 		f.instances[in.Name] = in
@@ -147,39 +148,39 @@
 	return true
 }
 
-// Override takes a peer's word on an instance. The list lags by seconds; a leaving
-// upstream must lose its work sooner.
+// Override sets the state of an instance that came from a peer. The list lags by
+// seconds, but a leaving upstream must get no more work before that.
 func (f *Fleet) Override(in magno.Instance) {
 	f.mu.Lock()
-	if f.learned == nil {
-		f.learned = map[string]learned{}
+	if f.overrides == nil {
+		f.overrides = map[string]override{}
 	}
-	before, known := f.learned[in.Name]
-	f.learned[in.Name] = learned{address: in.Address, state: in.State, until: f.Clock.Now() + learnedFor}
+	previous, known := f.overrides[in.Name]
+	f.overrides[in.Name] = override{address: in.Address, state: in.State, until: f.Clock.Now() + overrideTTL}
 	f.mu.Unlock()
-	if f.OnChange != nil && (!known || before.state != in.State || before.address != in.Address) {
+	if f.OnChange != nil && (!known || previous.state != in.State || previous.address != in.Address) {
 		f.OnChange()
 	}
 }
 
-// LiveAgents returns the live agents of a pool in order of name.
+// LiveAgents returns the live agents of a pool, sorted by name.
 func (f *Fleet) LiveAgents(pool string) []magno.Instance {
 	return f.filter(func(in magno.Instance) bool {
 		return in.Role == magno.RoleAgent && in.Pool == pool && in.State == magno.InstanceLive
 	})
 }
 
-// All returns every known instance in order of name.
+// All returns every known instance, sorted by name.
 func (f *Fleet) All() []magno.Instance {
 	return f.filter(func(magno.Instance) bool { return true })
 }
 
-func (f *Fleet) filter(keep func(magno.Instance) bool) []magno.Instance {
+func (f *Fleet) filter(match func(magno.Instance) bool) []magno.Instance {
 	f.mu.RLock()
 	defer f.mu.RUnlock()
 	found := []magno.Instance{}
 	for _, in := range f.instances {
-		if in = f.current(in); keep(in) {
+		if in = f.withOverride(in); match(in) {
 			found = append(found, in)
 		}
 	}
@@ -187,16 +188,16 @@
 	return found
 }
 
-// Find returns the instance of that name.
+// Find returns the instance with the given name.
 func (f *Fleet) Find(name string) (magno.Instance, bool) {
 	f.mu.RLock()
 	defer f.mu.RUnlock()
 	in, ok := f.instances[name]
-	return f.current(in), ok
+	return f.withOverride(in), ok
 }
 
-// PlatformList returns the platform's list as last read, without what peers told;
-// false before the first time.
+// PlatformList returns the platform's list as last read, without overrides; false
+// before the first read.
 func (f *Fleet) PlatformList() ([]magno.Instance, bool) {
 	f.mu.RLock()
 	defer f.mu.RUnlock()
@@ -204,21 +205,21 @@
 	for _, in := range f.instances {
 		list = append(list, in)
 	}
-	return list, f.seen > 0
+	return list, f.lastPoll > 0
 }
 
-// LastPoll returns when the list was last read, zero before the first time.
+// LastPoll returns when the list was last read, zero before the first read.
 func (f *Fleet) LastPoll() magno.Millis {
 	f.mu.RLock()
 	defer f.mu.RUnlock()
-	return f.seen
+	return f.lastPoll
 }
 
-// current lays what was learned over a row of the list.
-func (f *Fleet) current(in magno.Instance) magno.Instance {
-	l, ok := f.learned[in.Name]
-	if ok && l.address == in.Address && l.until > f.Clock.Now() {
-		in.State = l.state
+// withOverride returns an instance of the list with its state from a peer, if any.
+func (f *Fleet) withOverride(in magno.Instance) magno.Instance {
+	o, ok := f.overrides[in.Name]
+	if ok && o.address == in.Address && o.until > f.Clock.Now() {
+		in.State = o.state
 	}
 	return in
 }
--- a/magno/fleet/fleet_test.go
+++ b/magno/fleet/fleet_test.go
@@ -7,8 +7,7 @@
 	"magnoliastall.example/magno"
 )
 
-// FuzzList reads what the platform may answer. An older list never takes the
-// place of a newer one.
+// FuzzList applies arbitrary lists. An older list must never replace a newer one.
 func FuzzList(f *testing.F) {
 	for _, seed := range []string{
 		`{"revision": 2, "instances": [{"name": "a", "role": "agent", "pool": "p", "state": "live"}]}`,
@@ -18,51 +17,50 @@
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
 		fl := &Fleet{Clock: magno.NewClock(magno.Hour)}
-		fl.take(list{Revision: 1, Instances: []magno.Instance{{Name: "known"}}})
+		fl.apply(list{Revision: 1, Instances: []magno.Instance{{Name: "known"}}})
 		var l list
 		if json.Unmarshal(data, &l) != nil {
 			return
 		}
-		taken := fl.take(l)
-		if _, ok := fl.Find("known"); taken != (l.Revision > 1) || (!taken && !ok) {
-			t.Errorf("%q: taken %v", data, taken)
+		applied := fl.apply(l)
+		if _, ok := fl.Find("known"); applied != (l.Revision > 1) || (!applied && !ok) {
+			t.Errorf("%q: applied %v", data, applied)
 		}
 		for _, in := range fl.LiveAgents("p") {
 			if found, ok := fl.Find(in.Name); !ok || found.Role != magno.RoleAgent {
-				t.Errorf("%q: %v", data, found)
+				t.Errorf("%q: found %v", data, found)
 			}
 		}
 	})
 }
 
-// The platform's list is served by replicas that lag, and one day it is set up
-// anew and counts from one again. An older answer in between must not bring
-// back instances that are gone; but a list that counts anew must be heard, or
-// the process sends work to instances of long ago until it is replaced.
+// Guards against an older list of a lagging replica that brings back instances which
+// are gone, and against a list that is ignored for ever after its revisions were
+// reset: the process would send work to instances of long ago until it is replaced.
 func TestOlderRevisions(t *testing.T) {
 	clock := magno.NewClock(1_000_000)
 	f := &Fleet{Clock: clock}
 	at := func(revision int64, name string) list {
 		return list{Revision: revision, Instances: []magno.Instance{{Name: name, State: magno.InstanceLive}}}
 	}
-	if !f.take(at(7, "new")) || f.take(at(6, "old")) {
-		t.Fatal("an older answer of a replica was taken")
+	if !f.apply(at(7, "new")) || f.apply(at(6, "old")) {
+		t.Fatal("an older list of a replica was applied")
 	}
 	for range 10 {
-		clock.Advance(renumbered / 4)
-		if f.take(at(6, "old")) {
-			t.Fatal("an older answer was taken between newer ones")
+		clock.Advance(revisionResetAfter / 4)
+		if f.apply(at(6, "old")) {
+			t.Fatal("an older list was applied between newer ones")
 		}
-		f.take(at(7, "new"))
+		f.apply(at(7, "new"))
 	}
 	for range 4 {
-		clock.Advance(renumbered / 4)
-		f.take(at(1, "anew"))
+		clock.Advance(revisionResetAfter / 4)
+		f.apply(at(1, "anew"))
 	}
 	if _, ok := f.Find("anew"); !ok {
-		t.Error("a list that counts anew is never heard")
+		t.Error("a list with reset revisions was not applied")
 	}
-	if !f.take(at(2, "next")) {
-		t.Error("its next revision isn't taken")
+	if !f.apply(at(2, "next")) {
+		t.Error("the next revision after the reset was not applied")
 	}
 }
