--- a/magno/wire/broadcast_test.go
+++ b/magno/wire/broadcast_test.go
@@ -9,16 +9,16 @@
 	"magnoliastall.example/magno"
 )
 
-// costly counts how often it is encoded.
-type costly struct{ encoded atomic.Int32 }
+// payload counts how often it is encoded.
+type payload struct{ encoded atomic.Int32 }
 
 // MarshalJSON implements json.Marshaler.
-func (c *costly) MarshalJSON() ([]byte, error) {
+func (c *payload) MarshalJSON() ([]byte, error) {
 	c.encoded.Add(1)
 	return []byte(`"word"`), nil
 }
 
-// Guards against a message to all others that a process encodes anew for each of them.
+// Guards against a broadcast that is encoded again for each peer.
 func TestBroadcastIsEncodedOnce(t *testing.T) {
 	const peers = 5
 	got := make(chan string, peers)
@@ -34,35 +34,36 @@
 		addrs = append(addrs, start(t, server).Addr())
 	}
 	gone := start(t, &Mesh{})
-	lost := gone.Addr()
+	unreachable := gone.Addr()
 	gone.close()
 	client := start(t, &Mesh{})
-	c := &costly{}
+	c := &payload{}
 	failed := make(chan string, peers+1)
-	err := client.Broadcast(wait(t), append(addrs, lost), "word", magno.Minute, c, func(addr string, _ error) { failed <- addr })
+	err := client.Broadcast(testContext(t), append(addrs, unreachable), "word", magno.Minute, c, func(addr string, _ error) { failed <- addr })
 	if err != nil {
 		t.Fatal(err)
 	}
 	for range peers {
 		if text := <-got; text != "word" {
-			t.Errorf("a peer got %q", text)
+			t.Errorf("a peer received %q", text)
 		}
 	}
-	if addr := <-failed; addr != lost || len(failed) > 0 {
-		t.Errorf("%s wasn't reached, and %d more", addr, len(failed))
+	if addr := <-failed; addr != unreachable || len(failed) > 0 {
+		t.Errorf("failed for %s and %d more, want only the closed peer", addr, len(failed))
 	}
 	if n := c.encoded.Load(); n != 1 {
 		t.Errorf("encoded %d times", n)
 	}
 }
 
-// Guards against a broadcast that no peer can take and that all are sent all the same.
+// Guards against a broadcast over the size limit that is sent although every peer
+// would reject it.
 func TestBroadcastOverTheLimitIsNotSent(t *testing.T) {
 	client := start(t, &Mesh{})
-	err := client.Broadcast(wait(t), []string{"127.0.0.1:1"}, "word", magno.Minute, make([]byte, maxMessage), func(string, error) {
-		t.Error("it was sent")
+	err := client.Broadcast(testContext(t), []string{"127.0.0.1:1"}, "word", magno.Minute, make([]byte, maxMessageSize), func(string, error) {
+		t.Error("failed was called, so the message was sent")
 	})
 	if !TooLarge(err) {
-		t.Errorf("got %v", err)
+		t.Errorf("got %v, want an error for the size limit", err)
 	}
 }
--- a/magno/wire/call.go
+++ b/magno/wire/call.go
@@ -12,17 +12,17 @@
 	"magnoliastall.example/magno"
 )
 
-// Error is why a call got no answer from its peer.
+// Error is a call that got no response from its peer.
 type Error struct {
 	Addr   string
 	Method string
-	// Sent is false only when the peer can't have got the whole call, so that
-	// it didn't and never will run it. True means that nobody knows.
+	// Sent is false only if the peer can't have received the complete call, so that
+	// it has not run it and never will. True means that this is unknown.
 	Sent bool
 	Err  error
 }
 
-// Error names peer, method and cause.
+// Error implements error.
 func (e *Error) Error() string {
 	if e.Sent {
 		return "call " + e.Method + " to " + e.Addr + ": no answer: " + e.Err.Error()
@@ -33,25 +33,27 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Err }
 
-// NotSent is true when err proves that the peer did not get the call.
+// NotSent reports whether err proves that the peer did not receive the call.
 func NotSent(err error) bool {
 	var e *Error
 	return errors.As(err, &e) && !e.Sent
 }
 
 var (
-	errSlow = errors.New("the caller took the parts of a stream too slowly")
-	errFull = errors.New("every connection of the cache is in use")
-	errShut = errors.New("this process is closing its connections")
+	errSlowConsumer = errors.New("stream buffer full: the caller reads parts too slowly")
+	errNoFreeConn   = errors.New("connection limit reached, all connections in use")
+	errClosed       = errors.New("mesh is closed")
 )
 
-// SlowConsumer is true when a stream ended because its caller took no parts.
-func SlowConsumer(err error) bool { return errors.Is(err, errSlow) }
+// SlowConsumer reports whether a stream failed because its caller read parts too
+// slowly.
+func SlowConsumer(err error) bool { return errors.Is(err, errSlowConsumer) }
 
-// TooLarge is true when a message was over the limit and not sent.
+// TooLarge reports whether a message was not sent because it exceeds the size
+// limit.
 func TooLarge(err error) bool { return errors.Is(err, errTooLarge) }
 
-// Peer is the other end of a call that a handler answers.
+// Peer is the caller of a method, as its handler sees it.
 type Peer struct {
 	// Addr is the IP and port that the call came from.
 	Addr string
@@ -60,72 +62,72 @@
 	call uint64
 }
 
-// Notify sends a part to whoever made the call, before its reply and in
-// order with other parts.
+// Notify sends a part of the response to the caller, before the reply and in
+// order with the other parts.
 func (p *Peer) Notify(ctx context.Context, method string, params any) error {
 	if p.call == 0 {
-		return errors.New("this call takes no parts")
+		return errors.New("the caller did not ask for a stream")
 	}
-	return p.conn.Notify(ctx, method, params, jsonrpc2.Meta(tag{Call: p.call}))
+	return p.conn.Notify(ctx, method, params, jsonrpc2.Meta(callTag{Call: p.call}))
 }
 
-// Call asks addr to run method and decodes its answer into result, which may
-// be nil. The error is a *magno.Refusal that the peer decided, or an *Error.
+// Call runs method on the peer at addr and decodes the reply into result, which
+// may be nil. The error is a *magno.Refusal by the peer, or an *Error.
 func (m *Mesh) Call(ctx context.Context, addr, method string, params, result any) error {
 	return m.CallStream(ctx, addr, method, params, result, nil)
 }
 
-// CallStream is Call for a method that sends parts first. onPart gets them in
-// order, all of them before CallStream returns, on the caller's goroutine.
+// CallStream is Call for a method that sends parts before its reply. onPart is
+// called with each in order, on the caller's goroutine.
 func (m *Mesh) CallStream(ctx context.Context, addr, method string, params, result any,
 	onPart func(method string, params json.RawMessage),
 ) error {
-	l, err := m.link(ctx, addr)
+	c, err := m.conn(ctx, addr)
 	if err != nil {
 		return &Error{Addr: addr, Method: method, Err: err}
 	}
-	defer l.end()
-	number := l.seq.Add(1)
+	defer c.release()
+	number := c.seq.Add(1)
 	var opts []jsonrpc2.CallOption
 	var s *stream
 	if onPart != nil {
-		s = l.listen(number)
-		defer l.drop(number)
-		opts = append(opts, jsonrpc2.Meta(tag{Call: number}))
+		s = c.openStream(number)
+		defer c.closeStream(number)
+		opts = append(opts, jsonrpc2.Meta(callTag{Call: number}))
 	}
-	sent := l.clock()
-	waiter, err := l.conn.DispatchCall(ctx, method, params, opts...)
+	sent := c.now()
+	waiter, err := c.conn.DispatchCall(ctx, method, params, opts...)
 	if TooLarge(err) {
-		return &Error{Addr: addr, Method: method, Err: err} // nothing is wrong with the connection
+		return &Error{Addr: addr, Method: method, Err: err} // the connection is still usable
 	}
 	if err != nil {
-		m.forget(l)
+		m.forget(c)
 		return &Error{Addr: addr, Method: method, Err: err}
 	}
-	err = l.await(ctx, waiter, s, result, onPart)
-	if errors.Is(err, context.DeadlineExceeded) && l.heard.Load() < sent {
-		// Nothing came in since the call went out: a cut path gives no sign
-		// for minutes. Later calls get a new connection; other calls on this
-		// one may still be answered.
-		m.forget(l)
+	err = c.await(ctx, waiter, s, result, onPart)
+	if errors.Is(err, context.DeadlineExceeded) && c.lastRead.Load() < sent {
+		// Nothing was received since the call was sent, so the network path may be
+		// broken, which TCP reports only after minutes. Later calls use a new
+		// connection; other calls on this one may still be answered.
+		m.forget(c)
 	}
-	return m.outcome(addr, method, err)
+	return m.callError(addr, method, err)
 }
 
-// outcome turns a jsonrpc2 error into a refusal of the peer or an *Error.
-func (m *Mesh) outcome(addr, method string, err error) error {
+// callError converts a jsonrpc2 error to a refusal by the peer or an *Error.
+func (m *Mesh) callError(addr, method string, err error) error {
 	if err == nil {
 		return nil
 	}
 	var answer *jsonrpc2.Error
 	if errors.As(err, &answer) {
-		return decode(answer)
+		return decodeError(answer)
 	}
 	return &Error{Addr: addr, Method: method, Sent: true, Err: err}
 }
 
-// await passes parts on until the reply or the end of ctx.
-func (l *link) await(ctx context.Context, w jsonrpc2.Waiter, s *stream, result any,
+// await passes parts to onPart until the reply comes or ctx ends.
+func (c *peerConn) await(ctx context.Context, w jsonrpc2.Waiter, s *stream, result any,
 	onPart func(string, json.RawMessage),
 ) error {
 	if s == nil {
@@ -137,17 +139,17 @@
 		select {
 		case p := <-s.parts:
 			onPart(p.method, p.params)
-		case <-s.lost:
-			return errSlow
+		case <-s.overflow:
+			return errSlowConsumer
 		case err := <-done:
 			for len(s.parts) > 0 {
 				p := <-s.parts
 				onPart(p.method, p.params)
 			}
-			// Parts that were lost came before the answer.
+			// Parts that were dropped came before the reply.
 			select {
-			case <-s.lost:
-				return errSlow
+			case <-s.overflow:
+				return errSlowConsumer
 			default:
 				return err
 			}
@@ -155,34 +157,34 @@
 	}
 }
 
-// Notify sends method to addr without an answer; one connection's
-// notifications arrive in order. A nil error means that the message was handed
-// to the kernel, not that it arrived.
+// Notify sends a notification, which has no reply, to addr. Notifications on one
+// connection arrive in order. A nil error means that the message was handed to
+// the kernel, not that it arrived.
 func (m *Mesh) Notify(ctx context.Context, addr, method string, params any) error {
-	l, err := m.link(ctx, addr)
+	c, err := m.conn(ctx, addr)
 	if err != nil {
 		return &Error{Addr: addr, Method: method, Err: err}
 	}
-	defer l.end()
-	if err := l.conn.Notify(ctx, method, params); err != nil {
-		m.forget(l)
+	defer c.release()
+	if err := c.conn.Notify(ctx, method, params); err != nil {
+		m.forget(c)
 		return &Error{Addr: addr, Method: method, Err: err}
 	}
 	return nil
 }
 
-// NotifyAll notifies several addresses at once, each within limit, and returns when all
-// are done. Params makes what each is sent; failed is told of those that weren't reached,
-// from several goroutines.
+// NotifyAll notifies several addresses concurrently, each within limit, and returns
+// when all are done. params returns the parameters for an address; failed is called
+// from several goroutines with those that could not be reached.
 func (m *Mesh) NotifyAll(ctx context.Context, addrs []string, method string, limit magno.Millis,
 	params func(addr string) any, failed func(addr string, err error),
 ) {
-	each(ctx, addrs, limit, func(ctx context.Context, addr string) error {
+	forEach(ctx, addrs, limit, func(ctx context.Context, addr string) error {
 		return m.Notify(ctx, addr, method, params(addr))
 	}, failed)
 }
 
-// Broadcast is NotifyAll where all are sent the same, which is encoded once.
+// Broadcast is NotifyAll with the same parameters for all, which are encoded once.
 func (m *Mesh) Broadcast(ctx context.Context, addrs []string, method string, limit magno.Millis,
 	params any, failed func(addr string, err error),
 ) error {
@@ -194,7 +196,7 @@
 	if err != nil {
 		return errors.Wrap(err, method)
 	}
-	each(ctx, addrs, limit, func(ctx context.Context, addr string) error {
+	forEach(ctx, addrs, limit, func(ctx context.Context, addr string) error {
 		return m.send(ctx, addr, method, frame)
 	}, failed)
 	return nil
@@ -202,27 +204,27 @@
 
 // send writes an encoded notification to addr.
 func (m *Mesh) send(ctx context.Context, addr, method string, frame []byte) error {
-	l, err := m.link(ctx, addr)
+	c, err := m.conn(ctx, addr)
 	if err != nil {
 		return &Error{Addr: addr, Method: method, Err: err}
 	}
-	defer l.end()
-	if err := l.frames.write(frame); err != nil {
-		m.forget(l)
+	defer c.release()
+	if err := c.codec.write(frame); err != nil {
+		m.forget(c)
 		return &Error{Addr: addr, Method: method, Err: err}
 	}
 	return nil
 }
 
-// each calls f for all addresses at once, each within limit.
-func each(ctx context.Context, addrs []string, limit magno.Millis, f func(ctx context.Context, addr string) error,
+// forEach calls f for all addresses concurrently, each within limit.
+func forEach(ctx context.Context, addrs []string, limit magno.Millis, f func(ctx context.Context, addr string) error,
 	failed func(addr string, err error),
 ) {
-	var working sync.WaitGroup
+	var wg sync.WaitGroup
 	for _, addr := range addrs {
-		working.Add(1)
+		wg.Add(1)
 		go func() {
-			defer working.Done()
+			defer wg.Done()
 			ctx, cancel := context.WithTimeout(ctx, limit.Span())
 			defer cancel()
 			if err := f(ctx, addr); err != nil {
@@ -230,87 +232,87 @@
 			}
 		}()
 	}
-	working.Wait()
+	wg.Wait()
 }
 
-// link returns the connection to addr, made if need be, and counts a use of
-// it, which the caller ends.
-func (m *Mesh) link(ctx context.Context, addr string) (*link, error) {
+// conn returns the connection to addr, which it dials if there is none. The
+// caller releases it.
+func (m *Mesh) conn(ctx context.Context, addr string) (*peerConn, error) {
 	if err := ctx.Err(); err != nil {
 		return nil, err
 	}
 	m.mu.Lock()
-	m.start()
-	l := m.links[addr]
-	fresh := l == nil
-	if fresh {
+	m.init()
+	c := m.outgoing[addr]
+	isNew := c == nil
+	if isNew {
 		if m.closed {
 			m.mu.Unlock()
-			return nil, errShut
+			return nil, errClosed
 		}
-		if !m.room() {
+		if !m.evictIdle() {
 			m.mu.Unlock()
-			return nil, errFull
+			return nil, errNoFreeConn
 		}
-		l = newLink(m, addr)
-		m.links[addr] = l
+		c = newPeerConn(m, addr)
+		m.outgoing[addr] = c
 	}
-	l.begin()
+	c.acquire()
 	m.mu.Unlock()
-	if fresh {
-		go m.dial(l)
+	if isNew {
+		go m.dial(c)
 	}
 	select {
-	case <-l.ready:
+	case <-c.ready:
 	case <-ctx.Done():
-		l.end()
+		c.release()
 		return nil, ctx.Err()
 	}
-	if l.err != nil {
-		l.end()
-		return nil, l.err
+	if c.err != nil {
+		c.release()
+		return nil, c.err
 	}
-	return l, nil
+	return c, nil
 }
 
-// room makes place for one more connection by closing the one unused for
-// longest. The caller holds mu.
-func (m *Mesh) room() bool {
-	if len(m.links) < m.MaxConns {
+// evictIdle closes the connection idle for longest if the cache is full, and
+// reports whether there is room for one more. The caller holds mu.
+func (m *Mesh) evictIdle() bool {
+	if len(m.outgoing) < m.MaxConns {
 		return true
 	}
-	var oldest *link
-	for _, l := range m.links {
-		if l.active.Load() == 0 && (oldest == nil || l.used.Load() < oldest.used.Load()) {
-			oldest = l
+	var oldest *peerConn
+	for _, c := range m.outgoing {
+		if c.active.Load() == 0 && (oldest == nil || c.lastUsed.Load() < oldest.lastUsed.Load()) {
+			oldest = c
 		}
 	}
 	if oldest == nil {
 		return false
 	}
-	delete(m.links, oldest.addr)
+	delete(m.outgoing, oldest.addr)
 	go oldest.close()
 	return true
 }
 
-// dial connects l. It does not depend on the first caller's context: others
+// dial connects c. It does not use the context of the first caller, since others
 // wait for the same connection.
-func (m *Mesh) dial(l *link) {
+func (m *Mesh) dial(c *peerConn) {
 	d := net.Dialer{Timeout: dialTimeout.Span(), KeepAliveConfig: net.KeepAliveConfig{
-		Enable: true, Idle: aliveIdle.Span(), Interval: aliveEvery.Span(), Count: aliveCount,
+		Enable: true, Idle: keepAliveIdle.Span(), Interval: keepAliveInterval.Span(), Count: keepAliveCount,
 	}}
-	conn, err := d.DialContext(context.Background(), "tcp", l.addr)
+	conn, err := d.DialContext(context.Background(), "tcp", c.addr)
 	if err != nil {
-		l.err = err
-		m.forget(l)
-		close(l.ready)
+		c.err = err
+		m.forget(c)
+		close(c.ready)
 		return
 	}
-	l.attach(conn)
+	c.attach(conn)
 }
 
-// encode puts err into a jsonrpc2 error with the refusal as its data.
-func encode(err error) *jsonrpc2.Error {
+// encodeError returns a jsonrpc2 error with err as a refusal in its data.
+func encodeError(err error) *jsonrpc2.Error {
 	var refusal *magno.Refusal
 	if !errors.As(err, &refusal) {
 		refusal = magno.Refuse(magno.KindInternal, "%v", err)
@@ -320,8 +322,8 @@
 	return out
 }
 
-// decode returns the refusal in a peer's error.
-func decode(answer *jsonrpc2.Error) error {
+// decodeError returns the refusal in an error of a peer.
+func decodeError(answer *jsonrpc2.Error) error {
 	refusal := &magno.Refusal{}
 	if answer.Data == nil || json.Unmarshal(*answer.Data, refusal) != nil || refusal.Kind == "" {
 		return magno.Refuse(magno.KindInternal, "%s", answer.Message)
--- a/magno/wire/fuzz_test.go
+++ b/magno/wire/fuzz_test.go
@@ -12,7 +12,7 @@
 	"magnoliastall.example/magno"
 )
 
-// bytesConn is a connection that holds what a peer sent.
+// bytesConn is a connection whose peer sent data and closed.
 type bytesConn struct {
 	net.Conn
 	data []byte
@@ -28,32 +28,32 @@
 	return n, nil
 }
 
-func decodeAll(t *testing.T, data []byte) {
-	b := &bounded{Conn: &bytesConn{data: data}, link: newLink(&Mesh{}, "peer")}
-	frames := newFrames(b)
+func fuzzReadObject(t *testing.T, data []byte) {
+	b := &limitedConn{Conn: &bytesConn{data: data}, owner: newPeerConn(&Mesh{}, "peer")}
+	codec := newCodec(b)
 	for {
 		var req jsonrpc2.Request
-		if err := frames.ReadObject(&req); err != nil {
+		if err := codec.ReadObject(&req); err != nil {
 			return
 		}
-		if b.left < 0 {
-			t.Fatalf("%d bytes over the limit", -b.left)
+		if b.remaining < 0 {
+			t.Fatalf("read %d bytes over the limit", -b.remaining)
 		}
 		_ = callOf(&req)
 		_ = paramsOf(&req)
 	}
 }
 
-func decodeError(t *testing.T, data []byte) {
+func fuzzDecodeError(t *testing.T, data []byte) {
 	raw := json.RawMessage(data)
 	var refusal *magno.Refusal
-	if err := decode(&jsonrpc2.Error{Data: &raw}); !errors.As(err, &refusal) || refusal.Kind == "" || refusal.Run == "" {
-		t.Errorf("%q gave %v", data, err)
+	if err := decodeError(&jsonrpc2.Error{Data: &raw}); !errors.As(err, &refusal) || refusal.Kind == "" || refusal.Run == "" {
+		t.Errorf("%q: got %v", data, err)
 	}
 }
 
-// FuzzRead feeds the codec what a peer may send. It must neither panic nor hold
-// more than the limit.
+// FuzzRead feeds arbitrary bytes to the codec. It must neither panic nor read more
+// than the limit.
 func FuzzRead(f *testing.F) {
 	for _, seed := range []string{
 		"", "Content-Length: 2\r\n\r\n{}", "Content-Length: -1\r\n\r\n", "Content-Length: 4294967295\r\n\r\n{",
@@ -63,13 +63,14 @@
 	} {
 		f.Add([]byte(seed))
 	}
-	f.Fuzz(decodeAll)
+	f.Fuzz(fuzzReadObject)
 }
 
-// FuzzError reads a peer's error; whatever it holds, Run must be stated.
+// FuzzError decodes arbitrary errors of a peer; the refusal must always have Kind
+// and Run.
 func FuzzError(f *testing.F) {
 	for _, seed := range []string{"", "null", "{}", `{"kind":"busy"}`, `{"kind":"new","run":"no"}`, `[]`} {
 		f.Add([]byte(seed))
 	}
-	f.Fuzz(decodeError)
+	f.Fuzz(fuzzDecodeError)
 }
--- a/magno/wire/limit_test.go
+++ b/magno/wire/limit_test.go
@@ -10,10 +10,9 @@
 	"magnoliastall.example/magno"
 )
 
-// A machine that isn't on the list opens connection after connection. It must
-// not take up the places of listed peers: calls between processes would stop
-// with nothing wrong in any of them.
-func TestDeniedTakeFewPlaces(t *testing.T) {
+// Guards against a machine that is not an allowed peer and opens so many connections
+// that none are left for allowed peers, which stops calls between healthy processes.
+func TestDeniedConnectionsAreBounded(t *testing.T) {
 	server := start(t, &Mesh{Allow: []string{"10.1.0.0/16"}})
 	closed := make(chan struct{}, 2*maxDenied)
 	for range 2 * maxDenied {
@@ -36,29 +35,29 @@
 	kept := server.denied
 	server.mu.Unlock()
 	if kept > maxDenied {
-		t.Errorf("%d connections kept", kept)
+		t.Errorf("%d denied connections are open", kept)
 	}
 	if err := server.SetAllow(nil); err != nil {
 		t.Fatal(err)
 	}
 	var refusal *magno.Refusal
-	err := start(t, &Mesh{}).Call(wait(t), server.Addr(), "none", nil, nil)
+	err := start(t, &Mesh{}).Call(testContext(t), server.Addr(), "none", nil, nil)
 	if !errors.As(err, &refusal) || refusal.Kind != magno.KindInternal {
-		t.Errorf("a listed peer got %v", err)
+		t.Errorf("an allowed peer got %v, want kind internal", err)
 	}
 }
 
-// A peer stops reading in the middle of a message. What follows on the
-// connection can't be understood, so it must end and not take further calls.
+// Guards against a connection that stays open for calls after a write failed in the
+// middle of a message, after which the peer can't decode anything.
 func TestFailedWriteCloses(t *testing.T) {
 	near, far := net.Pipe()
 	defer far.Close()
-	b := &bounded{Conn: near}
+	b := &limitedConn{Conn: near}
 	_ = near.SetWriteDeadline(time.Now())
 	if _, err := b.Write([]byte("x")); err == nil {
-		t.Fatal("written")
+		t.Fatal("a write past its deadline succeeded")
 	}
 	if _, err := far.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
-		t.Errorf("still open: %v", err)
+		t.Errorf("the connection is still open: %v", err)
 	}
 }
--- a/magno/wire/mesh.go
+++ b/magno/wire/mesh.go
@@ -1,18 +1,18 @@
 // Package wire carries calls between the system's own processes by jsonrpc2
 // over TCP.
 //
-//	Call --> link (one connection for each peer in use) --> peer's handler
-//	            ^ parts, reply                                  |
-//	            +-----------------------------------------------+
+//	Call --> peerConn (one for each peer in use) --> peer's handler
+//	            ^ parts, reply                           |
+//	            +----------------------------------------+
 //
-// A process talks to few peers at a time, so connections are made on demand,
-// kept in a bounded cache and closed soon when idle: a peer that is called twice a
-// minute costs less by two connections than by one that is kept. A mesh of 2,600 processes that
-// kept every connection would hold 6.7 million of them, and each process would
-// pay for peers it never asks.
+// A process calls few peers at a time. Connections are therefore dialled on demand,
+// kept in a bounded cache and closed after a short idle time: for a peer that is
+// called twice a minute, two new connections cost less than one that is kept. If
+// all 2,600 processes kept all connections, there would be 6.7 million of them, most
+// to peers that are never called.
 //
-// A call that fails says whether the peer may have got it: at-most-once
-// depends on never mixing "not sent" with "unknown".
+// The error of a failed call states whether the peer may have received it.
+// At-most-once execution depends on never reporting "unknown" as "not sent".
 package wire
 
 import (
@@ -28,66 +28,66 @@
 	"magnoliastall.example/magno/guard"
 )
 
-// Limits of a mesh. They bound what a broken or hostile peer can cost.
+// Limits of a mesh, which bound the resources that a faulty or hostile peer can use.
 const (
-	maxMessage  = 4 << 20          // bytes of one message
-	maxLinks    = 512              // outgoing connections kept
-	maxPeers    = 4096             // incoming connections of listed peers
-	maxDenied   = 32               // incoming connections of others
-	maxCalls    = 4096             // incoming calls that run at once
-	maxParts    = 1024             // parts of one stream that wait for the caller
-	dialTimeout = 2 * magno.Second // to connect
-	sendTimeout = 5 * magno.Second // to hand one message to the kernel
-	idleTimeout = 5 * magno.Second // an unused outgoing connection closes
-	peerTimeout = 5 * magno.Minute // an unused incoming connection closes
-	denyTimeout = 5 * magno.Second // an incoming connection of another closes
-	sweepEvery  = magno.Second     // how often unused connections are sought
-	aliveIdle   = 5 * magno.Second // TCP keepalive: first probe
-	aliveEvery  = 2 * magno.Second // TCP keepalive: next probes
-	aliveCount  = 3                // TCP keepalive: probes without answer
-	acceptPause = magno.Millis(50) // after a failed accept
+	maxMessageSize     = 4 << 20          // bytes of one message
+	maxConns           = 512              // outgoing connections kept
+	maxIncoming        = 4096             // incoming connections of allowed peers
+	maxDenied          = 32               // incoming connections of others
+	maxConcurrentCalls = 4096             // incoming calls that run at once
+	maxBufferedParts   = 1024             // parts of one stream buffered for the caller
+	dialTimeout        = 2 * magno.Second // connect
+	sendTimeout        = 5 * magno.Second // write of one message
+	outgoingTimeout    = 5 * magno.Second // idle timeout of outgoing connections
+	incomingTimeout    = 5 * magno.Minute // idle timeout of incoming connections
+	deniedTimeout      = 5 * magno.Second // idle timeout of denied connections
+	sweepInterval      = magno.Second     // how often idle connections are closed
+	keepAliveIdle      = 5 * magno.Second // TCP keepalive: idle time before the first probe
+	keepAliveInterval  = 2 * magno.Second // TCP keepalive: time between probes
+	keepAliveCount     = 3                // TCP keepalive: lost probes before the connection fails
+	acceptRetryDelay   = magno.Millis(50) // after a failed accept
 )
 
-// Handler answers one method. Its result is encoded as JSON. A *magno.Refusal
-// reaches the caller unchanged; any other error becomes kind internal. ctx
-// ends when the caller's connection does. For a notification the result is
-// dropped, and the handler must not block: it holds up its connection.
+// Handler handles one method. Its result is encoded as JSON. A *magno.Refusal is
+// returned to the caller unchanged; any other error gets kind internal. ctx ends
+// with the caller's connection. The result of a notification is ignored, and its
+// handler must not block, since it runs on the reading goroutine of the connection.
 type Handler func(ctx context.Context, peer *Peer, params json.RawMessage) (any, error)
 
-// Mesh listens for calls from other processes and calls them. Exported fields
-// are set, and Handle called, before Run or the first Call.
+// Mesh serves calls from other processes and calls them. Exported fields are set,
+// and Handle called, before Run or the first Call.
 type Mesh struct {
 	// Listen is the IP and port to listen on; empty for a process that only
 	// calls.
 	Listen string
-	// Allow lists IP addresses and CIDR prefixes whose calls are taken. Empty
-	// means loopback alone.
+	// Allow lists the IP addresses and CIDR prefixes of allowed peers. Empty means
+	// loopback only.
 	Allow []string
-	// MaxConns bounds outgoing connections; zero means 512.
+	// MaxConns limits outgoing connections; zero means 512.
 	MaxConns int
-	// Clock may be nil, for the machine's.
+	// Clock may be nil for the system clock.
 	Clock *magno.Clock
 	// Log may be nil.
 	Log *slog.Logger
 
-	handlers map[string]Handler
-	calls    chan struct{}
+	handlers  map[string]Handler
+	callSlots chan struct{}
 
 	mu sync.Mutex
-	// open is true once start ran; closed once Run ended.
-	open, closed bool
-	listener     net.Listener
-	allow        *guard.Guard
-	// links maps an address to its outgoing connection, also while it is
-	// being made. len(links) is at most MaxLinks.
-	links map[string]*link
-	// peers are incoming connections, at most maxPeers; denied counts those
-	// of peers that aren't on the list, at most maxDenied.
-	peers  map[*link]struct{}
-	denied int
+	// initialized is true after init, closed after Run.
+	initialized, closed bool
+	listener            net.Listener
+	allow               *guard.Guard
+	// outgoing maps an address to its connection, also while it is being dialled. It
+	// has at most MaxConns entries.
+	outgoing map[string]*peerConn
+	// incoming has at most maxIncoming connections of allowed peers and maxDenied of
+	// others; denied counts the latter.
+	incoming map[*peerConn]struct{}
+	denied   int
 }
 
-// Handle names the handler of a method.
+// Handle registers the handler of a method.
 func (m *Mesh) Handle(method string, h Handler) {
 	if m.handlers == nil {
 		m.handlers = map[string]Handler{}
@@ -95,15 +95,15 @@
 	m.handlers[method] = h
 }
 
-// Name returns the duty's name.
+// Name implements magno.Duty.
 func (m *Mesh) Name() string { return "wire" }
 
-// Open binds the address, so that a process that can't have it ends before it
-// does anything else. Run calls it when nobody did.
+// Open binds the listen address. Callers may call it before Run to fail early if
+// the address is not available; otherwise Run does it.
 func (m *Mesh) Open() error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.start()
+	m.init()
 	allow, err := guard.New(m.Allow)
 	if err != nil {
 		return err
@@ -112,32 +112,32 @@
 	if m.Listen == "" || m.listener != nil {
 		return nil
 	}
-	l, err := net.Listen("tcp", m.Listen) //nolint:noctx // binding does not wait
+	listener, err := net.Listen("tcp", m.Listen) //nolint:noctx // binding does not wait
 	if err != nil {
-		return errors.Wrap(err, "wire")
+		return errors.Wrap(err, "listen for peers")
 	}
-	m.listener = l
+	m.listener = listener
 	return nil
 }
 
-// start makes the tables. The caller holds mu.
-func (m *Mesh) start() {
-	if m.open {
+// init sets up the maps and defaults. The caller holds mu.
+func (m *Mesh) init() {
+	if m.initialized {
 		return
 	}
-	m.open = true
-	m.links = map[string]*link{}
-	m.peers = map[*link]struct{}{}
-	m.calls = make(chan struct{}, maxCalls)
+	m.initialized = true
+	m.outgoing = map[string]*peerConn{}
+	m.incoming = map[*peerConn]struct{}{}
+	m.callSlots = make(chan struct{}, maxConcurrentCalls)
 	if m.MaxConns <= 0 {
-		m.MaxConns = maxLinks
+		m.MaxConns = maxConns
 	}
 	if m.Log == nil {
 		m.Log = slog.New(slog.DiscardHandler)
 	}
 }
 
-// SetAllow replaces the list of peers; connections that stand are kept.
+// SetAllow replaces the list of allowed peers; existing connections are kept.
 func (m *Mesh) SetAllow(list []string) error {
 	allow, err := guard.New(list)
 	if err != nil {
@@ -159,8 +159,8 @@
 	return m.listener.Addr().String()
 }
 
-// Run takes calls until ctx ends, then closes every connection: whoever wants
-// running calls to finish first ends ctx after they have.
+// Run serves calls until ctx ends, then closes every connection. To let running
+// calls finish, wait for them before ending ctx.
 func (m *Mesh) Run(ctx context.Context) error {
 	if err := m.Open(); err != nil {
 		return err
@@ -181,23 +181,23 @@
 	if m.listener != nil {
 		_ = m.listener.Close()
 	}
-	all := m.all()
+	conns := m.conns()
 	m.mu.Unlock()
-	for _, l := range all {
-		l.close()
+	for _, c := range conns {
+		c.close()
 	}
 }
 
-// all lists every connection. The caller holds mu.
-func (m *Mesh) all() []*link {
-	all := make([]*link, 0, len(m.links)+len(m.peers))
-	for _, l := range m.links {
-		all = append(all, l)
+// conns returns all connections. The caller holds mu.
+func (m *Mesh) conns() []*peerConn {
+	conns := make([]*peerConn, 0, len(m.outgoing)+len(m.incoming))
+	for _, c := range m.outgoing {
+		conns = append(conns, c)
 	}
-	for l := range m.peers {
-		all = append(all, l)
+	for c := range m.incoming {
+		conns = append(conns, c)
 	}
-	return all
+	return conns
 }
 
 func (m *Mesh) accept(ctx context.Context) {
@@ -207,62 +207,63 @@
 	for ctx.Err() == nil {
 		conn, err := m.listener.Accept()
 		if err != nil {
-			// Out of descriptors, for one: without a pause this would spin.
-			magno.Pause(ctx, acceptPause)
+			// Without a delay this would spin, for example while no file descriptors
+			// are free.
+			magno.Pause(ctx, acceptRetryDelay)
 			continue
 		}
 		m.admit(conn)
 	}
 }
 
-// admit starts an incoming connection, or closes it when there are too many.
+// admit starts an incoming connection, or closes it if there are too many.
 func (m *Mesh) admit(conn net.Conn) {
 	m.mu.Lock()
 	allowed := m.allow.Allows(conn.RemoteAddr().String())
-	// Denied peers are told so, but whoever isn't on the list must not be able
-	// to take up the places of those who are.
-	if m.closed || len(m.peers)-m.denied >= maxPeers || (!allowed && m.denied >= maxDenied) {
+	// Denied peers get a refusal for each call, but must not be able to use up the
+	// connections of allowed peers.
+	if m.closed || len(m.incoming)-m.denied >= maxIncoming || (!allowed && m.denied >= maxDenied) {
 		m.mu.Unlock()
 		_ = conn.Close()
 		return
 	}
-	l := newLink(m, conn.RemoteAddr().String())
-	l.denied = !allowed
-	l.incoming = true
-	m.peers[l] = struct{}{}
-	if l.denied {
+	c := newPeerConn(m, conn.RemoteAddr().String())
+	c.denied = !allowed
+	c.incoming = true
+	m.incoming[c] = struct{}{}
+	if c.denied {
 		m.denied++
 	}
 	m.mu.Unlock()
 	if !allowed {
-		m.Log.Warn("denied", "peer", l.addr)
+		m.Log.Warn("connection denied: address is not an allowed peer", "peer", c.addr)
 	}
-	l.attach(conn)
+	c.attach(conn)
 }
 
-// forget drops a connection that closed or must not be used again.
-func (m *Mesh) forget(l *link) {
+// forget removes a connection that was closed or must not be used again.
+func (m *Mesh) forget(c *peerConn) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if _, ok := m.peers[l]; ok && l.denied {
+	if _, ok := m.incoming[c]; ok && c.denied {
 		m.denied--
 	}
-	delete(m.peers, l)
-	if m.links[l.addr] == l {
-		delete(m.links, l.addr)
+	delete(m.incoming, c)
+	if m.outgoing[c.addr] == c {
+		delete(m.outgoing, c.addr)
 	}
 }
 
-// sweep closes connections that nobody uses.
+// sweep closes connections that reached their idle timeout, until ctx ends.
 func (m *Mesh) sweep(ctx context.Context) {
-	for magno.Pause(ctx, sweepEvery) {
+	for magno.Pause(ctx, sweepInterval) {
 		m.mu.Lock()
-		all := m.all()
+		conns := m.conns()
 		m.mu.Unlock()
-		for _, l := range all {
-			if l.unused() {
-				m.forget(l)
-				l.close()
+		for _, c := range conns {
+			if c.idleExpired() {
+				m.forget(c)
+				c.close()
 			}
 		}
 	}
--- a/magno/wire/mesh_test.go
+++ b/magno/wire/mesh_test.go
@@ -33,7 +33,8 @@
 	return m
 }
 
-func wait(t *testing.T) context.Context {
+// testContext ends after a minute, so that a call without a reply fails the test.
+func testContext(t *testing.T) context.Context {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	t.Cleanup(cancel)
 	return ctx
@@ -57,7 +58,7 @@
 	client := start(t, &Mesh{})
 	var got []int
 	var total int
-	err := client.CallStream(wait(t), server.Addr(), "count", 500, &total, func(_ string, p json.RawMessage) {
+	err := client.CallStream(testContext(t), server.Addr(), "count", 500, &total, func(_ string, p json.RawMessage) {
 		var i int
 		_ = json.Unmarshal(p, &i)
 		got = append(got, i)
@@ -67,14 +68,14 @@
 	}
 	for i, n := range got {
 		if n != i {
-			t.Fatalf("part %d came at place %d", n, i)
+			t.Fatalf("part %d is at index %d", n, i)
 		}
 	}
 }
 
-// A peer decides to refuse; the caller must see the same kind, whether it was
-// run, and when to come back. Otherwise a user is told the wrong thing.
-func TestRefusalTravels(t *testing.T) {
+// Guards against a refusal by a peer that reaches the caller with another kind, run
+// state, retry time or field, and thereby gives a user wrong information.
+func TestRefusalReachesCaller(t *testing.T) {
 	server := &Mesh{}
 	server.Handle("run", func(context.Context, *Peer, json.RawMessage) (any, error) {
 		return nil, magno.Refuse(magno.KindBusy, "full").Later(700).At("x")
@@ -85,24 +86,24 @@
 	start(t, server)
 	client := start(t, &Mesh{})
 	var refusal *magno.Refusal
-	err := client.Call(wait(t), server.Addr(), "run", nil, nil)
+	err := client.Call(testContext(t), server.Addr(), "run", nil, nil)
 	if !errors.As(err, &refusal) || refusal.Kind != magno.KindBusy || refusal.After != 700 ||
 		refusal.Run != magno.RunNo || refusal.Field != "x" {
 		t.Fatalf("got %v", err)
 	}
-	err = client.Call(wait(t), server.Addr(), "fault", nil, nil)
+	err = client.Call(testContext(t), server.Addr(), "fault", nil, nil)
 	if !errors.As(err, &refusal) || refusal.Kind != magno.KindInternal || refusal.Run != magno.RunUnknown {
 		t.Fatalf("got %v", err)
 	}
-	err = client.Call(wait(t), server.Addr(), "nothing", nil, nil)
+	err = client.Call(testContext(t), server.Addr(), "nothing", nil, nil)
 	if !errors.As(err, &refusal) || refusal.Run != magno.RunNo {
 		t.Fatalf("got %v", err)
 	}
 }
 
-// The peer's process dies with a call in progress. The call may have run, so
-// nobody may be told that it was not; a call to a port where nobody listens
-// was certainly not run, and can be sent elsewhere.
+// If a peer dies during a call, the call may have run, so the error must not be
+// NotSent. A call to a port without a listener has certainly not run and can be
+// sent to another peer.
 func TestBrokenCallIsUnknown(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -119,19 +120,19 @@
 		_ = l.Close()
 	}()
 	client := start(t, &Mesh{})
-	err = client.Call(wait(t), l.Addr().String(), "run", "x", nil)
+	err = client.Call(testContext(t), l.Addr().String(), "run", "x", nil)
 	var broken *Error
 	if !errors.As(err, &broken) || !broken.Sent || NotSent(err) {
 		t.Fatalf("got %v", err)
 	}
-	for !NotSent(client.Call(wait(t), l.Addr().String(), "run", "x", nil)) {
+	for !NotSent(client.Call(testContext(t), l.Addr().String(), "run", "x", nil)) {
 		// The listener closes a moment after the connection.
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// A peer that isn't on the list connects, by mistake or on purpose. It must
-// be able to run nothing, and its operator must see why.
+// A peer that is not allowed must be unable to run any method, and must get a
+// refusal that says why.
 func TestDenied(t *testing.T) {
 	var ran atomic.Bool
 	server := &Mesh{Allow: []string{"10.1.0.0/16"}}
@@ -142,26 +143,26 @@
 	start(t, server)
 	client := start(t, &Mesh{})
 	var refusal *magno.Refusal
-	err := client.Call(wait(t), server.Addr(), "run", nil, nil)
+	err := client.Call(testContext(t), server.Addr(), "run", nil, nil)
 	if !errors.As(err, &refusal) || refusal.Kind != magno.KindDenied || ran.Load() {
-		t.Fatalf("got %v, ran %v", err, ran.Load())
+		t.Fatalf("got %v, handler ran: %v", err, ran.Load())
 	}
 }
 
-// A message over the limit must end with an error on the side that sent it and
-// must not grow the other's memory.
+// A message over the size limit must be an error for its sender, and must not
+// increase the memory of the receiver.
 func TestTooLarge(t *testing.T) {
 	server := &Mesh{}
 	server.Handle("run", func(context.Context, *Peer, json.RawMessage) (any, error) {
-		return strings.Repeat("y", maxMessage+1), nil
+		return strings.Repeat("y", maxMessageSize+1), nil
 	})
 	start(t, server)
 	client := start(t, &Mesh{})
-	if err := client.Call(wait(t), server.Addr(), "run", strings.Repeat("x", maxMessage+1), nil); !NotSent(err) {
+	if err := client.Call(testContext(t), server.Addr(), "run", strings.Repeat("x", maxMessageSize+1), nil); !NotSent(err) {
 		t.Fatalf("got %v", err)
 	}
 	var refusal *magno.Refusal
-	if err := client.Call(wait(t), server.Addr(), "run", "x", nil); !errors.As(err, &refusal) {
+	if err := client.Call(testContext(t), server.Addr(), "run", "x", nil); !errors.As(err, &refusal) {
 		t.Fatalf("got %v", err)
 	}
 	raw, err := net.Dial("tcp", server.Addr())
@@ -171,21 +172,21 @@
 	defer raw.Close()
 	_, _ = raw.Write([]byte("Content-Length: 4000000000\r\n\r\n\""))
 	chunk := []byte(strings.Repeat("x", 1<<16))
-	for range maxMessage/len(chunk) + 64 {
+	for range maxMessageSize/len(chunk) + 64 {
 		if _, err := raw.Write(chunk); err != nil {
 			return
 		}
 	}
 	_ = raw.SetReadDeadline(time.Now().Add(time.Minute))
 	if _, err := raw.Read(chunk); err == nil {
-		t.Fatal("the connection stayed open")
+		t.Fatal("the connection is still open")
 	} else if errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Fatal("the connection stayed open")
+		t.Fatal("the connection is still open")
 	}
 }
 
-// A process that talks to many peers in turn must not keep a connection to
-// each; one in use is never closed for another.
+// A process that calls many peers in turn must not keep a connection to each, and
+// must not close one in use for another.
 func TestCacheIsBounded(t *testing.T) {
 	client := &Mesh{MaxConns: 2}
 	hold := make(chan struct{})
@@ -198,19 +199,19 @@
 	}
 	start(t, client)
 	held := make(chan error, 1)
-	go func() { held <- client.Call(wait(t), servers[0].Addr(), "hold", nil, nil) }()
+	go func() { held <- client.Call(testContext(t), servers[0].Addr(), "hold", nil, nil) }()
 	for range 3 {
 		for _, s := range servers[1:] {
-			if err := client.Call(wait(t), s.Addr(), "run", nil, nil); err != nil {
+			if err := client.Call(testContext(t), s.Addr(), "run", nil, nil); err != nil {
 				t.Fatal(err)
 			}
 		}
 	}
 	client.mu.Lock()
-	n := len(client.links)
+	n := len(client.outgoing)
 	client.mu.Unlock()
 	if n > 2 {
-		t.Fatalf("%d connections", n)
+		t.Fatalf("%d connections are open, want at most 2", n)
 	}
 	close(hold)
 	if err := <-held; err != nil {
@@ -218,12 +219,12 @@
 	}
 }
 
-// Guards against a stream that lost parts, as its caller took them too slowly, and is
-// taken for whole since its answer is there as well.
-func TestLostPartsAreToldBesideTheAnswer(t *testing.T) {
+// Guards against a stream that counts as complete because its reply arrived,
+// although parts were dropped since the caller read them too slowly.
+func TestLostPartsFailTheStream(t *testing.T) {
 	server, sent := &Mesh{}, make(chan struct{})
 	server.Handle("flood", func(ctx context.Context, peer *Peer, _ json.RawMessage) (any, error) {
-		for i := range maxParts + 10 {
+		for i := range maxBufferedParts + 10 {
 			if err := peer.Notify(ctx, "part", i); err != nil {
 				return nil, err
 			}
@@ -233,7 +234,7 @@
 	})
 	start(t, server)
 	client := start(t, &Mesh{})
-	ctx := wait(t)
+	ctx := testContext(t)
 	for round := range 50 {
 		first := true
 		err := client.CallStream(ctx, server.Addr(), "flood", nil, nil, func(string, json.RawMessage) {
@@ -242,7 +243,7 @@
 			}
 			first = false
 			<-sent
-			// Its answer comes behind all parts, and close to that of the flood.
+			// This reply comes after all parts, at about the time of that of flood.
 			if err := client.Call(ctx, server.Addr(), "none", nil, nil); NotSent(err) {
 				t.Error(err)
 			}
