--- a/agent/daemon/daemon.go
+++ b/agent/daemon/daemon.go
@@ -187,7 +187,7 @@
 
 // terms is what the weight store allows the pool.
 func (a *agent) terms() (rate float64, width int) {
-	if now := a.Store.Now(); now != nil {
+	if now := a.Store.Current(); now != nil {
 		if p, ok := now.Pool(a.opts.Pool); ok && p.LoadRate > 0 {
 			return p.LoadRate, max(p.LoadWidth, 1)
 		}
--- a/entry/daemon/homes.go
+++ b/entry/daemon/homes.go
@@ -39,7 +39,7 @@
 
 // limit is a customer's, nil where it has none.
 func (h *homes) limit(customer string) *magno.Limit {
-	now := h.store.Now()
+	now := h.store.Current()
 	if now == nil {
 		return nil
 	}
--- a/entry/daemon/status.go
+++ b/entry/daemon/status.go
@@ -74,7 +74,7 @@
 
 // Customer implements front.Catalogue.
 func (c *catalogue) Customer(name string) (magno.Customer, bool) {
-	if now := c.store.Now(); now != nil {
+	if now := c.store.Current(); now != nil {
 		return now.Customer(name)
 	}
 	return magno.Customer{}, false
@@ -82,7 +82,7 @@
 
 // Owner implements front.Catalogue.
 func (c *catalogue) Owner(authorization string) (owner *magno.Customer, need bool) {
-	now := c.store.Now()
+	now := c.store.Current()
 	if now == nil {
 		return nil, false
 	}
@@ -106,7 +106,7 @@
 
 // Profile implements front.Catalogue.
 func (c *catalogue) Profile(name string) (magno.Profile, bool) {
-	if now := c.store.Now(); now != nil {
+	if now := c.store.Current(); now != nil {
 		return now.Profile(name)
 	}
 	return magno.Profile{}, false
@@ -114,7 +114,7 @@
 
 // Pool implements front.Catalogue.
 func (c *catalogue) Pool(name string) (magno.Pool, bool) {
-	if now := c.store.Now(); now != nil {
+	if now := c.store.Current(); now != nil {
 		return now.Pool(name)
 	}
 	return magno.Pool{}, false
@@ -126,7 +126,7 @@
 // Names implements front.Catalogue.
 func (c *catalogue) Names(customer string) []string {
 	names := []string{}
-	if now := c.store.Now(); now != nil {
+	if now := c.store.Current(); now != nil {
 		now.EachProfile(func(p magno.Profile) bool {
 			if customer == "" || p.Customer == customer {
 				names = append(names, p.Name)
--- a/entry/desk/desk.go
+++ b/entry/desk/desk.go
@@ -73,7 +73,7 @@
 	// Self is this instance's name.
 	Self  string
 	Mesh  *wire.Mesh
-	Book  *view.Book
+	Book  *view.Store
 	Clock *magno.Clock
 	Log   *slog.Logger
 	// AgentPort is the port that agents listen on, the same on all machines.
@@ -147,7 +147,7 @@
 
 // pollDue polls the agents that are due.
 func (c *Client) pollDue(ctx context.Context, wg *sync.WaitGroup) {
-	c.syncAgents(c.Book.Now())
+	c.syncAgents(c.Book.Current())
 	for _, s := range c.due() {
 		wg.Add(1)
 		go func() {
--- a/entry/desk/desk_test.go
+++ b/entry/desk/desk_test.go
@@ -85,8 +85,8 @@
 	}
 	_, port, _ := net.SplitHostPort(served.Addr())
 	number, _ := strconv.Atoi(port)
-	book := &view.Book{Clock: clock}
-	book.Read([]magno.Change{
+	book := &view.Store{Clock: clock}
+	book.ApplyRead([]magno.Change{
 		{Key: "plan", Revision: 1, Plan: &magno.Plan{Version: 1, Services: []magno.Service{{Name: "s", Engine: &magno.Engine{Batch: 1}}}}},
 		{Key: "r", Revision: 1, Replica: &magno.Replica{ID: "r", Service: "s", Address: "127.0.0.1:1", DataCentre: "x", Slots: 1}},
 	}, 1, true)
--- a/entry/peers/model_test.go
+++ b/entry/peers/model_test.go
@@ -51,7 +51,7 @@
 // start has a process begin, or begin anew with nothing known.
 func (f *fleet) start(i int) {
 	p := &Peers{
-		Self: fmt.Sprint(i), Addr: addr(i), Mesh: &wire.Mesh{}, Book: &view.Book{Clock: f.clocks[i]},
+		Self: fmt.Sprint(i), Addr: addr(i), Mesh: &wire.Mesh{}, Book: &view.Store{Clock: f.clocks[i]},
 		Suspects: &crash.Suspects{Clock: f.clocks[i]}, Clock: f.clocks[i], Log: slog.New(slog.DiscardHandler),
 	}
 	for j := range processes {
@@ -88,7 +88,7 @@
 func (f *fleet) ask(t *rapid.T, i int) {
 	p, asked, began := f.peers[i], f.clocks[i].Now(), f.now
 	how := rapid.SampledFrom([]string{"fresh", "stale", "watch"}).Draw(t, "call")
-	since := p.Book.Now().Revision
+	since := p.Book.Current().Revision
 	f.fly(func() {
 		if f.peers[i] != p {
 			return // it was started anew
@@ -109,12 +109,12 @@
 		if how == "watch" && revision <= since {
 			changes, revision = nil, since
 		}
-		p.Book.Read(changes, revision, how != "watch")
+		p.Book.ApplyRead(changes, revision, how != "watch")
 		switch how {
 		case "fresh":
-			p.Book.Vouch(revision, asked)
+			p.Book.RecordFreshness(revision, asked)
 		case "watch":
-			p.Book.Vouch(revision, asked-(deafFor-watchWait))
+			p.Book.RecordFreshness(revision, asked-(deafFor-watchWait))
 		}
 	})
 }
@@ -150,7 +150,7 @@
 	})
 }
 
-func encoded(t *rapid.T, n view.News) json.RawMessage {
+func encoded(t *rapid.T, n view.Update) json.RawMessage {
 	data, err := json.Marshal(n)
 	if err != nil {
 		t.Fatal(err)
@@ -177,7 +177,7 @@
 func (f *fleet) fetch(t *rapid.T) {
 	from, to := f.pair(t)
 	p := f.peers[from]
-	since := Since{Revision: p.Book.Now().Revision, Stamp: p.stamp()}
+	since := Since{Revision: p.Book.Current().Revision, Stamp: p.stamp()}
 	f.fly(func() {
 		q := f.peers[to]
 		proof := q.prove(stamped{stamp: since.Stamp, came: q.Book.Clock.Now()})
@@ -214,14 +214,14 @@
 // check holds what each process takes its configuration's age to be against the truth.
 func (f *fleet) check(t *rapid.T) {
 	for i, p := range f.peers {
-		at, _ := p.Book.Vouched()
+		at, _ := p.Book.FreshAt()
 		if at == 0 {
 			continue
 		}
-		sure := f.now - p.Book.Unvouched()
-		if known, newest := p.Book.Now().Revision, f.asOf(sure-1); known < newest {
+		sure := f.now - p.Book.Staleness()
+		if known, newest := p.Book.Current().Revision, f.asOf(sure-1); known < newest {
 			t.Fatalf("process %d is sure to know what the list held %d ms ago, revision %d, and knows %d",
-				i, p.Book.Unvouched(), newest, known)
+				i, p.Book.Staleness(), newest, known)
 		}
 	}
 }
--- a/entry/peers/news.go
+++ b/entry/peers/news.go
@@ -16,7 +16,7 @@
 // time.
 func (p *Peers) follow(addr string, revision int64) {
 	p.mu.Lock()
-	mine := p.Book.Now().Revision
+	mine := p.Book.Current().Revision
 	pull := revision > mine && !p.pulling
 	p.pulling = p.pulling || pull
 	p.mu.Unlock()
@@ -58,7 +58,7 @@
 // take brings what a peer told into the book, and returns up to which revision that was.
 // What can't be used is fetched later.
 func (p *Peers) take(n *News, from string) (revision int64) {
-	var told view.News
+	var told view.Update
 	if err := json.Unmarshal(n.Told, &told); err != nil {
 		p.Log.Warn("news", "from", from, "error", err)
 		return 0
@@ -70,8 +70,8 @@
 }
 
 // heed is take for decoded news; false when they can't be used.
-func (p *Peers) heed(told view.News, from string) bool {
-	err := p.Book.Heard(told)
+func (p *Peers) heed(told view.Update, from string) bool {
+	err := p.Book.ApplyUpdate(told)
 	if err != nil {
 		p.Log.Info("news left", "from", from, "rev", told.Revision, "error", err)
 	}
@@ -79,7 +79,7 @@
 }
 
 // Push tells all peers what was read.
-func (p *Peers) Push(n view.News) {
+func (p *Peers) Push(n view.Update) {
 	select {
 	case p.news <- n:
 	default: // they see the higher revision in the next hello, and ask
@@ -88,7 +88,7 @@
 }
 
 // spread tells all peers what was read, unless another process did meanwhile.
-func (p *Peers) spread(ctx context.Context, n view.News) {
+func (p *Peers) spread(ctx context.Context, n view.Update) {
 	if hold := p.holdBack(); hold > 0 {
 		if !magno.Pause(ctx, hold) || p.toldBy(n.Revision) {
 			return
--- a/entry/peers/peers.go
+++ b/entry/peers/peers.go
@@ -93,7 +93,7 @@
 	DataCentre string
 	Seeds      []string
 	Mesh       *wire.Mesh
-	Book       *view.Book
+	Book       *view.Store
 	Suspects   *crash.Suspects
 	// Leaving tells whether this entry is to stop; nil for never.
 	Leaving func() bool
@@ -115,7 +115,7 @@
 	learned chan struct{}
 	// told is the newest revision that others told.
 	told int64
-	news chan view.News
+	news chan view.Update
 	// pulling is true while a fetch of items is under way; pulls doubles pullTime.
 	pulling bool
 	pulls   int
@@ -145,7 +145,7 @@
 	p.since = p.Clock.Now()
 	p.life = rand.Uint64() | 1
 	p.able = true
-	p.news = make(chan view.News, newsRoom)
+	p.news = make(chan view.Update, newsRoom)
 	p.learned = make(chan struct{}, 1)
 	p.learn(p.Seeds)
 	p.Mesh.Handle(MethodHello, p.onHello)
@@ -322,7 +322,7 @@
 
 // self is what this entry tells one with such a crowd that knows so many addresses.
 func (p *Peers) self(crowd uint64, known int) Hello {
-	snap := p.Book.Now()
+	snap := p.Book.Current()
 	h := Hello{
 		Name: p.Self, Addr: p.Addr, Link: p.Link, DataCentre: p.DataCentre, Revision: snap.Revision, Age: p.Book.Age(),
 		Suspects: p.Suspects.UpdatedSince(p.Suspects.Clock.Now()-suspectsFor, mostSuspects),
@@ -388,8 +388,8 @@
 	k.misses, k.alive, k.ended, k.seen = 0, true, false, p.Clock.Now()
 	k.stamped = stamped{stamp: h.Stamp, came: p.Book.Clock.Now()}
 	p.mu.Unlock()
-	if mine := p.Book.Now().Revision; h.Revision == mine && h.Revision > 0 {
-		p.heed(view.News{Since: mine, Revision: h.Revision, Age: h.Age}, h.Addr)
+	if mine := p.Book.Current().Revision; h.Revision == mine && h.Revision > 0 {
+		p.heed(view.Update{Since: mine, Revision: h.Revision, Age: h.Age}, h.Addr)
 	}
 	p.vouch(h.Proof)
 	p.follow(h.Addr, h.Revision)
--- a/entry/peers/peers_test.go
+++ b/entry/peers/peers_test.go
@@ -35,7 +35,7 @@
 	}
 	clock := magno.NewSteady()
 	n := &node{ends: make(chan error, 2), Peers: &Peers{
-		Self: name, Addr: mesh.Addr(), Link: link, Seeds: seeds, Mesh: mesh, Book: &view.Book{Clock: clock},
+		Self: name, Addr: mesh.Addr(), Link: link, Seeds: seeds, Mesh: mesh, Book: &view.Store{Clock: clock},
 		Suspects: &crash.Suspects{Clock: &magno.Clock{}}, Clock: clock, Log: slog.New(slog.DiscardHandler),
 	}}
 	n.Open()
@@ -84,9 +84,9 @@
 		until(t, "all peers", func() bool { return n.Processes() == len(nodes) })
 	}
 	first := nodes[3]
-	first.Push(first.Book.Read([]magno.Change{plan(7, 5)}, 5, true))
+	first.Push(first.Book.ApplyRead([]magno.Change{plan(7, 5)}, 5, true))
 	for _, n := range nodes {
-		until(t, "the configuration", func() bool { p := n.Book.Now().Plan; return p != nil && p.Version == 7 })
+		until(t, "the configuration", func() bool { p := n.Book.Current().Plan; return p != nil && p.Version == 7 })
 	}
 }
 
@@ -94,9 +94,9 @@
 // revision in the next exchange, and fetches what it missed.
 func TestLostNewsIsFetched(t *testing.T) {
 	a := start(t, "a")
-	a.Book.Read([]magno.Change{plan(3, 4)}, 4, true)
+	a.Book.ApplyRead([]magno.Change{plan(3, 4)}, 4, true)
 	b := start(t, "b", a.Addr)
-	until(t, "the configuration", func() bool { p := b.Book.Now().Plan; return p != nil && p.Version == 3 })
+	until(t, "the configuration", func() bool { p := b.Book.Current().Plan; return p != nil && p.Version == 3 })
 }
 
 // A request that crashed upstreams is sent again through another entry, which
@@ -151,7 +151,7 @@
 	clock := magno.NewClock(magno.Hour)
 	pair := func(self, other string) *Peers {
 		p := &Peers{
-			Self: self, Addr: self, Seeds: []string{other}, Mesh: &wire.Mesh{}, Book: &view.Book{Clock: clock},
+			Self: self, Addr: self, Seeds: []string{other}, Mesh: &wire.Mesh{}, Book: &view.Store{Clock: clock},
 			Suspects: &crash.Suspects{Clock: clock}, Clock: clock, Log: slog.New(slog.DiscardHandler),
 		}
 		p.Open()
@@ -218,7 +218,7 @@
 	clock := magno.NewClock(magno.Hour)
 	p := &Peers{
 		Self: "self", Addr: "10.0.0.1:7", Seeds: []string{"10.0.0.1:7", "10.0.0.2:7"}, Mesh: &wire.Mesh{},
-		Book: &view.Book{Clock: clock}, Suspects: &crash.Suspects{Clock: clock}, Clock: clock, Log: slog.New(slog.DiscardHandler),
+		Book: &view.Store{Clock: clock}, Suspects: &crash.Suspects{Clock: clock}, Clock: clock, Log: slog.New(slog.DiscardHandler),
 	}
 	p.Open()
 	<-p.learned // its seeds
--- a/entry/peers/proof.go
+++ b/entry/peers/proof.go
@@ -37,7 +37,7 @@
 // prove tells a process up to when what this one knows was the newest. It is nil where
 // nothing vouches for that, or no stamp came from there.
 func (p *Peers) prove(s stamped) *Proof {
-	vouched, revision := p.Book.Vouched()
+	vouched, revision := p.Book.FreshAt()
 	if s.stamp.Life == 0 || vouched == 0 {
 		return nil
 	}
@@ -47,6 +47,6 @@
 // vouch takes the proof of a message, after what else it brings.
 func (p *Peers) vouch(proof *Proof) {
 	if proof != nil && proof.Stamp.Life == p.life {
-		p.Book.Vouch(proof.Revision, proof.Stamp.At+proof.Lead)
+		p.Book.RecordFreshness(proof.Revision, proof.Stamp.At+proof.Lead)
 	}
 }
--- a/entry/peers/role.go
+++ b/entry/peers/role.go
@@ -33,7 +33,7 @@
 // a fleet starts, each entry knows nobody who is to read rather than it: but for the seeds,
 // none follows the list until it had time to meet the others.
 func (p *Peers) Mine() bool {
-	if p.Book.Now().Plan == nil {
+	if p.Book.Current().Plan == nil {
 		return true
 	}
 	age, now := p.Book.Age(), p.Clock.Now()
--- a/entry/peers/role_test.go
+++ b/entry/peers/role_test.go
@@ -22,11 +22,11 @@
 	}
 	for _, n := range nodes {
 		until(t, "all peers", func() bool { return n.Processes() == len(nodes) })
-		n.Book.Read([]magno.Change{plan(1, 1)}, 1, true)
+		n.Book.ApplyRead([]magno.Change{plan(1, 1)}, 1, true)
 	}
 	confirm := func() {
 		for _, n := range nodes {
-			n.Book.Read(nil, 1, false)
+			n.Book.ApplyRead(nil, 1, false)
 		}
 	}
 	readers := func() (list []*node) {
@@ -79,11 +79,11 @@
 	}
 	for _, n := range nodes {
 		until(t, "all peers", func() bool { return n.Processes() == len(nodes) })
-		n.Book.Read([]magno.Change{plan(1, 1)}, 1, true)
+		n.Book.ApplyRead([]magno.Change{plan(1, 1)}, 1, true)
 	}
 	for _, n := range nodes {
 		until(t, "its role", func() bool {
-			n.Book.Read(nil, 1, false)
+			n.Book.ApplyRead(nil, 1, false)
 			return n.Mine() == (n.Link == 200)
 		})
 	}
@@ -97,7 +97,7 @@
 	clock := magno.NewClock(magno.Hour)
 	place := func(before int) *Peers {
 		p := &Peers{
-			Self: "self", Addr: "10.0.0.1:7", Link: 20, Mesh: &wire.Mesh{}, Book: &view.Book{Clock: clock},
+			Self: "self", Addr: "10.0.0.1:7", Link: 20, Mesh: &wire.Mesh{}, Book: &view.Store{Clock: clock},
 			Suspects: &crash.Suspects{Clock: clock}, Clock: clock, Log: slog.New(slog.DiscardHandler),
 		}
 		p.Open()
@@ -113,7 +113,7 @@
 		after  magno.Millis
 	}{{0, 0}, {1, 0}, {2, staleAge}, {3, staleAge + stepIn}, {12, staleAge + 10*stepIn}, {60, staleAge + stepMost}} {
 		p := place(c.before)
-		p.Book.Read([]magno.Change{plan(1, 1)}, 1, false)
+		p.Book.ApplyRead([]magno.Change{plan(1, 1)}, 1, false)
 		clock.Advance(c.after)
 		if first := c.before < Readers; p.Mine() != first {
 			t.Errorf("with %d before it, it reads after %d ms", c.before, c.after)
@@ -128,7 +128,7 @@
 // ranked is an entry with others that are to read the list rather than it.
 func ranked(clock *magno.Clock, before int, others Hello) *Peers {
 	p := &Peers{
-		Self: "self", Addr: "10.0.0.1:7", Link: 20, Mesh: &wire.Mesh{}, Book: &view.Book{Clock: clock},
+		Self: "self", Addr: "10.0.0.1:7", Link: 20, Mesh: &wire.Mesh{}, Book: &view.Store{Clock: clock},
 		Suspects: &crash.Suspects{Clock: clock}, Clock: clock, Log: slog.New(slog.DiscardHandler),
 	}
 	p.Open()
@@ -138,7 +138,7 @@
 		p.learn([]string{h.Addr})
 		p.heard(&h)
 	}
-	p.Book.Read([]magno.Change{plan(1, 1)}, 1, false)
+	p.Book.ApplyRead([]magno.Change{plan(1, 1)}, 1, false)
 	return p
 }
 
@@ -206,7 +206,7 @@
 	clock := magno.NewClock(magno.Hour)
 	fresh := func(seeds ...string) *Peers {
 		p := &Peers{
-			Self: "self", Addr: "10.0.0.1:7", Seeds: seeds, Mesh: &wire.Mesh{}, Book: &view.Book{Clock: clock},
+			Self: "self", Addr: "10.0.0.1:7", Seeds: seeds, Mesh: &wire.Mesh{}, Book: &view.Store{Clock: clock},
 			Suspects: &crash.Suspects{Clock: clock}, Clock: clock, Log: slog.New(slog.DiscardHandler),
 		}
 		p.Open()
@@ -244,14 +244,14 @@
 	} {
 		clock := magno.NewClock(magno.Hour)
 		p := &Peers{
-			Self: "self", Addr: "10.0.0.1:7", Seeds: c.seeds, Mesh: &wire.Mesh{}, Book: &view.Book{Clock: clock},
+			Self: "self", Addr: "10.0.0.1:7", Seeds: c.seeds, Mesh: &wire.Mesh{}, Book: &view.Store{Clock: clock},
 			Suspects: &crash.Suspects{Clock: clock}, Clock: clock, Log: slog.New(slog.DiscardHandler),
 		}
 		p.Open()
 		if !p.Mine() {
 			t.Errorf("%s doesn't read what it knows nothing of", c.name)
 		}
-		p.Book.Read([]magno.Change{plan(1, 1)}, 1, false)
+		p.Book.ApplyRead([]magno.Change{plan(1, 1)}, 1, false)
 		if got := p.Mine(); got != c.first {
 			t.Errorf("%s follows the list at once: %v", c.name, got)
 		}
--- a/entry/reads/reads.go
+++ b/entry/reads/reads.go
@@ -47,11 +47,11 @@
 // Reads is the duty. Fields are set before Run.
 type Reads struct {
 	List magno.Lister
-	Book *view.Book
+	Book *view.Store
 	// Mine tells whether this process is to read now.
 	Mine func() bool
 	// Push tells the other entries what was read. It must not block.
-	Push func(n view.News)
+	Push func(n view.Update)
 	// Able is told whether the list answers this process.
 	Able func(bool)
 	// Fresh is true where the first reading must vouch for what it brings. It costs
@@ -82,7 +82,7 @@
 			magno.Pause(ctx, look)
 			continue
 		}
-		if r.whole && !r.Mine() && r.Book.Now().Plan != nil {
+		if r.whole && !r.Mine() && r.Book.Current().Plan != nil {
 			r.whole = false // a peer told everything
 			continue
 		}
@@ -94,7 +94,7 @@
 // round makes one call and returns the pause until the next.
 func (r *Reads) round(ctx context.Context) magno.Millis {
 	r.calls.Inc()
-	before, asked := r.Book.Now().Revision, r.Book.Clock.Now()
+	before, asked := r.Book.Current().Revision, r.Book.Clock.Now()
 	var changes []magno.Change
 	var revision int64
 	var err error
@@ -117,12 +117,12 @@
 	}
 	r.hit()
 	r.whole, r.fresh = false, false
-	news := r.Book.Read(changes, revision, whole)
+	news := r.Book.ApplyRead(changes, revision, whole)
 	switch {
 	case !whole:
-		r.Book.Vouch(revision, asked-(deaf-wait))
+		r.Book.RecordFreshness(revision, asked-(deaf-wait))
 	case fresh:
-		r.Book.Vouch(revision, asked)
+		r.Book.RecordFreshness(revision, asked)
 	}
 	if !whole {
 		// After a loss of all power every process reads the whole list. If each
@@ -137,7 +137,7 @@
 
 // wait is how long the next watch waits.
 func (r *Reads) wait() magno.Millis {
-	if r.Book.Unvouched() > unsure {
+	if r.Book.Staleness() > unsure {
 		return soon
 	}
 	return waitFor
@@ -145,11 +145,11 @@
 
 func (r *Reads) miss(err error) magno.Millis {
 	r.fails.Inc()
-	r.Book.Failed()
+	r.Book.RecordFailure()
 	r.failed++
 	r.back = min(max(r.back*2, firstBack), lastBack)
 	if r.failed == tired {
-		r.Log.Warn("list lost", "error", err, "age", r.Book.Age(), "revision", r.Book.Now().Revision)
+		r.Log.Warn("list lost", "error", err, "age", r.Book.Age(), "revision", r.Book.Current().Revision)
 		r.Able(false)
 	}
 	return r.back
--- a/entry/reads/reads_test.go
+++ b/entry/reads/reads_test.go
@@ -78,8 +78,8 @@
 	t.Helper()
 	a := &able{is: true}
 	r := &Reads{
-		List: l, Book: &view.Book{Clock: magno.NewSteady()}, Mine: func() bool { return true },
-		Push: func(view.News) {}, Able: a.set, Log: slog.New(slog.DiscardHandler),
+		List: l, Book: &view.Store{Clock: magno.NewSteady()}, Mine: func() bool { return true },
+		Push: func(view.Update) {}, Able: a.set, Log: slog.New(slog.DiscardHandler),
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	end := make(chan error, 1)
@@ -107,9 +107,9 @@
 func TestCompactedListIsReadAfresh(t *testing.T) {
 	l := &list{version: 3}
 	r, _ := run(t, l)
-	until(t, "the first configuration", func() bool { return r.Book.Now().Plan != nil })
+	until(t, "the first configuration", func() bool { return r.Book.Current().Plan != nil })
 	l.set(func() { l.compacted, l.version = true, 9 })
-	until(t, "the newer configuration", func() bool { return r.Book.Now().Plan.Version == 9 })
+	until(t, "the newer configuration", func() bool { return r.Book.Current().Plan.Version == 9 })
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.fresh != 1 || l.stale != 1 {
@@ -122,7 +122,7 @@
 func TestRefusedReaderStepsBack(t *testing.T) {
 	l := &list{version: 1}
 	r, a := run(t, l)
-	until(t, "the first configuration", func() bool { return r.Book.Now().Plan != nil })
+	until(t, "the first configuration", func() bool { return r.Book.Current().Plan != nil })
 	l.set(func() { l.fail = true })
 	until(t, "stepping back", func() bool { return !a.get() })
 	l.set(func() { l.fail = false })
--- a/entry/relay/decline_test.go
+++ b/entry/relay/decline_test.go
@@ -60,7 +60,7 @@
 	s.permits.declines = func(string) bool {
 		leaving := *s.changes[1].Replica
 		leaving.Leaving = true
-		s.Book.Read([]magno.Change{{Key: leaving.ID, Revision: 2, Replica: &leaving}}, 2, false)
+		s.Book.ApplyRead([]magno.Change{{Key: leaving.ID, Revision: 2, Replica: &leaving}}, 2, false)
 		return true
 	}
 	res, _, err := s.get(t, http.MethodPost, "1")
--- a/entry/relay/help_test.go
+++ b/entry/relay/help_test.go
@@ -240,8 +240,8 @@
 		s.pools.replicas = append(s.pools.replicas, r.Key())
 		s.changes = append(s.changes, magno.Change{Key: r.ID, Revision: 1, Replica: r})
 	}
-	book := &view.Book{Clock: clock}
-	book.Read(s.changes, 1, true)
+	book := &view.Store{Clock: clock}
+	book.ApplyRead(s.changes, 1, true)
 	s.Handler = &Handler{
 		Name: "e", Clock: clock, Book: book, Dialect: testDialect{}, Conns: &hop.Pool{Clock: clock}, Permits: s.permits,
 		Pools: s.pools, Suspects: &crash.Suspects{Clock: &magno.Clock{}}, Log: slog.New(slog.DiscardHandler),
--- a/entry/relay/job.go
+++ b/entry/relay/job.go
@@ -204,7 +204,7 @@
 
 // findReplicas returns the replicas with the given keys that are listed and not leaving.
 func (j *job) findReplicas(names []string) []*magno.Replica {
-	snap := j.Book.Now()
+	snap := j.Book.Current()
 	list := make([]*magno.Replica, 0, len(names))
 	for _, name := range names {
 		if r := snap.Find(name); r != nil && !r.Leaving {
--- a/entry/relay/keyed.go
+++ b/entry/relay/keyed.go
@@ -19,7 +19,7 @@
 
 // KeysFresh reports whether the configuration was confirmed so recently that no key in it can
 // have been revoked for longer than MaxRevokeDelay.
-func (h *Handler) KeysFresh() bool { return h.keysFreshAt(h.Book.Unvouched()) }
+func (h *Handler) KeysFresh() bool { return h.keysFreshAt(h.Book.Staleness()) }
 
 // keysFreshAt is KeysFresh for a configuration that was confirmed the given time ago.
 func (h *Handler) keysFreshAt(unvouched magno.Millis) bool {
@@ -36,12 +36,12 @@
 	if !j.snap.Plan.Keyed(j.route) {
 		return nil
 	}
-	j.configAge = j.Book.Unvouched()
+	j.configAge = j.Book.Staleness()
 	if !j.keysFreshAt(j.configAge) {
 		return magno.Refuse(magno.KindOutdated, "keys can't be checked, the configuration was confirmed %d ms ago", j.configAge).
 			Later(outdatedRetryAfter)
 	}
-	now := j.Book.Now()
+	now := j.Book.Current()
 	j.customer = j.tablesFor(now.Plan).keys.Find(j.call.Key)
 	if j.customer != nil {
 		return nil
--- a/entry/relay/keyed_test.go
+++ b/entry/relay/keyed_test.go
@@ -41,9 +41,9 @@
 		Limit: &magno.Limit{Rate: 100, Burst: 100, Tokens: true},
 	}}
 	s.changes[0].Plan = &plan
-	s.Book = &view.Book{Clock: clock}
-	s.Book.Read(s.changes, 1, true)
-	s.Book.Vouch(1, clock.Now())
+	s.Book = &view.Store{Clock: clock}
+	s.Book.ApplyRead(s.changes, 1, true)
+	s.Book.RecordFreshness(1, clock.Now())
 	s.MaxRevokeDelay = 5 * magno.Second
 	return s, u, clock
 }
@@ -98,10 +98,10 @@
 func TestKeyIsCheckedOnceTheBodyIsThere(t *testing.T) {
 	s, u, _ := newKeyedProxy(t)
 	body := &hookedBody{text: "body", onRead: func() {
-		plan := *s.Book.Now().Plan
+		plan := *s.Book.Current().Plan
 		plan.Version++
 		plan.Customers = []magno.Customer{{Name: "alpha"}}
-		s.Book.Read([]magno.Change{{Key: "plan", Revision: 2, Plan: &plan}}, 2, false)
+		s.Book.ApplyRead([]magno.Change{{Key: "plan", Revision: 2, Plan: &plan}}, 2, false)
 	}}
 	req, err := http.NewRequestWithContext(context.Background(), http.MethodPost, s.server.URL+"/p/1", body)
 	if err != nil {
--- a/entry/relay/machine_test.go
+++ b/entry/relay/machine_test.go
@@ -150,7 +150,7 @@
 			gone := *s.changes[i+1].Replica
 			gone.Leaving = true
 			revision++
-			s.Book.Read([]magno.Change{{Key: gone.ID, Revision: revision, Replica: &gone}}, revision, false)
+			s.Book.ApplyRead([]magno.Change{{Key: gone.ID, Revision: revision, Replica: &gone}}, revision, false)
 		}
 		// The upstream that leaves at each permit. An index beyond the last one stands for
 		// none.
--- a/entry/relay/memory_test.go
+++ b/entry/relay/memory_test.go
@@ -55,7 +55,7 @@
 		return true
 	})
 	s := newTestProxy(t, magno.KindRepeat, false, u)
-	s.Book.Now().Plan.Routes[0].Aim = 10_000
+	s.Book.Current().Plan.Routes[0].Aim = 10_000
 	s.BodyMemory = semaphore.NewWeighted(6) // one body of four bytes, not two
 	slow := make(chan int, 1)
 	go func() {
--- a/entry/relay/relay.go
+++ b/entry/relay/relay.go
@@ -81,7 +81,7 @@
 	// Name is the name of this instance. It makes the IDs of permits unique.
 	Name    string
 	Clock   *magno.Clock
-	Book    *view.Book
+	Book    *view.Store
 	Dialect magno.Dialect
 	Conns   *hop.Pool
 	Permits Permits
@@ -173,7 +173,7 @@
 func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	h.active.Add(1)
 	defer h.active.Add(-1)
-	j := &job{Handler: h, w: w, r: r, received: h.Clock.Now(), snap: h.Book.Now()}
+	j := &job{Handler: h, w: w, r: r, received: h.Clock.Now(), snap: h.Book.Current()}
 	j.bodyMem.sem, j.responseMem.sem = h.BodyMemory, h.ResponseMemory
 	defer j.bodyMem.release()
 	defer j.responseMem.release()
--- a/entry/relay/relay_test.go
+++ b/entry/relay/relay_test.go
@@ -181,7 +181,7 @@
 	s.permits.onAcquire = func(string) {
 		left := *s.changes[1].Replica
 		left.Leaving = true
-		s.Book.Read([]magno.Change{{Key: left.ID, Revision: 2, Replica: &left}}, 2, false)
+		s.Book.ApplyRead([]magno.Change{{Key: left.ID, Revision: 2, Replica: &left}}, 2, false)
 	}
 	res, _, err := s.get(t, http.MethodPost, "1")
 	if err != nil || res.StatusCode != 200 {
@@ -259,7 +259,7 @@
 // status which guarantees that the request has not run.
 func TestMissingConfigurationIsNotAMissingRoute(t *testing.T) {
 	s := newTestProxy(t, magno.KindOnce, false)
-	s.Book = &view.Book{Clock: s.Clock}
+	s.Book = &view.Store{Clock: s.Clock}
 	res, _, err := s.get(t, http.MethodPost, "1")
 	if err != nil || res.StatusCode != http.StatusServiceUnavailable || res.Header.Get("Retry-After") == "" {
 		t.Fatalf("got %v %v, want 503 with Retry-After", res, err)
@@ -367,7 +367,7 @@
 	s := newTestProxy(t, magno.KindOnce, false)
 	for _, kind := range magno.Kinds() {
 		w := httptest.NewRecorder()
-		j := &job{Handler: s.Handler, w: w, r: httptest.NewRequest(http.MethodPost, "/", nil), snap: s.Book.Now(), mayHaveRun: true}
+		j := &job{Handler: s.Handler, w: w, r: httptest.NewRequest(http.MethodPost, "/", nil), snap: s.Book.Current(), mayHaveRun: true}
 		j.refuse(magno.Refuse(kind, "for a test").Later(1))
 		if promisesNotRun(w.Code) || w.Header().Get("Retry-After") != "" {
 			t.Errorf("kind %s: status %d, Retry-After %q", kind, w.Code, w.Header().Get("Retry-After"))
--- a/entry/site/front.go
+++ b/entry/site/front.go
@@ -53,7 +53,7 @@
 	set   *magno.SiteSettings
 	path  string
 	relay *relay.Handler
-	book  *view.Book
+	book  *view.Store
 	clock *magno.Clock
 	log   *slog.Logger
 
@@ -103,7 +103,7 @@
 
 // ready tells whether new connections should come here.
 func (f *front) ready() bool {
-	snap := f.book.Now()
+	snap := f.book.Current()
 	sure := snap.Plan == nil || len(snap.Plan.Customers) == 0 || f.relay.KeysFresh()
 	return !f.relay.Draining() && f.relay.LoadLevel() == strain.Normal && snap.Plan != nil && len(snap.Replicas) > 0 && sure
 }
--- a/entry/site/pools.go
+++ b/entry/site/pools.go
@@ -15,7 +15,7 @@
 // pools keeps a router and an allowance for each service.
 type pools struct {
 	clock *magno.Clock
-	book  *view.Book
+	book  *view.Store
 	peers *peers.Peers
 	set   *magno.SiteSettings
 	// since is when this process started.
@@ -41,7 +41,7 @@
 		},
 		allow: &allow.Budget{Clock: p.clock, Ratio: p.set.RetryRatio, Slack: p.set.RetrySlack, WindowLength: p.set.RetryWindow, StartedAt: p.since},
 	}
-	if s := p.book.Now().Plan.Service(service); s != nil && s.Engine != nil {
+	if s := p.book.Current().Plan.Service(service); s != nil && s.Engine != nil {
 		made.router.Tuning = route.PermitTuning()
 	} else {
 		made.router.Tuning = route.PlainTuning()
@@ -57,7 +57,7 @@
 // targets lists the replicas of a service.
 func (p *pools) targets(service string) []magno.Target {
 	var list []magno.Target
-	for _, r := range p.book.Now().Replicas {
+	for _, r := range p.book.Current().Replicas {
 		if r.Service == service {
 			list = append(list, magno.Target{Name: r.Key(), DataCentre: r.DataCentre, Leaving: r.Leaving})
 		}
--- a/entry/site/site.go
+++ b/entry/site/site.go
@@ -57,7 +57,7 @@
 type entry struct {
 	set   *magno.SiteSettings
 	mesh  *wire.Mesh
-	book  *view.Book
+	book  *view.Store
 	hops  *hop.Pool
 	peers *peers.Peers
 	pools *pools
@@ -72,7 +72,7 @@
 	clock := magno.NewSteady()
 	e := &entry{set: set, log: log}
 	e.mesh = &wire.Mesh{Listen: set.Peers, Allow: []string{start.Anyone}, Clock: clock, Log: log}
-	e.book = &view.Book{Clock: magno.NewBoot(), Noted: noted(log), Log: log}
+	e.book = &view.Store{Clock: magno.NewBoot(), OnChange: noted(log), Log: log}
 	e.hops = &hop.Pool{Clock: clock}
 	suspects := &crash.Suspects{Clock: &magno.Clock{}}
 	e.peers = &peers.Peers{
@@ -90,7 +90,7 @@
 	e.desk.Open()
 	e.lease = &lease.Manager{
 		Self: set.Peers, Mesh: e.mesh, Homes: e.peers.Homes, Count: e.peers.Count, Window: set.QuotaWindow, Clock: clock, Log: log,
-		Limit: func(customer string) *magno.Limit { return limit(e.book.Now().Plan, customer) },
+		Limit: func(customer string) *magno.Limit { return limit(e.book.Current().Plan, customer) },
 	}
 	e.lease.Open()
 	handler := &relay.Handler{
@@ -124,7 +124,7 @@
 		e.mesh, e.reads, e.peers, e.desk, e.lease, &follow{e}, e.front, &ready{e.front}, &watch{e.front},
 		&admin.Server{
 			Listen: net.JoinHostPort(e.set.IP, strconv.Itoa(start.MetricsPort)), Allow: []string{start.Anyone},
-			Ready: e.front.ready, Status: func() any { return e.book.Now() }, Events: &event.Ring{Process: e.set.Name, Size: 1},
+			Ready: e.front.ready, Status: func() any { return e.book.Current() }, Events: &event.Ring{Process: e.set.Name, Size: 1},
 		},
 	}
 }
@@ -194,7 +194,7 @@
 		changed := f.book.Changed()
 		f.pools.update()
 		keys := map[string]bool{}
-		for _, r := range f.book.Now().Replicas {
+		for _, r := range f.book.Current().Replicas {
 			keys[r.Key()] = true
 		}
 		f.hops.Forget(func(key string) bool { return keys[key] })
--- a/magctl/file.go
+++ b/magctl/file.go
@@ -30,7 +30,7 @@
 		return nil, nil, err
 	}
 	checker := check.New(&magno.Clock{})
-	return cfg, checker.Whole(cfg, []check.Shard{{Name: file, Text: text}}, old), nil
+	return cfg, checker.Validate(cfg, []check.Shard{{Name: file, Text: text}}, old), nil
 }
 
 // encoded returns a value as JSON, for comparison.
--- a/magno/check/check.go
+++ b/magno/check/check.go
@@ -20,8 +20,8 @@
 
 // Limits of a version.
 const (
-	// MaxShard is the largest value that the platform holds, in bytes.
-	MaxShard = 1 << 20
+	// MaxShardBytes is the largest value that the platform holds, in bytes.
+	MaxShardBytes = 1 << 20
 	// MaxFaults is how many faults are told at once.
 	MaxFaults = 20
 	// maxName is in bytes.
@@ -55,13 +55,13 @@
 type Checker struct {
 	// Past returns the time before which an ended roster may be dropped, in
 	// milliseconds; nil means that none may.
-	Past func() magno.Millis
+	RosterCutoff func() magno.Millis
 }
 
 // New returns the checker that daemons and magctl use: a roster may be dropped
 // once all of its keys are stale.
 func New(clock *magno.Clock) *Checker {
-	return &Checker{Past: func() magno.Millis { return clock.Now() - magno.KeyRetention }}
+	return &Checker{RosterCutoff: func() magno.Millis { return clock.Now() - magno.KeyRetention }}
 }
 
 // fault is a Fault that has no place yet.
@@ -75,9 +75,9 @@
 
 // Parse reads one shard. The fault names shard, line and key.
 func (c *Checker) Parse(s Shard) (magno.Config, *setup.Fault) {
-	if len(s.Text) > MaxShard {
+	if len(s.Text) > MaxShardBytes {
 		return magno.Config{}, &setup.Fault{File: s.Name, Line: 1, Key: "shard",
-			What: fmt.Sprintf("%d bytes are over the limit of %d", len(s.Text), MaxShard)}
+			What: fmt.Sprintf("%d bytes are over the limit of %d", len(s.Text), MaxShardBytes)}
 	}
 	var cfg magno.Config
 	if err := setup.Parse(s.Name, s.Text, &cfg); err != nil {
@@ -117,7 +117,7 @@
 
 // Whole checks a version that Join made. shards serve to place the faults;
 // old are the rosters in force.
-func (c *Checker) Whole(cfg *magno.Config, shards []Shard, old []magno.Roster) []*setup.Fault {
+func (c *Checker) Validate(cfg *magno.Config, shards []Shard, old []magno.Roster) []*setup.Fault {
 	var found []fault
 	if cfg.Version <= 0 {
 		found = append(found, fault{list: "version", what: "must be over zero"})
@@ -133,7 +133,7 @@
 // Records checks changed records against view, the version that they would
 // give, where before is the one in force. gone lists what the change takes away;
 // a profile left behind may still name it.
-func (c *Checker) Records(set *magno.Config, gone Gone, view, before View, shards []Shard) []*setup.Fault {
+func (c *Checker) ValidateChange(set *magno.Config, gone Removed, view, before View, shards []Shard) []*setup.Fault {
 	found := append(doubles(set), records(set, view)...)
 	if set.Rosters != nil || gone.Rosters {
 		found = append(found, c.follows(before.Rosters(), set.Rosters)...)
@@ -146,7 +146,7 @@
 
 // Group checks some records of view alone, where nothing has gone: a version
 // that came group by group is checked without unpacking it as a whole.
-func (c *Checker) Group(set *magno.Config, view View, shards []Shard) []*setup.Fault {
+func (c *Checker) ValidateBucket(set *magno.Config, view View, shards []Shard) []*setup.Fault {
 	found := records(set, view)
 	if set.Rosters != nil {
 		found = append(found, c.follows(nil, set.Rosters)...)
@@ -155,7 +155,7 @@
 }
 
 // Gone names records that a change takes away.
-type Gone struct {
+type Removed struct {
 	Customers []string `json:"customers,omitempty"`
 	Pools     []string `json:"pools,omitempty"`
 	Adapters  []string `json:"adapters,omitempty"`
--- a/magno/check/check_test.go
+++ b/magno/check/check_test.go
@@ -47,7 +47,7 @@
 	if len(faults) > 0 {
 		return faults
 	}
-	return c.Whole(cfg, s, nil)
+	return c.Validate(cfg, s, nil)
 }
 
 // An operator publishes a version with a fault in it. Were it put in force,
@@ -99,17 +99,17 @@
 	cfg, _ := c.Join(1, shards())
 	without := *cfg
 	without.Adapters = nil
-	faults := c.Records(&magno.Config{}, Gone{Adapters: []string{"a"}}, newTable(&without), newTable(cfg), nil)
+	faults := c.ValidateChange(&magno.Config{}, Removed{Adapters: []string{"a"}}, newTable(&without), newTable(cfg), nil)
 	if len(faults) != 1 || faults[0].Key != "profiles[p].adapter" {
 		t.Fatalf("got %v", faults)
 	}
 	retired := *cfg
 	retired.Adapters = []magno.Adapter{{Name: "a", Base: "llama", Versions: []string{"v3"}, Retired: []string{"v2"}}}
 	set := &magno.Config{Adapters: retired.Adapters}
-	if faults = c.Records(set, Gone{}, newTable(&retired), newTable(cfg), nil); len(faults) != 1 {
+	if faults = c.ValidateChange(set, Removed{}, newTable(&retired), newTable(cfg), nil); len(faults) != 1 {
 		t.Fatalf("got %v", faults)
 	}
-	if faults = c.Records(&magno.Config{Adapters: cfg.Adapters}, Gone{}, newTable(cfg), newTable(cfg), nil); len(faults) != 0 {
+	if faults = c.ValidateChange(&magno.Config{Adapters: cfg.Adapters}, Removed{}, newTable(cfg), newTable(cfg), nil); len(faults) != 0 {
 		t.Fatalf("got %v", faults)
 	}
 }
@@ -121,28 +121,28 @@
 	c := &Checker{}
 	old := []magno.Roster{{Since: 0, Until: 9, Members: []string{"x", "z"}}}
 	cfg, _ := c.Join(1, shards())
-	if faults := c.Whole(cfg, shards(), cfg.Rosters); len(faults) != 0 {
+	if faults := c.Validate(cfg, shards(), cfg.Rosters); len(faults) != 0 {
 		t.Fatal(faults[0])
 	}
 	before := newTable(&magno.Config{Rosters: old})
-	faults := c.Whole(cfg, shards(), old)
+	faults := c.Validate(cfg, shards(), old)
 	if len(faults) != 1 || faults[0].Key != "rosters" || faults[0].Line != 11 {
 		t.Fatalf("got %v", faults)
 	}
-	if faults = c.Records(&magno.Config{Rosters: cfg.Rosters}, Gone{}, newTable(cfg), before, nil); len(faults) != 1 {
+	if faults = c.ValidateChange(&magno.Config{Rosters: cfg.Rosters}, Removed{}, newTable(cfg), before, nil); len(faults) != 1 {
 		t.Fatalf("got %v", faults)
 	}
-	if faults = c.Records(&magno.Config{}, Gone{Rosters: true}, newTable(cfg), before, nil); len(faults) != 1 {
+	if faults = c.ValidateChange(&magno.Config{}, Removed{Rosters: true}, newTable(cfg), before, nil); len(faults) != 1 {
 		t.Fatalf("got %v", faults)
 	}
-	c.Past = func() magno.Millis { return 9 }
-	if faults = c.Whole(cfg, shards(), old); len(faults) != 0 {
+	c.RosterCutoff = func() magno.Millis { return 9 }
+	if faults = c.Validate(cfg, shards(), old); len(faults) != 0 {
 		t.Fatal(faults[0])
 	}
 }
 
 func TestSizes(t *testing.T) {
-	big := Shard{"big", []byte(strings.Repeat(" ", MaxShard+1))}
+	big := Shard{"big", []byte(strings.Repeat(" ", MaxShardBytes+1))}
 	if _, fault := (&Checker{}).Parse(big); fault == nil {
 		t.Fatal("a shard over the limit was read")
 	}
@@ -150,7 +150,7 @@
 	for i := range 100 {
 		cfg.Customers = append(cfg.Customers, magno.Customer{Name: fmt.Sprint(i)})
 	}
-	if faults := (&Checker{}).Whole(cfg, nil, nil); len(faults) != MaxFaults {
+	if faults := (&Checker{}).Validate(cfg, nil, nil); len(faults) != MaxFaults {
 		t.Fatalf("%d faults", len(faults))
 	}
 }
@@ -164,7 +164,7 @@
 		c := &Checker{}
 		s := []Shard{{"fuzz", text}}
 		if cfg, faults := c.Join(1, s); len(faults) == 0 {
-			c.Whole(cfg, s, nil)
+			c.Validate(cfg, s, nil)
 		}
 	})
 }
--- a/magno/check/rules.go
+++ b/magno/check/rules.go
@@ -80,8 +80,8 @@
 // issued before.
 func (c *Checker) follows(old, next []magno.Roster) []fault {
 	var past magno.Millis
-	if c.Past != nil {
-		past = c.Past()
+	if c.RosterCutoff != nil {
+		past = c.RosterCutoff()
 	}
 	if err := roster.ValidateSuccessor(old, next, past); err != nil {
 		return []fault{{list: listRosters, what: err.Error()}}
@@ -268,7 +268,7 @@
 // newLost leaves out what only gained, such as an adapter with one version
 // more: that is most of what operators change, and reading all profiles for it
 // would take a hundred times as long as the change itself.
-func newLost(set *magno.Config, gone Gone, before View) lost {
+func newLost(set *magno.Config, gone Removed, before View) lost {
 	l := lost{map[string]bool{}, map[string]bool{}, map[string]bool{}}
 	for _, b := range gone.Customers {
 		l.customers[b] = true
--- a/magno/config/look.go
+++ b/magno/config/look.go
@@ -6,7 +6,7 @@
 // adapter. What it doesn't know of is not retired: a process that is behind
 // must not end requests by what it lacks.
 func (s *Store) Retired(ref magno.Ref) bool {
-	now := s.Now()
+	now := s.Current()
 	if now == nil || ref == (magno.Ref{}) {
 		return false
 	}
@@ -24,13 +24,13 @@
 
 // Drained tells whether operators have drained an instance.
 func (s *Store) Drained(instance string) bool {
-	now := s.Now()
+	now := s.Current()
 	return now != nil && now.Drained(instance)
 }
 
 // Rosters returns those of the version in force.
 func (s *Store) Rosters() []magno.Roster {
-	if now := s.Now(); now != nil {
+	if now := s.Current(); now != nil {
 		return now.Rosters()
 	}
 	return nil
--- a/magno/config/snap.go
+++ b/magno/config/snap.go
@@ -15,8 +15,8 @@
 // processes find what differs by comparing 8 KB of sums.
 const Buckets = 1024
 
-// FewBucket is the number of the group that holds everything else.
-const FewBucket = Buckets
+// SmallListsBucket is the number of the group that holds everything else.
+const SmallListsBucket = Buckets
 
 // Snapshot is one version. It is immutable and shares what did not change
 // with the version that it was made from.
@@ -56,7 +56,7 @@
 
 // NewSnapshot returns a version of cfg, whose names are unique.
 func NewSnapshot(cfg *magno.Config) *Snapshot {
-	return Empty().With(cfg.Version, cfg, check.Gone{})
+	return Empty().WithChanges(cfg.Version, cfg, check.Removed{})
 }
 
 // Empty returns a version without records, to build others on.
@@ -82,7 +82,7 @@
 
 // With returns the next version: set put in and gone taken out. set.Rosters,
 // when not nil, replaces the whole list.
-func (s *Snapshot) With(version int64, set *magno.Config, gone check.Gone) *Snapshot {
+func (s *Snapshot) WithChanges(version int64, set *magno.Config, gone check.Removed) *Snapshot {
 	next := *s
 	next.Version = version
 	for i, c := range group(set, gone) {
@@ -133,7 +133,7 @@
 }
 
 // group sorts changed adapters and profiles by bucket.
-func group(set *magno.Config, gone check.Gone) map[int]*change {
+func group(set *magno.Config, gone check.Removed) map[int]*change {
 	changes := map[int]*change{}
 	at := func(name string) *change {
 		i := bucketOf(name)
@@ -190,7 +190,7 @@
 }
 
 // Known is true when ref names a version that isn't retired.
-func (s *Snapshot) Known(ref magno.Ref) bool {
+func (s *Snapshot) HasVersion(ref magno.Ref) bool {
 	r, ok := lookup(s.buckets[bucketOf(ref.Adapter)].adapters, ref.Adapter, adapterName)
 	return ok && holds(r.versions, ref.Version)
 }
@@ -259,7 +259,7 @@
 
 // Config returns the whole version as plain data; it is large.
 func (s *Snapshot) Config() *magno.Config {
-	cfg := s.Bucket(FewBucket)
+	cfg := s.Bucket(SmallListsBucket)
 	cfg.Version = s.Version
 	for i := range Buckets {
 		check.Append(cfg, s.Bucket(i))
@@ -267,9 +267,9 @@
 	return cfg
 }
 
-// Bucket returns the records of one group, FewBucket included.
+// Bucket returns the records of one group, SmallListsBucket included.
 func (s *Snapshot) Bucket(i int) *magno.Config {
-	if i == FewBucket {
+	if i == SmallListsBucket {
 		return &magno.Config{Customers: s.few.customers, Pools: s.few.pools, Drained: s.few.drained, Rosters: s.few.rosters}
 	}
 	b := s.buckets[i]
@@ -285,9 +285,9 @@
 
 // Replace returns the version with group i holding exactly cfg, whose names are
 // unique; records of other groups are left out.
-func (s *Snapshot) Replace(i int, cfg *magno.Config) *Snapshot {
+func (s *Snapshot) WithBucket(i int, cfg *magno.Config) *Snapshot {
 	next := *s
-	if i == FewBucket {
+	if i == SmallListsBucket {
 		next.swap(&few{customers: cfg.Customers, pools: cfg.Pools, drained: cfg.Drained, rosters: cfg.Rosters})
 		return &next
 	}
@@ -309,19 +309,19 @@
 	return &next
 }
 
-// Numbered returns the same content under another number.
-func (s *Snapshot) Numbered(version int64) *Snapshot {
+// WithVersion returns the same content under another number.
+func (s *Snapshot) WithVersion(version int64) *Snapshot {
 	next := *s
 	next.Version = version
 	return &next
 }
 
-// Sums returns the sum of each group, FewBucket last.
-func (s *Snapshot) Sums() []uint64 {
+// BucketSums returns the sum of each group, SmallListsBucket last.
+func (s *Snapshot) BucketSums() []uint64 {
 	sums := make([]uint64, Buckets+1)
 	for i, b := range s.buckets {
 		sums[i] = b.sum
 	}
-	sums[FewBucket] = s.few.sum
+	sums[SmallListsBucket] = s.few.sum
 	return sums
 }
--- a/magno/config/store.go
+++ b/magno/config/store.go
@@ -51,7 +51,7 @@
 	mu sync.Mutex
 	// since is when the version came into force.
 	since   magno.Millis
-	refused *Refused
+	refused *Rejection
 	history history
 	subs    []chan *Snapshot
 
@@ -59,7 +59,7 @@
 }
 
 // Refused tells of a version that was not put in force.
-type Refused struct {
+type Rejection struct {
 	Version int64 `json:"version"`
 	// Source is who offered it.
 	Source string       `json:"source"`
@@ -77,7 +77,7 @@
 	Confirmed magno.Millis `json:"confirmed"`
 	// Refused is the last version that was not put in force; nil when a newer
 	// one was since.
-	Refused *Refused `json:"refused,omitempty"`
+	Refused *Rejection `json:"refused,omitempty"`
 }
 
 func (s *Store) init() {
@@ -102,11 +102,11 @@
 }
 
 // Now returns the version in force, nil when there is none yet.
-func (s *Store) Now() *Snapshot { return s.force.Load() }
+func (s *Store) Current() *Snapshot { return s.force.Load() }
 
 // Version returns the number of the version in force, zero for none.
 func (s *Store) Version() int64 {
-	if now := s.Now(); now != nil {
+	if now := s.Current(); now != nil {
 		return now.Version
 	}
 	return 0
@@ -124,7 +124,7 @@
 	if cfg.Version <= s.Version() {
 		return ErrOld
 	}
-	if faults := s.Check.Whole(cfg, shards, s.Rosters()); len(faults) > 0 {
+	if faults := s.Check.Validate(cfg, shards, s.Rosters()); len(faults) > 0 {
 		return s.refuse(cfg.Version, source, join(faults))
 	}
 	return s.enforce(NewSnapshot(cfg), source)
@@ -134,16 +134,16 @@
 // version. shards, which may be nil, place the faults.
 func (s *Store) Install(next *Snapshot, shards []check.Shard, source string) error {
 	s.init()
-	now := s.Now()
+	now := s.Current()
 	if now == nil {
 		return s.first(next, shards, source)
 	}
 	if next.Version <= now.Version {
-		s.Compare(next.Version, next.Sum, source)
+		s.ReportConflict(next.Version, next.Sum, source)
 		return ErrOld
 	}
 	d := Diff(now, next)
-	if faults := s.Check.Records(&d.Set, d.Gone, next, now, shards); len(faults) > 0 {
+	if faults := s.Check.ValidateChange(&d.Set, d.Removed, next, now, shards); len(faults) > 0 {
 		return s.refuse(next.Version, source, join(faults))
 	}
 	return s.enforce(next, source)
@@ -152,7 +152,7 @@
 // first puts a version in force that came in groups, with none before it.
 func (s *Store) first(next *Snapshot, shards []check.Shard, source string) error {
 	for i := range Buckets + 1 {
-		if faults := s.Check.Group(next.Bucket(i), next, shards); len(faults) > 0 {
+		if faults := s.Check.ValidateBucket(next.Bucket(i), next, shards); len(faults) > 0 {
 			return s.refuse(next.Version, source, join(faults))
 		}
 	}
@@ -163,16 +163,16 @@
 // version and its records give the announced sum.
 func (s *Store) Apply(d *Delta, source string) error {
 	s.init()
-	now := s.Now()
+	now := s.Current()
 	switch {
 	case now != nil && d.To <= now.Version:
 		return ErrOld
-	case now == nil || d.From != now.Version || d.Base != now.Sum:
+	case now == nil || d.From != now.Version || d.BaseSum != now.Sum:
 		return ErrGap
 	}
-	next := now.With(d.To, &d.Set, d.Gone)
+	next := now.WithChanges(d.To, &d.Set, d.Removed)
 	if next.Sum != d.Sum {
-		return ErrSum
+		return ErrChecksum
 	}
 	return s.Install(next, nil, source)
 }
@@ -181,7 +181,7 @@
 func (s *Store) enforce(next *Snapshot, source string) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	now := s.Now()
+	now := s.Current()
 	if now != nil && next.Version <= now.Version {
 		return ErrOld
 	}
@@ -216,7 +216,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	sub := make(chan *Snapshot, 1)
-	if now := s.Now(); now != nil {
+	if now := s.Current(); now != nil {
 		sub <- now
 	}
 	s.subs = append(s.subs, sub)
@@ -228,16 +228,16 @@
 	s.rejects.Inc()
 	s.mu.Lock()
 	known := s.refused != nil && s.refused.Version == version && s.refused.Reason == reason
-	s.refused = &Refused{Version: version, Source: source, Reason: reason, At: s.Clock.Now()}
+	s.refused = &Rejection{Version: version, Source: source, Reason: reason, At: s.Clock.Now()}
 	s.mu.Unlock()
 	if !known {
 		s.Log.Error("config refused", "version", version, "source", source, "reason", reason, "kept", s.Version())
 	}
-	return errors.Wrapf(ErrBad, "version %d: %s", version, reason)
+	return errors.Wrapf(ErrInvalid, "version %d: %s", version, reason)
 }
 
-// Refuse notes a version that could not even be read.
-func (s *Store) Refuse(version int64, source string, faults []*setup.Fault) error {
+// Reject notes a version that could not even be read.
+func (s *Store) Reject(version int64, source string, faults []*setup.Fault) error {
 	s.init()
 	return s.refuse(version, source, join(faults))
 }
@@ -245,8 +245,8 @@
 // Compare tells of two contents under one version number. It comes from
 // publishing a number twice; processes would then differ without a sign, so
 // it shows in log and metric until a newer version ends it.
-func (s *Store) Compare(version int64, sum uint64, source string) {
-	now := s.Now()
+func (s *Store) ReportConflict(version int64, sum uint64, source string) {
+	now := s.Current()
 	if now == nil || version != now.Version || sum == now.Sum {
 		return
 	}
@@ -275,7 +275,7 @@
 
 // Since returns the deltas that lead from a version to the one in force; false
 // when they aren't kept.
-func (s *Store) Since(version int64, sum uint64) ([]*Delta, bool) {
+func (s *Store) DeltasSince(version int64, sum uint64) ([]*Delta, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.history.since(version, sum)
@@ -286,7 +286,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	st := Status{Since: s.since, Confirmed: s.Confirmed(), Refused: s.refused}
-	if now := s.Now(); now != nil {
+	if now := s.Current(); now != nil {
 		st.Version, st.Sum, st.Records = now.Version, now.Sum, now.Records
 	}
 	return st
--- a/magno/config/store_test.go
+++ b/magno/config/store_test.go
@@ -34,8 +34,8 @@
 	if !ok || p.Adapter != "a2999" || s.Records != 6000 {
 		t.Fatalf("got %+v, %d records", p, s.Records)
 	}
-	if !s.Known(magno.Ref{Adapter: "a7", Version: "v2"}) || s.Known(magno.Ref{Adapter: "a7", Version: "v"}) ||
-		s.Known(magno.Ref{Adapter: "a7"}) {
+	if !s.HasVersion(magno.Ref{Adapter: "a7", Version: "v2"}) || s.HasVersion(magno.Ref{Adapter: "a7", Version: "v"}) ||
+		s.HasVersion(magno.Ref{Adapter: "a7"}) {
 		t.Fatal("versions are mixed up")
 	}
 	if _, ok := s.Profile("none"); ok {
@@ -149,7 +149,7 @@
 					t.Fatal("a damaged delta was applied")
 				}
 			}
-			now := s.Now()
+			now := s.Current()
 			if now == nil {
 				continue
 			}
@@ -158,7 +158,7 @@
 			}
 			high = now.Version
 			want := NewSnapshot(published[now.Version-1])
-			if now.Sum != want.Sum || now.Records != want.Records || Diff(now, want).Size() != 0 {
+			if now.Sum != want.Sum || now.Records != want.Records || Diff(now, want).RecordCount() != 0 {
 				t.Fatalf("version %d has other content than was published", now.Version)
 			}
 		}
@@ -181,7 +181,7 @@
 			}
 		}
 	}
-	deltas, ok := s.Since(3, behind.Now().Sum)
+	deltas, ok := s.DeltasSince(3, behind.Current().Sum)
 	if !ok || len(deltas) != 2 {
 		t.Fatalf("%d deltas", len(deltas))
 	}
@@ -190,10 +190,10 @@
 			t.Fatal(err)
 		}
 	}
-	if behind.Now().Sum != s.Now().Sum {
+	if behind.Current().Sum != s.Current().Sum {
 		t.Fatal("other content")
 	}
-	if _, ok := s.Since(3, 1); ok {
+	if _, ok := s.DeltasSince(3, 1); ok {
 		t.Fatal("deltas were given to a peer with other content")
 	}
 }
--- a/magno/delta/delta.go
+++ b/magno/delta/delta.go
@@ -26,7 +26,7 @@
 const maxPlain = 128 << 20
 
 // ErrBase tells that a delta starts from another configuration than the one at hand.
-var ErrBase = errors.New("the delta starts from another configuration")
+var ErrBaseMismatch = errors.New("the delta starts from another configuration")
 
 // Delta is how a configuration differs from an earlier one.
 type Delta struct {
@@ -42,7 +42,7 @@
 }
 
 // Whole returns a delta that needs no earlier configuration.
-func Whole(next *magno.Plan) *Delta {
+func Full(next *magno.Plan) *Delta {
 	d := &Delta{Rest: *next, Routes: next.Routes}
 	d.Rest.Routes = nil
 	return d
@@ -53,7 +53,7 @@
 func Diff(base *magno.Plan, revision int64, next *magno.Plan) *Delta {
 	old, unique := byName(base)
 	if base == nil || revision == 0 || !unique {
-		return Whole(next)
+		return Full(next)
 	}
 	d := &Delta{Base: revision, Rest: *next}
 	d.Rest.Routes = nil
@@ -69,7 +69,7 @@
 		d.Gone = append(d.Gone, name)
 	}
 	if _, unique = byName(next); !unique || len(d.Routes)+len(d.Gone) >= len(next.Routes) {
-		return Whole(next)
+		return Full(next)
 	}
 	return d
 }
@@ -96,7 +96,7 @@
 		return &next, nil
 	}
 	if base == nil || d.Base != revision {
-		return nil, errors.Wrapf(ErrBase, "%d, not %d", d.Base, revision)
+		return nil, errors.Wrapf(ErrBaseMismatch, "%d, not %d", d.Base, revision)
 	}
 	replaced := make(map[string]bool, len(d.Routes)+len(d.Gone))
 	for i := range d.Routes {
--- a/magno/delta/delta_test.go
+++ b/magno/delta/delta_test.go
@@ -88,7 +88,7 @@
 		base     *magno.Plan
 		revision int64
 	}{{base, 2}, {nil, 3}} {
-		if _, err := carry(t, d, c.base, c.revision); !errors.Is(err, ErrBase) {
+		if _, err := carry(t, d, c.base, c.revision); !errors.Is(err, ErrBaseMismatch) {
 			t.Errorf("base at %d: %v", c.revision, err)
 		}
 	}
@@ -108,7 +108,7 @@
 }
 
 func TestDamagedBytesAreAnError(t *testing.T) {
-	data, err := Whole(plan(1, map[string]int{"a": 1})).Encode()
+	data, err := Full(plan(1, map[string]int{"a": 1})).Encode()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/magno/gossip/budget.go
+++ b/magno/gossip/budget.go
@@ -39,7 +39,7 @@
 		return nil, 0, false
 	}
 	m = &Message{From: s.Self.Name, DataCentre: s.Self.DataCentre, GlobalSum: s.table.sum(scopeGlobal), LocalSum: s.table.sum(scopeLocal), ConfigAge: -1}
-	if now := s.Store.Now(); now != nil {
+	if now := s.Store.Current(); now != nil {
 		m.ConfigVersion, m.ConfigSum = now.Version, now.Sum
 		if at := s.Store.Confirmed(); at > 0 {
 			m.ConfigAge = max(s.Clock.Now()-at, 0)
--- a/magno/gossip/cluster_test.go
+++ b/magno/gossip/cluster_test.go
@@ -168,10 +168,10 @@
 // fetchConfig simulates the fetch of a full configuration from a peer.
 func (c *cluster) fetchConfig(n *node, to Outbound) {
 	peer := c.find(to.Name)
-	if peer == nil || peer.dead || peer.paused || c.partitioned(n, peer) || peer.Store.Now() == nil {
+	if peer == nil || peer.dead || peer.paused || c.partitioned(n, peer) || peer.Store.Current() == nil {
 		return
 	}
-	n.PullDone(peer.Store.Version(), n.Store.Install(peer.Store.Now(), nil, to.Name))
+	n.PullDone(peer.Store.Version(), n.Store.Install(peer.Store.Current(), nil, to.Name))
 }
 
 func (c *cluster) latency() magno.Millis {
--- a/magno/gossip/conf.go
+++ b/magno/gossip/conf.go
@@ -9,20 +9,20 @@
 // deltasFor returns the deltas that follow the peer's version and fit in room,
 // and the room left. A prefix of the chain is sent if not all of it fits.
 func (s *State) deltasFor(in *Message, room int) ([]*config.Delta, int) {
-	now := s.Store.Now()
+	now := s.Store.Current()
 	if now == nil || in.ConfigVersion == 0 || in.ConfigVersion >= now.Version {
 		return nil, room
 	}
-	all, ok := s.Store.Since(in.ConfigVersion, in.ConfigSum)
+	all, ok := s.Store.DeltasSince(in.ConfigVersion, in.ConfigSum)
 	if !ok {
 		return nil, room
 	}
 	var out []*config.Delta
 	for _, d := range all {
-		if d.Len() > room {
+		if d.EncodedLen() > room {
 			break
 		}
-		room -= d.Len()
+		room -= d.EncodedLen()
 		out = append(out, d)
 	}
 	return out, room
@@ -35,7 +35,7 @@
 	for _, d := range in.Deltas {
 		err := s.Store.Apply(d, in.From)
 		if err != nil && !errors.Is(err, config.ErrOld) {
-			if !errors.Is(err, config.ErrGap) && !errors.Is(err, config.ErrSum) {
+			if !errors.Is(err, config.ErrGap) && !errors.Is(err, config.ErrChecksum) {
 				s.rejected = d.To
 			}
 			break
@@ -46,7 +46,7 @@
 		s.ConfigChanged()
 	}
 	if in.ConfigVersion == version && version > 0 {
-		s.Store.Compare(in.ConfigVersion, in.ConfigSum, in.From)
+		s.Store.ReportConflict(in.ConfigVersion, in.ConfigSum, in.From)
 		if in.ConfigAge >= 0 {
 			s.Store.Confirm(version, s.Clock.Now()-in.ConfigAge)
 		}
@@ -68,7 +68,7 @@
 		s.ConfigChanged()
 		return
 	}
-	if errors.Is(err, config.ErrBad) {
+	if errors.Is(err, config.ErrInvalid) {
 		s.rejected = version
 	}
 }
--- a/magno/gossip/exchange.go
+++ b/magno/gossip/exchange.go
@@ -81,7 +81,7 @@
 	if in.ConfigVersion > s.Store.Version() && in.ConfigVersion != s.rejected {
 		s.pullFrom = to
 	}
-	now := s.Store.Now()
+	now := s.Store.Current()
 	var mismatched []int
 	if in.Scope == scopeLocal || in.Scope == scopeGlobal {
 		mismatched = s.table.mismatched(in.Scope, in.BucketSums)
--- a/magno/gossip/state_test.go
+++ b/magno/gossip/state_test.go
@@ -18,7 +18,7 @@
 // other content than was published.
 func (c *cluster) checkVersions(t fatalfer) {
 	for _, n := range c.nodes {
-		now := n.Store.Now()
+		now := n.Store.Current()
 		if now == nil {
 			continue
 		}
--- a/magno/mend/mend.go
+++ b/magno/mend/mend.go
@@ -34,17 +34,17 @@
 )
 
 // Ask is what a process wants from a peer.
-type Ask struct {
+type Request struct {
 	// Version and Sum are what it has; zero for nothing.
 	Version int64  `json:"version"`
 	Sum     uint64 `json:"sum"`
 	// Want lists groups whose records are asked for; empty asks for deltas or
 	// sums.
-	Want []int `json:"want,omitempty"`
+	WantBuckets []int `json:"want,omitempty"`
 }
 
 // Group is the records of one group.
-type Group struct {
+type BucketRecords struct {
 	Index   int          `json:"index"`
 	Records magno.Config `json:"records"`
 }
@@ -56,12 +56,12 @@
 	// Deltas lead from the asker's version to Version.
 	Deltas []*config.Delta `json:"deltas,omitempty"`
 	// Sums of all groups at Version.
-	Sums   []uint64 `json:"sums,omitempty"`
-	Groups []Group  `json:"groups,omitempty"`
+	BucketSums []uint64        `json:"sums,omitempty"`
+	Buckets    []BucketRecords `json:"groups,omitempty"`
 }
 
-// Mender serves and pulls versions of one store.
-type Mender struct {
+// Syncer serves and pulls versions of one store.
+type Syncer struct {
 	Store *config.Store
 }
 
@@ -69,46 +69,46 @@
 var errPeer = errors.New("the peer's answers lead to no version")
 
 // Serve answers a peer.
-func (m *Mender) Serve(ask Ask) Reply {
-	now := m.Store.Now()
+func (m *Syncer) Serve(ask Request) Reply {
+	now := m.Store.Current()
 	if now == nil {
 		return Reply{}
 	}
 	reply := Reply{Version: now.Version, Sum: now.Sum}
-	if len(ask.Want) > 0 {
-		reply.Groups = groups(now, ask.Want)
+	if len(ask.WantBuckets) > 0 {
+		reply.Buckets = groups(now, ask.WantBuckets)
 		return reply
 	}
 	if ask.Version >= now.Version {
 		return reply
 	}
-	if deltas, ok := m.Store.Since(ask.Version, ask.Sum); ok {
+	if deltas, ok := m.Store.DeltasSince(ask.Version, ask.Sum); ok {
 		reply.Deltas = deltas
 		return reply
 	}
-	reply.Sums = now.Sums()
+	reply.BucketSums = now.BucketSums()
 	return reply
 }
 
 // groups returns the first of the wanted groups, as many as one answer takes.
-func groups(now *config.Snapshot, want []int) []Group {
-	var out []Group
+func groups(now *config.Snapshot, want []int) []BucketRecords {
+	var out []BucketRecords
 	n := 0
 	for _, i := range want {
-		if i < 0 || i > config.FewBucket || n >= replyRecords {
+		if i < 0 || i > config.SmallListsBucket || n >= replyRecords {
 			break
 		}
 		cfg := now.Bucket(i)
 		n += len(cfg.Adapters) + len(cfg.Profiles) + 1
-		out = append(out, Group{Index: i, Records: *cfg})
+		out = append(out, BucketRecords{Index: i, Records: *cfg})
 	}
 	return out
 }
 
 // Pull asks the peer behind call until this store has the peer's version. told
 // is the version that the peer last named.
-func (m *Mender) Pull(ctx context.Context, source string, call func(context.Context, Ask) (Reply, error)) (told int64, err error) {
-	p := pull{store: m.Store, source: source, call: call, work: m.Store.Now()}
+func (m *Syncer) Pull(ctx context.Context, source string, call func(context.Context, Request) (Reply, error)) (told int64, err error) {
+	p := pull{store: m.Store, source: source, call: call, work: m.Store.Current()}
 	if p.work == nil {
 		p.work = config.Empty()
 	}
@@ -125,7 +125,7 @@
 type pull struct {
 	store  *config.Store
 	source string
-	call   func(context.Context, Ask) (Reply, error)
+	call   func(context.Context, Request) (Reply, error)
 	// work is the version as far as it came; groups in it stay when the peer
 	// moves on.
 	work *config.Snapshot
@@ -133,7 +133,7 @@
 	told int64
 }
 
-func (p *pull) ask(ctx context.Context, ask Ask) (Reply, error) {
+func (p *pull) ask(ctx context.Context, ask Request) (Reply, error) {
 	p.asks++
 	reply, err := p.call(ctx, ask)
 	if err == nil {
@@ -145,8 +145,8 @@
 // round goes for the version that the peer has now; false when the peer moved
 // on before all of it came.
 func (p *pull) round(ctx context.Context) (bool, error) {
-	ask := Ask{Version: p.store.Version()}
-	if now := p.store.Now(); now != nil {
+	ask := Request{Version: p.store.Version()}
+	if now := p.store.Current(); now != nil {
 		ask.Sum = now.Sum
 	}
 	reply, err := p.ask(ctx, ask)
@@ -159,16 +159,16 @@
 	if len(reply.Deltas) > 0 {
 		return p.apply(reply.Deltas)
 	}
-	if len(reply.Sums) != config.Buckets+1 {
+	if len(reply.BucketSums) != config.Buckets+1 {
 		return false, errPeer
 	}
 	whole, err := p.fetch(ctx, &reply)
 	if !whole || err != nil {
 		return false, err
 	}
-	next := p.work.Numbered(reply.Version)
+	next := p.work.WithVersion(reply.Version)
 	if next.Sum != reply.Sum {
-		return false, config.ErrSum
+		return false, config.ErrChecksum
 	}
 	err = p.store.Install(next, nil, p.source)
 	return true, ignoreOld(err)
@@ -199,23 +199,23 @@
 // fetch replaces the groups that differ; false when the peer moved on.
 func (p *pull) fetch(ctx context.Context, target *Reply) (bool, error) {
 	for {
-		want := differ(p.work.Sums(), target.Sums)
+		want := differ(p.work.BucketSums(), target.BucketSums)
 		if len(want) == 0 {
 			return true, nil
 		}
-		reply, err := p.ask(ctx, Ask{Version: p.store.Version(), Want: want[:min(len(want), askGroups)]})
+		reply, err := p.ask(ctx, Request{Version: p.store.Version(), WantBuckets: want[:min(len(want), askGroups)]})
 		if err != nil {
 			return false, err
 		}
-		for _, g := range reply.Groups {
-			if g.Index >= 0 && g.Index <= config.FewBucket {
-				p.work = p.work.Replace(g.Index, &g.Records)
+		for _, g := range reply.Buckets {
+			if g.Index >= 0 && g.Index <= config.SmallListsBucket {
+				p.work = p.work.WithBucket(g.Index, &g.Records)
 			}
 		}
 		if reply.Version != target.Version {
 			return false, nil
 		}
-		if len(reply.Groups) == 0 || p.asks >= maxAsks || len(differ(p.work.Sums(), target.Sums)) == len(want) {
+		if len(reply.Buckets) == 0 || p.asks >= maxAsks || len(differ(p.work.BucketSums(), target.BucketSums)) == len(want) {
 			return false, errPeer
 		}
 	}
--- a/magno/mend/mend_test.go
+++ b/magno/mend/mend_test.go
@@ -27,9 +27,9 @@
 }
 
 // through sends both sides as JSON, as the wire does.
-func through(m *Mender) func(context.Context, Ask) (Reply, error) {
-	return func(_ context.Context, ask Ask) (Reply, error) {
-		var in Ask
+func through(m *Syncer) func(context.Context, Request) (Reply, error) {
+	return func(_ context.Context, ask Request) (Reply, error) {
+		var in Request
 		text, _ := json.Marshal(ask)
 		_ = json.Unmarshal(text, &in)
 		text, _ = json.Marshal(m.Serve(in))
@@ -56,8 +56,8 @@
 		if have > 0 {
 			load(t, own, sample(have, 100))
 		}
-		told, err := (&Mender{Store: own}).Pull(context.Background(), "peer", through(&Mender{Store: peer}))
-		if err != nil || told != 7 || own.Version() != 7 || (have < 7 && own.Now().Sum != peer.Now().Sum) {
+		told, err := (&Syncer{Store: own}).Pull(context.Background(), "peer", through(&Syncer{Store: peer}))
+		if err != nil || told != 7 || own.Version() != 7 || (have < 7 && own.Current().Sum != peer.Current().Sum) {
 			t.Fatalf("from %d: told %d, have %d, %v", have, told, own.Version(), err)
 		}
 	}
@@ -69,19 +69,19 @@
 func TestPeerMovesOn(t *testing.T) {
 	peer, own := &config.Store{}, &config.Store{}
 	load(t, peer, sample(1, 5000))
-	sums := map[int64]uint64{1: peer.Now().Sum}
-	serve := through(&Mender{Store: peer})
+	sums := map[int64]uint64{1: peer.Current().Sum}
+	serve := through(&Syncer{Store: peer})
 	next := sample(1, 5000)
-	_, err := (&Mender{Store: own}).Pull(context.Background(), "peer", func(ctx context.Context, ask Ask) (Reply, error) {
+	_, err := (&Syncer{Store: own}).Pull(context.Background(), "peer", func(ctx context.Context, ask Request) (Reply, error) {
 		if next.Version < 12 {
 			next.Version++
 			next.Adapters[next.Version].Versions = append(next.Adapters[next.Version].Versions, "more")
 			load(t, peer, next)
-			sums[next.Version] = peer.Now().Sum
+			sums[next.Version] = peer.Current().Sum
 		}
 		return serve(ctx, ask)
 	})
-	if err != nil || own.Now() == nil || sums[own.Version()] != own.Now().Sum {
+	if err != nil || own.Current() == nil || sums[own.Version()] != own.Current().Sum {
 		t.Fatalf("version %d, %v", own.Version(), err)
 	}
 }
@@ -93,11 +93,11 @@
 	load(t, peer, sample(2, 300))
 	own := &config.Store{}
 	load(t, own, sample(1, 300))
-	serve := through(&Mender{Store: peer})
-	_, err := (&Mender{Store: own}).Pull(context.Background(), "peer", func(ctx context.Context, ask Ask) (Reply, error) {
+	serve := through(&Syncer{Store: peer})
+	_, err := (&Syncer{Store: own}).Pull(context.Background(), "peer", func(ctx context.Context, ask Request) (Reply, error) {
 		reply, err := serve(ctx, ask)
-		for i := range reply.Groups {
-			reply.Groups[i].Records.Profiles = nil
+		for i := range reply.Buckets {
+			reply.Buckets[i].Records.Profiles = nil
 		}
 		return reply, err
 	})
@@ -107,14 +107,14 @@
 	bad := sample(3, 10)
 	bad.Profiles[0].Adapter = "none"
 	snap := config.NewSnapshot(bad)
-	_, err = (&Mender{Store: own}).Pull(context.Background(), "peer", func(_ context.Context, ask Ask) (Reply, error) {
-		reply := Reply{Version: 3, Sum: snap.Sum, Sums: snap.Sums()}
-		if len(ask.Want) > 0 {
-			reply.Groups = groups(snap, ask.Want)
+	_, err = (&Syncer{Store: own}).Pull(context.Background(), "peer", func(_ context.Context, ask Request) (Reply, error) {
+		reply := Reply{Version: 3, Sum: snap.Sum, BucketSums: snap.BucketSums()}
+		if len(ask.WantBuckets) > 0 {
+			reply.Buckets = groups(snap, ask.WantBuckets)
 		}
 		return reply, nil
 	})
-	if !errors.Is(err, config.ErrBad) || own.Version() != 1 {
+	if !errors.Is(err, config.ErrInvalid) || own.Version() != 1 {
 		t.Fatalf("version %d, %v", own.Version(), err)
 	}
 }
--- a/magno/spread/node.go
+++ b/magno/spread/node.go
@@ -5,7 +5,7 @@
 //	gossip.State --exchanges--> mesh --> peers
 //	      |  ^------ replies, requests ----'
 //	      +-- reader? --> watch.Reader --> config.Store
-//	      +-- behind? --> mend.Mender --> config.Store
+//	      +-- behind? --> mend.Syncer --> config.Store
 package spread
 
 import (
@@ -71,7 +71,7 @@
 	mu    sync.Mutex
 	state *gossip.State
 
-	mender *mend.Mender
+	mender *mend.Syncer
 	// servedPulls and running limit concurrent pulls by peers and exchanges.
 	servedPulls chan struct{}
 	running     chan struct{}
@@ -98,7 +98,7 @@
 		Self: n.Self, Store: n.Store, Clock: n.Clock, SendRate: n.SendRate, OnMark: n.OnMark, OnMember: n.onMember,
 		Rand: rand.New(rand.NewPCG(uint64(now), uint64(len(n.Self.Name)))), //nolint:gosec // no secret
 	}
-	n.mender = &mend.Mender{Store: n.Store}
+	n.mender = &mend.Syncer{Store: n.Store}
 	n.servedPulls = make(chan struct{}, maxServedPulls)
 	n.running = make(chan struct{}, maxExchanges)
 	n.initMetrics()
@@ -256,7 +256,7 @@
 	defer n.wg.Done()
 	ctx, cancel := context.WithTimeout(ctx, pullTimeout.Span())
 	defer cancel()
-	version, err := n.mender.Pull(ctx, from.Name, func(ctx context.Context, req mend.Ask) (mend.Reply, error) {
+	version, err := n.mender.Pull(ctx, from.Name, func(ctx context.Context, req mend.Request) (mend.Reply, error) {
 		var reply mend.Reply
 		err := n.Mesh.Call(ctx, from.Address, magno.MethodDelta, req, &reply)
 		return reply, err
@@ -290,7 +290,7 @@
 
 // servePull answers a peer that fetches the configuration.
 func (n *Node) servePull(_ context.Context, _ *wire.Peer, params json.RawMessage) (any, error) {
-	var req mend.Ask
+	var req mend.Request
 	if err := json.Unmarshal(params, &req); err != nil {
 		return nil, magno.Refuse(magno.KindMalformed, "%v", err)
 	}
--- a/magno/spread/node_test.go
+++ b/magno/spread/node_test.go
@@ -135,7 +135,7 @@
 	waitFor(t, "version 2", everyone(2))
 	all = append(all, start(t, l, "late", "dc1"))
 	waitFor(t, "the process that started later", everyone(2))
-	if all[6].Store.Now().Sum != all[0].Store.Now().Sum {
+	if all[6].Store.Current().Sum != all[0].Store.Current().Sum {
 		t.Fatal("the new process has other content of the same version")
 	}
 	all[5].Leave()
--- a/magno/view/bench_test.go
+++ b/magno/view/bench_test.go
@@ -32,23 +32,23 @@
 			var size int
 			for b.Loop() {
 				b.StopTimer()
-				from, to := &Book{Clock: clock}, &Book{Clock: clock}
-				for _, book := range []*Book{from, to} {
-					book.Read([]magno.Change{{Key: "plan", Revision: 1, Plan: routes(1, n)}}, 1, true)
+				from, to := &Store{Clock: clock}, &Store{Clock: clock}
+				for _, book := range []*Store{from, to} {
+					book.ApplyRead([]magno.Change{{Key: "plan", Revision: 1, Plan: routes(1, n)}}, 1, true)
 				}
 				b.StartTimer()
-				news := from.Read([]magno.Change{{Key: "plan", Revision: 2, Plan: next}}, 2, false)
+				news := from.ApplyRead([]magno.Change{{Key: "plan", Revision: 2, Plan: next}}, 2, false)
 				data, err := json.Marshal(news)
 				if err != nil {
 					b.Fatal(err)
 				}
 				size = len(data)
-				var got News
+				var got Update
 				if err := json.Unmarshal(data, &got); err != nil {
 					b.Fatal(err)
 				}
-				to.Heard(got)
-				if to.Now().Plan.Version != 2 {
+				to.ApplyUpdate(got)
+				if to.Current().Plan.Version != 2 {
 					b.Fatal("the change was not taken")
 				}
 			}
@@ -60,18 +60,18 @@
 // BenchmarkNowBesideNews asks for what is known, as each request does, while configurations
 // of 1,700 new routes come, and reports the longest wait.
 func BenchmarkNowBesideNews(b *testing.B) {
-	from := &Book{Clock: magno.NewClock(magno.Hour)}
-	from.Read([]magno.Change{{Key: "plan", Revision: 1, Plan: routes(1, 1700)}}, 1, true)
+	from := &Store{Clock: magno.NewClock(magno.Hour)}
+	from.ApplyRead([]magno.Change{{Key: "plan", Revision: 1, Plan: routes(1, 1700)}}, 1, true)
 	told := from.Since(0)
 	told.Changes[0].Plan = nil
 	var longest time.Duration
 	for b.Loop() {
-		to := &Book{Clock: from.Clock}
+		to := &Store{Clock: from.Clock}
 		heard := make(chan error)
-		go func() { heard <- to.Heard(told) }()
-		for to.Now().Plan == nil {
+		go func() { heard <- to.ApplyUpdate(told) }()
+		for to.Current().Plan == nil {
 			began := time.Now()
-			to.Now()
+			to.Current()
 			longest = max(longest, time.Since(began))
 		}
 		if err := <-heard; err != nil {
--- a/magno/view/machine_test.go
+++ b/magno/view/machine_test.go
@@ -71,7 +71,7 @@
 type fleet struct {
 	clock *magno.Clock
 	list  list
-	books []*Book
+	books []*Store
 	// plans and pins are what each process was seen to know; neither may fall.
 	plans []int64
 	pins  []map[string]int64
@@ -80,14 +80,14 @@
 func newFleet() *fleet {
 	f := &fleet{clock: magno.NewClock(magno.Hour), list: list{pins: map[string]int64{}}}
 	for range 3 {
-		f.books = append(f.books, &Book{Clock: f.clock})
+		f.books = append(f.books, &Store{Clock: f.clock})
 		f.plans = append(f.plans, 0)
 		f.pins = append(f.pins, map[string]int64{})
 	}
 	return f
 }
 
-func (f *fleet) pick(t *rapid.T, label string) *Book {
+func (f *fleet) pick(t *rapid.T, label string) *Store {
 	return f.books[rapid.IntRange(0, len(f.books)-1).Draw(t, label)]
 }
 
@@ -129,12 +129,12 @@
 	for _, key := range slices.Sorted(maps.Keys(state)) {
 		all = append(all, state[key])
 	}
-	b.Read(all, old, true)
+	b.ApplyRead(all, old, true)
 	f.follow(b)
 }
 
-func (f *fleet) follow(b *Book) News {
-	return b.Read(f.list.after(b.Now().Revision), f.list.newest(), false)
+func (f *fleet) follow(b *Store) Update {
+	return b.ApplyRead(f.list.after(b.Current().Revision), f.list.newest(), false)
 }
 
 // push has a reader watch, and tell those of the others that it reaches.
@@ -143,7 +143,7 @@
 	news := f.follow(b)
 	for _, other := range f.books {
 		if other != b && rapid.Bool().Draw(t, "reached") {
-			_ = other.Heard(carried(t, news)) // what it can't use it asks for later
+			_ = other.ApplyUpdate(carried(t, news)) // what it can't use it asks for later
 		}
 	}
 }
@@ -160,7 +160,7 @@
 }
 
 // carried is news as another process decodes them.
-func carried(t *rapid.T, n News) (got News) {
+func carried(t *rapid.T, n Update) (got Update) {
 	data, err := json.Marshal(n)
 	if err != nil {
 		t.Fatal(err)
@@ -174,7 +174,7 @@
 // fetch has one process ask another for what it lacks.
 func (f *fleet) fetch(t *rapid.T) {
 	from, to := f.pick(t, "from"), f.pick(t, "to")
-	if err := to.Heard(carried(t, from.Since(to.Now().Revision))); err != nil {
+	if err := to.ApplyUpdate(carried(t, from.Since(to.Current().Revision))); err != nil {
 		t.Fatal(err) // an answer to what it asked
 	}
 }
@@ -183,7 +183,7 @@
 // of those that run out are written again after it.
 func (f *fleet) outage(t *rapid.T) {
 	for _, b := range f.books {
-		b.Failed()
+		b.RecordFailure()
 	}
 	f.pass(t)
 	state := f.list.asOf(f.list.newest())
@@ -205,7 +205,7 @@
 func (f *fleet) check(t *rapid.T) {
 	now := f.clock.Now()
 	for i, b := range f.books {
-		snap := b.Now()
+		snap := b.Current()
 		if snap.Plan != nil {
 			if snap.Plan.Version < f.plans[i] {
 				t.Fatalf("process %d goes back from configuration %d to %d", i, f.plans[i], snap.Plan.Version)
@@ -273,7 +273,7 @@
 	truth := f.list.asOf(f.list.newest())
 	for i, b := range f.books {
 		b.Tick()
-		got := b.Now().Replicas
+		got := b.Current().Replicas
 		for key, c := range truth {
 			r := c.Replica
 			if r == nil {
--- a/magno/view/tell.go
+++ b/magno/view/tell.go
@@ -17,7 +17,7 @@
 // replaces. Of 10,000 upstreams that load an adapter every few seconds, the entries
 // alone would be 150 KB/s to each process; and of a storm of configurations each would
 // go to each process, where only the last is of use.
-func (b *Book) telling(changes []magno.Change) []magno.Change {
+func (b *Store) telling(changes []magno.Change) []magno.Change {
 	last := map[string]int{}
 	changed := map[string]bool{}
 	for i := range changes {
@@ -43,7 +43,7 @@
 // bases returns for each change the item that it replaces, as it is known here or as an
 // earlier one of the changes leaves it; its zero value where there is none. The caller
 // holds mu.
-func (b *Book) bases(changes []magno.Change) []magno.Change {
+func (b *Store) bases(changes []magno.Change) []magno.Change {
 	bases := make([]magno.Change, len(changes))
 	latest := map[string]*magno.Change{}
 	for i := range changes {
@@ -62,7 +62,7 @@
 // pack encodes the configurations among changes that others are to be told, each as its
 // difference from its base. It needs no lock: it takes a small machine tens of
 // milliseconds, for which requests would wait.
-func (b *Book) pack(told, bases []magno.Change) {
+func (b *Store) pack(told, bases []magno.Change) {
 	for i := range told {
 		if c := &told[i]; c.Plan != nil {
 			c.Packed = b.encode(delta.Diff(bases[i].Plan, bases[i].Revision, c.Plan))
@@ -70,7 +70,7 @@
 	}
 }
 
-func (b *Book) encode(d *delta.Delta) []byte {
+func (b *Store) encode(d *delta.Delta) []byte {
 	packed, err := d.Encode()
 	if err != nil && b.Log != nil {
 		b.Log.Error("configuration not encoded", "version", d.Rest.Version, "error", err)
@@ -80,8 +80,8 @@
 
 // decode returns the configurations that news bring, nil for a change that brings none
 // or is known here. Like pack it needs no lock.
-func (b *Book) decode(changes []magno.Change) ([]*delta.Delta, error) {
-	known := b.Now().Revision
+func (b *Store) decode(changes []magno.Change) ([]*delta.Delta, error) {
+	known := b.Current().Revision
 	list := make([]*delta.Delta, len(changes))
 	for i := range changes {
 		c := &changes[i]
@@ -100,7 +100,7 @@
 // unpack returns changes with the decoded configurations, applied to those known here. It
 // fails when one starts from another than this process has, or a change says nothing: its
 // configuration couldn't be encoded. The caller holds mu.
-func (b *Book) unpack(changes []magno.Change, decoded []*delta.Delta) ([]magno.Change, error) {
+func (b *Store) unpack(changes []magno.Change, decoded []*delta.Delta) ([]magno.Change, error) {
 	changes = slices.Clone(changes)
 	for i := range changes {
 		c := &changes[i]
@@ -142,10 +142,10 @@
 	return reflect.DeepEqual(was, *c)
 }
 
-// Heard takes news of a peer. News that begin after what this process knows, or that
+// ApplyUpdate takes news of a peer. News that begin after what this process knows, or that
 // can't be decoded with it, are left and are an error; it then asks for all that it
 // lacks, and so never knows a later change without the ones before.
-func (b *Book) Heard(n News) error {
+func (b *Store) ApplyUpdate(n Update) error {
 	decoded, err := b.decode(n.Changes)
 	if err != nil {
 		return err
@@ -153,7 +153,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.setup()
-	if !n.All && n.Since > b.now.Revision {
+	if !n.Full && n.Since > b.now.Revision {
 		return errors.Wrapf(ErrGap, "after %d, known up to %d", n.Since, b.now.Revision)
 	}
 	changes, err := b.unpack(n.Changes, decoded)
@@ -167,11 +167,11 @@
 
 // Since returns the news after a revision: the newest change of each key, or
 // all that there is where this process doesn't know each deletion since then.
-func (b *Book) Since(revision int64) News {
+func (b *Store) Since(revision int64) Update {
 	n := b.since(revision)
 	for i := range n.Changes {
 		if c := &n.Changes[i]; c.Plan != nil && c.Packed == nil {
-			c.Packed = b.encode(delta.Whole(c.Plan))
+			c.Packed = b.encode(delta.Full(c.Plan))
 			b.keep(c)
 		}
 	}
@@ -179,19 +179,19 @@
 }
 
 // since is Since but for the encoding of a configuration that nobody asked for before.
-func (b *Book) since(revision int64) News {
+func (b *Store) since(revision int64) Update {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.setup()
-	n := News{
+	n := Update{
 		Since: revision, Revision: b.now.Revision, Age: b.Clock.Now() - b.confirmed,
-		All: b.blind.holds(revision), Blind: b.blind,
+		Full: b.blind.holds(revision), UnknownDeletions: b.blind,
 	}
-	if n.All {
+	if n.Full {
 		revision = 0
 	}
 	for _, rec := range b.items {
-		if n.All && rec.change.Deleted {
+		if n.Full && rec.change.Deleted {
 			continue // what a whole list lacks is gone
 		}
 		if rec.change.Revision > revision {
@@ -204,7 +204,7 @@
 }
 
 // keep notes an encoded configuration for the next process that asks.
-func (b *Book) keep(c *magno.Change) {
+func (b *Store) keep(c *magno.Change) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if rec := b.items[c.Key]; rec != nil && rec.change.Revision == c.Revision {
--- a/magno/view/view.go
+++ b/magno/view/view.go
@@ -57,13 +57,13 @@
 	return nil
 }
 
-// Book takes changes. It is safe for concurrent use; exported fields are set
+// Store takes changes. It is safe for concurrent use; exported fields are set
 // before.
-type Book struct {
+type Store struct {
 	Clock *magno.Clock
-	// Noted is told of each change that took effect, in order. It may be nil
+	// OnChange is told of each change that took effect, in order. It may be nil
 	// and must not call the book.
-	Noted func(magno.Change)
+	OnChange func(magno.Change)
 	// Log is told of configurations that can't be encoded. It may be nil.
 	Log *slog.Logger
 
@@ -83,7 +83,7 @@
 	sure    int64
 	// blind is where deletions may be unknown here: those of items that were made
 	// after its start.
-	blind Span
+	blind RevisionRange
 	// failing is true from a failed read to the next good one; back is when
 	// that came.
 	failing bool
@@ -104,8 +104,8 @@
 	packed []byte
 }
 
-// Now returns what is known.
-func (b *Book) Now() *Snapshot {
+// Current returns what is known.
+func (b *Store) Current() *Snapshot {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.setup()
@@ -113,7 +113,7 @@
 }
 
 // Changed returns a channel that is closed at the next change.
-func (b *Book) Changed() <-chan struct{} {
+func (b *Store) Changed() <-chan struct{} {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.setup()
@@ -121,15 +121,15 @@
 }
 
 // Age is how long ago what is known was the newest.
-func (b *Book) Age() magno.Millis {
+func (b *Store) Age() magno.Millis {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.Clock.Now() - b.confirmed
 }
 
-// Vouch notes that at a time the list's newest revision was no higher than the given
+// RecordFreshness notes that at a time the list's newest revision was no higher than the given
 // one. It says nothing to a process that doesn't know all changes up to that.
-func (b *Book) Vouch(revision int64, at magno.Millis) {
+func (b *Store) RecordFreshness(revision int64, at magno.Millis) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.setup()
@@ -138,23 +138,23 @@
 	}
 }
 
-// Vouched is the latest time at which the list is known to have held nothing newer
+// FreshAt is the latest time at which the list is known to have held nothing newer
 // than a revision, which this process knows; zero when there is none. Unlike Age it
 // rests on no message whose way may have taken long.
-func (b *Book) Vouched() (at magno.Millis, revision int64) {
+func (b *Store) FreshAt() (at magno.Millis, revision int64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.vouched, b.sure
 }
 
-// Unvouched is how long ago that was.
-func (b *Book) Unvouched() magno.Millis {
+// Staleness is how long ago that was.
+func (b *Store) Staleness() magno.Millis {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.Clock.Now() - b.vouched
 }
 
-func (b *Book) setup() {
+func (b *Store) setup() {
 	if b.items == nil {
 		b.items, b.newest = map[string]*record{}, map[string]int64{}
 		b.watch = make(chan struct{})
@@ -162,26 +162,26 @@
 	}
 }
 
-// Failed notes that the list could not be read.
-func (b *Book) Failed() {
+// RecordFailure notes that the list could not be read.
+func (b *Store) RecordFailure() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.failing = true
 }
 
-// Read notes a good answer of the list: changes up to revision. With all set
+// ApplyRead notes a good answer of the list: changes up to revision. With all set
 // they are the whole list, and what it lacks was deleted; such an answer may be
-// seconds old, so it confirms nothing but the first time. Read returns what
+// seconds old, so it confirms nothing but the first time. ApplyRead returns what
 // others are to be told; of a whole list that is only the revision, as each
 // process reads one when it starts.
-func (b *Book) Read(changes []magno.Change, revision int64, all bool) News {
+func (b *Store) ApplyRead(changes []magno.Change, revision int64, all bool) Update {
 	news, bases := b.read(changes, revision, all)
 	b.pack(news.Changes, bases)
 	return news
 }
 
 // read is Read but for the encoding of configurations, whose bases it returns.
-func (b *Book) read(changes []magno.Change, revision int64, all bool) (News, []magno.Change) {
+func (b *Store) read(changes []magno.Change, revision int64, all bool) (Update, []magno.Change) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.setup()
@@ -197,33 +197,33 @@
 		if confirmed == 0 {
 			confirmed = now
 		}
-		b.takeNews(News{Changes: changes, Revision: revision, All: true}, confirmed)
-		return News{Since: revision, Revision: revision, Age: now - b.confirmed}, nil
+		b.takeNews(Update{Changes: changes, Revision: revision, Full: true}, confirmed)
+		return Update{Since: revision, Revision: revision, Age: now - b.confirmed}, nil
 	}
 	told := b.telling(changes)
 	bases := b.bases(told)
-	news := News{Changes: told, Since: b.now.Revision, Revision: revision}
+	news := Update{Changes: told, Since: b.now.Revision, Revision: revision}
 	b.takeNews(news, now)
 	return news, bases
 }
 
 // takeNews applies news. A whole list tells nothing of what came and went before
 // it, so this process can't tell others of that either. The caller holds mu.
-func (b *Book) takeNews(n News, confirmed magno.Millis) {
+func (b *Store) takeNews(n Update, confirmed magno.Millis) {
 	changes := n.Changes
-	if n.All {
+	if n.Full {
 		changes = append(slices.Clip(changes), b.missing(changes, n.Revision)...)
-		n.Blind.add(b.now.Revision, n.Revision)
+		n.UnknownDeletions.add(b.now.Revision, n.Revision)
 	}
-	if n.Blind.Before > b.now.Revision {
-		b.blind.add(n.Blind.After, n.Blind.Before)
+	if n.UnknownDeletions.Before > b.now.Revision {
+		b.blind.add(n.UnknownDeletions.After, n.UnknownDeletions.Before)
 	}
 	b.take(changes, n.Revision, confirmed)
 }
 
 // missing makes deletions of what a whole list lacks. What is known to be
 // newer than the list, which may be old, stays.
-func (b *Book) missing(changes []magno.Change, revision int64) []magno.Change {
+func (b *Store) missing(changes []magno.Change, revision int64) []magno.Change {
 	there := make(map[string]bool, len(changes))
 	for i := range changes {
 		there[changes[i].Key] = true
@@ -238,7 +238,7 @@
 }
 
 // take applies changes. The caller holds mu.
-func (b *Book) take(changes []magno.Change, revision int64, confirmed magno.Millis) {
+func (b *Store) take(changes []magno.Change, revision int64, confirmed magno.Millis) {
 	changed := false
 	for i := range changes {
 		changed = b.apply(&changes[i]) || changed
@@ -249,7 +249,7 @@
 	}
 }
 
-func (b *Book) apply(c *magno.Change) bool {
+func (b *Store) apply(c *magno.Change) bool {
 	if c.Revision <= b.now.Revision {
 		// All that the list had at Revision is here. What an older answer tells
 		// beyond that is gone since, and would come back for good.
@@ -268,8 +268,8 @@
 	if c.Plan != nil && (b.plan == nil || c.Plan.Version > b.plan.Version) {
 		b.plan = c.Plan
 	}
-	if b.Noted != nil {
-		b.Noted(*c)
+	if b.OnChange != nil {
+		b.OnChange(*c)
 	}
 	return true
 }
@@ -277,7 +277,7 @@
 // lapse keeps an upstream that vanished with an outage for a while: its entry
 // may have run out only because nobody could renew it, and taking all such
 // upstreams as gone would refuse every request.
-func (b *Book) lapse(rec, old *record, now magno.Millis) {
+func (b *Store) lapse(rec, old *record, now magno.Millis) {
 	last := old.change.Replica
 	if last == nil || last.Leaving {
 		return
@@ -289,7 +289,7 @@
 
 // Tick lets deletions take effect that turned out to be no lapse, and forgets
 // old ones. It is called every few hundred milliseconds.
-func (b *Book) Tick() {
+func (b *Store) Tick() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.setup()
@@ -310,7 +310,7 @@
 }
 
 // publish makes the next snapshot. The caller holds mu.
-func (b *Book) publish(revision int64, changed bool) {
+func (b *Store) publish(revision int64, changed bool) {
 	next := &Snapshot{Plan: b.plan, Revision: revision, Replicas: b.now.Replicas, Pins: b.now.Pins}
 	if changed {
 		next.Replicas, next.Pins = b.collect()
@@ -322,7 +322,7 @@
 	}
 }
 
-func (b *Book) collect() (map[string]*magno.Replica, map[string]int64) {
+func (b *Store) collect() (map[string]*magno.Replica, map[string]int64) {
 	replicas, pins := map[string]*magno.Replica{}, maps.Clone(b.now.Pins)
 	for _, rec := range b.items {
 		r := rec.change.Replica
--- a/magno/view/view_test.go
+++ b/magno/view/view_test.go
@@ -12,9 +12,9 @@
 	"magnoliastall.example/magno"
 )
 
-func newBook() (*Book, *magno.Clock) {
+func newBook() (*Store, *magno.Clock) {
 	clock := magno.NewClock(magno.Hour)
-	return &Book{Clock: clock}, clock
+	return &Store{Clock: clock}, clock
 }
 
 func up(id string, rev int64, address string) magno.Change {
@@ -37,13 +37,13 @@
 // and callers saw the service gone.
 func TestNewestEntryOfAnAddressCounts(t *testing.T) {
 	b, _ := newBook()
-	b.Read([]magno.Change{up("old", 5, "10.0.0.1:80"), up("new", 9, "10.0.0.1:80"), up("other", 6, "10.0.0.2:80")}, 9, true)
-	got := b.Now().Replicas
+	b.ApplyRead([]magno.Change{up("old", 5, "10.0.0.1:80"), up("new", 9, "10.0.0.1:80"), up("other", 6, "10.0.0.2:80")}, 9, true)
+	got := b.Current().Replicas
 	if got["old"] != nil || got["new"] == nil || got["other"] == nil {
 		t.Errorf("got %v, want new and other", got)
 	}
-	b.Read([]magno.Change{down("new", 12)}, 12, false)
-	if b.Now().Replicas["old"] != nil {
+	b.ApplyRead([]magno.Change{down("new", 12)}, 12, false)
+	if b.Current().Replicas["old"] != nil {
 		t.Error("the old entry came back though its successor was there")
 	}
 }
@@ -52,10 +52,10 @@
 // that was replaced since.
 func TestConfigurationNeverFalls(t *testing.T) {
 	b, _ := newBook()
-	b.Read([]magno.Change{plan(7, 10)}, 10, true)
-	b.Heard(News{Changes: []magno.Change{plan(3, 4)}, Since: 0, Revision: 4})
-	b.Read([]magno.Change{plan(5, 12)}, 12, false)
-	if v := b.Now().Plan.Version; v != 7 {
+	b.ApplyRead([]magno.Change{plan(7, 10)}, 10, true)
+	b.ApplyUpdate(Update{Changes: []magno.Change{plan(3, 4)}, Since: 0, Revision: 4})
+	b.ApplyRead([]magno.Change{plan(5, 12)}, 12, false)
+	if v := b.Current().Plan.Version; v != 7 {
 		t.Errorf("version %d is in force, want 7", v)
 	}
 }
@@ -64,10 +64,10 @@
 // must go on being used.
 func TestOneBadEntryHidesNoOther(t *testing.T) {
 	b, _ := newBook()
-	b.Read([]magno.Change{
+	b.ApplyRead([]magno.Change{
 		up("a", 1, "10.0.0.1:80"), {Key: "servers/b", Revision: 2, Fault: "no address"}, up("c", 3, "10.0.0.3:80"),
 	}, 3, true)
-	if n := len(b.Now().Replicas); n != 2 {
+	if n := len(b.Current().Replicas); n != 2 {
 		t.Errorf("%d upstreams are used, want 2", n)
 	}
 }
@@ -77,19 +77,19 @@
 // they are back; after two seconds, what is still missing is gone.
 func TestLapsedEntriesAreUsedUntilTheyCouldBeBack(t *testing.T) {
 	b, clock := newBook()
-	b.Read([]magno.Change{up("a", 1, "10.0.0.1:80"), up("b", 2, "10.0.0.2:80")}, 2, true)
+	b.ApplyRead([]magno.Change{up("a", 1, "10.0.0.1:80"), up("b", 2, "10.0.0.2:80")}, 2, true)
 	clock.Advance(500)
-	b.Failed()
+	b.RecordFailure()
 	clock.Advance(4000)
-	b.Read([]magno.Change{down("a", 3), down("b", 4)}, 4, false)
-	if n := len(b.Now().Replicas); n != 2 {
+	b.ApplyRead([]magno.Change{down("a", 3), down("b", 4)}, 4, false)
+	if n := len(b.Current().Replicas); n != 2 {
 		t.Fatalf("%d upstreams are used right after the outage, want 2", n)
 	}
 	clock.Advance(1000)
-	b.Read([]magno.Change{up("a", 5, "10.0.0.1:80")}, 5, false)
+	b.ApplyRead([]magno.Change{up("a", 5, "10.0.0.1:80")}, 5, false)
 	clock.Advance(1500)
 	b.Tick()
-	got := b.Now().Replicas
+	got := b.Current().Replicas
 	if got["a"] == nil || got["b"] != nil {
 		t.Errorf("got %v, want a alone", got)
 	}
@@ -99,10 +99,10 @@
 // there would be cut off.
 func TestDeletionOnACalmDayCountsAtOnce(t *testing.T) {
 	b, clock := newBook()
-	b.Read([]magno.Change{up("a", 1, "10.0.0.1:80")}, 1, true)
+	b.ApplyRead([]magno.Change{up("a", 1, "10.0.0.1:80")}, 1, true)
 	clock.Advance(900)
-	b.Read([]magno.Change{down("a", 2)}, 2, false)
-	if len(b.Now().Replicas) != 0 {
+	b.ApplyRead([]magno.Change{down("a", 2)}, 2, false)
+	if len(b.Current().Replicas) != 0 {
 		t.Error("a deleted upstream is still used")
 	}
 }
@@ -111,13 +111,13 @@
 // Its own revision stays, or it would never ask for what it missed.
 func TestGapInNewsIsNotForgotten(t *testing.T) {
 	b, _ := newBook()
-	b.Read([]magno.Change{up("a", 1, "10.0.0.1:80")}, 1, true)
-	b.Heard(News{Changes: []magno.Change{up("c", 9, "10.0.0.3:80")}, Since: 8, Revision: 9})
-	if r := b.Now().Revision; r != 1 {
+	b.ApplyRead([]magno.Change{up("a", 1, "10.0.0.1:80")}, 1, true)
+	b.ApplyUpdate(Update{Changes: []magno.Change{up("c", 9, "10.0.0.3:80")}, Since: 8, Revision: 9})
+	if r := b.Current().Revision; r != 1 {
 		t.Errorf("revision %d, want 1", r)
 	}
-	b.Heard(News{Changes: []magno.Change{up("b", 5, "10.0.0.2:80"), up("c", 9, "10.0.0.3:80")}, Since: 1, Revision: 9})
-	if s := b.Now(); s.Revision != 9 || len(s.Replicas) != 3 {
+	b.ApplyUpdate(Update{Changes: []magno.Change{up("b", 5, "10.0.0.2:80"), up("c", 9, "10.0.0.3:80")}, Since: 1, Revision: 9})
+	if s := b.Current(); s.Revision != 9 || len(s.Replicas) != 3 {
 		t.Errorf("revision %d with %d upstreams, want 9 with 3", s.Revision, len(s.Replicas))
 	}
 }
@@ -128,12 +128,12 @@
 func TestNewsHoldsWhatAPeerToldBefore(t *testing.T) {
 	reader, _ := newBook()
 	other, _ := newBook()
-	for _, b := range []*Book{reader, other} {
-		b.Read([]magno.Change{up("a", 1, "10.0.0.1:80")}, 1, true)
+	for _, b := range []*Store{reader, other} {
+		b.ApplyRead([]magno.Change{up("a", 1, "10.0.0.1:80")}, 1, true)
 	}
-	reader.Heard(News{Changes: []magno.Change{down("a", 3)}, Since: 2, Revision: 3})
-	other.Heard(reader.Read([]magno.Change{up("b", 2, "10.0.0.2:80"), down("a", 3)}, 3, false))
-	if s := other.Now(); s.Revision != 3 || s.Replicas["a"] != nil || s.Replicas["b"] == nil {
+	reader.ApplyUpdate(Update{Changes: []magno.Change{down("a", 3)}, Since: 2, Revision: 3})
+	other.ApplyUpdate(reader.ApplyRead([]magno.Change{up("b", 2, "10.0.0.2:80"), down("a", 3)}, 3, false))
+	if s := other.Current(); s.Revision != 3 || s.Replicas["a"] != nil || s.Replicas["b"] == nil {
 		t.Errorf("revision %d with %v, want 3 with b alone", s.Revision, s.Replicas)
 	}
 }
@@ -143,11 +143,11 @@
 // deletion can be told, and yet it must learn that the upstream is gone.
 func TestWholeListTellsWhatIsGone(t *testing.T) {
 	cut, _ := newBook()
-	cut.Read([]magno.Change{up("a", 1, "10.0.0.1:80")}, 1, true)
+	cut.ApplyRead([]magno.Change{up("a", 1, "10.0.0.1:80")}, 1, true)
 	fresh, _ := newBook()
-	fresh.Read([]magno.Change{up("b", 4, "10.0.0.2:80")}, 5, true)
-	cut.Heard(fresh.Since(cut.Now().Revision))
-	if s := cut.Now(); s.Revision != 5 || s.Replicas["a"] != nil || s.Replicas["b"] == nil {
+	fresh.ApplyRead([]magno.Change{up("b", 4, "10.0.0.2:80")}, 5, true)
+	cut.ApplyUpdate(fresh.Since(cut.Current().Revision))
+	if s := cut.Current(); s.Revision != 5 || s.Replicas["a"] != nil || s.Replicas["b"] == nil {
 		t.Errorf("revision %d with %v, want 5 with b alone", s.Revision, s.Replicas)
 	}
 }
@@ -156,9 +156,9 @@
 // seconds old, with an upstream that came and left before the process knew it.
 func TestOldListBringsNothingBack(t *testing.T) {
 	b, _ := newBook()
-	b.Heard(News{Changes: []magno.Change{up("b", 1, "10.0.0.2:80")}, Revision: 5, All: true})
-	b.Read([]magno.Change{up("b", 1, "10.0.0.2:80"), up("a", 3, "10.0.0.1:80")}, 3, true)
-	if s := b.Now(); s.Revision != 5 || len(s.Replicas) != 1 {
+	b.ApplyUpdate(Update{Changes: []magno.Change{up("b", 1, "10.0.0.2:80")}, Revision: 5, Full: true})
+	b.ApplyRead([]magno.Change{up("b", 1, "10.0.0.2:80"), up("a", 3, "10.0.0.1:80")}, 3, true)
+	if s := b.Current(); s.Revision != 5 || len(s.Replicas) != 1 {
 		t.Errorf("revision %d with %v, want 5 with b alone", s.Revision, s.Replicas)
 	}
 }
@@ -169,10 +169,10 @@
 func TestVersionsStayTheSameMap(t *testing.T) {
 	b, _ := newBook()
 	pin := magno.Change{Key: "pin", Revision: 1, Pin: &magno.Pin{Model: "m", Adapter: "a", Number: 2}}
-	b.Read([]magno.Change{pin, up("a", 2, "10.0.0.1:80")}, 2, true)
-	before := b.Now().Pins
-	b.Read([]magno.Change{down("a", 3)}, 3, false)
-	if after := b.Now().Pins; reflect.ValueOf(after).Pointer() != reflect.ValueOf(before).Pointer() {
+	b.ApplyRead([]magno.Change{pin, up("a", 2, "10.0.0.1:80")}, 2, true)
+	before := b.Current().Pins
+	b.ApplyRead([]magno.Change{down("a", 3)}, 3, false)
+	if after := b.Current().Pins; reflect.ValueOf(after).Pointer() != reflect.ValueOf(before).Pointer() {
 		t.Error("the versions were copied though none changed")
 	}
 }
@@ -182,12 +182,12 @@
 // and small machines are busy with it.
 func TestRepeatsAreNotTold(t *testing.T) {
 	b, _ := newBook()
-	b.Read([]magno.Change{up("a", 1, "10.0.0.1:80"), up("b", 2, "10.0.0.2:80")}, 2, true)
+	b.ApplyRead([]magno.Change{up("a", 1, "10.0.0.1:80"), up("b", 2, "10.0.0.2:80")}, 2, true)
 	again, leaving := up("a", 3, "10.0.0.1:80"), up("b", 4, "10.0.0.2:80")
 	again.Replica.Since, leaving.Replica.Since, leaving.Replica.Leaving = 1, 2, true
 	changed := b.Changed()
-	n := b.Read([]magno.Change{again}, 3, false)
-	if len(n.Changes) != 0 || n.Revision != 3 || b.Now().Revision != 3 {
+	n := b.ApplyRead([]magno.Change{again}, 3, false)
+	if len(n.Changes) != 0 || n.Revision != 3 || b.Current().Revision != 3 {
 		t.Errorf("told %v at revision %d, want nothing at 3", n.Changes, n.Revision)
 	}
 	select {
@@ -195,7 +195,7 @@
 		t.Error("a repeat counts as a change")
 	default:
 	}
-	if n = b.Read([]magno.Change{leaving}, 4, false); len(n.Changes) != 1 || !b.Now().Replicas["b"].Leaving {
+	if n = b.ApplyRead([]magno.Change{leaving}, 4, false); len(n.Changes) != 1 || !b.Current().Replicas["b"].Leaving {
 		t.Errorf("told %v, want that b leaves", n.Changes)
 	}
 }
@@ -204,9 +204,9 @@
 // a process would turn away callers of a route that is new as if it knew.
 func TestOldListConfirmsNothing(t *testing.T) {
 	b, clock := newBook()
-	b.Read(nil, 5, false)
+	b.ApplyRead(nil, 5, false)
 	clock.Advance(3000)
-	b.Read([]magno.Change{plan(1, 4)}, 4, true)
+	b.ApplyRead([]magno.Change{plan(1, 4)}, 4, true)
 	if age := b.Age(); age != 3000 {
 		t.Errorf("the age is %d ms, want 3000", age)
 	}
@@ -226,20 +226,20 @@
 			log = append(log, up(id, rev, "10.0.0."+id+":80"))
 		}
 		a, _ := newBook()
-		a.Read(log, 20, false)
+		a.ApplyRead(log, 20, false)
 		b, _ := newBook()
 		mixed := rapid.Permutation(append(log, log[:5]...)).Draw(t, "order")
 		for i := range mixed {
-			b.Heard(News{Changes: mixed[i : i+1], Since: mixed[i].Revision - 1, Revision: mixed[i].Revision})
+			b.ApplyUpdate(Update{Changes: mixed[i : i+1], Since: mixed[i].Revision - 1, Revision: mixed[i].Revision})
 		}
-		b.Heard(a.Since(b.Now().Revision))
-		for id, r := range a.Now().Replicas {
-			if other := b.Now().Replicas[id]; other == nil || other.Since != r.Since {
+		b.ApplyUpdate(a.Since(b.Current().Revision))
+		for id, r := range a.Current().Replicas {
+			if other := b.Current().Replicas[id]; other == nil || other.Since != r.Since {
 				t.Fatalf("one has %v of %s, the other %v", r, id, other)
 			}
 		}
-		if len(a.Now().Replicas) != len(b.Now().Replicas) {
-			t.Fatalf("one has %d upstreams, the other %d", len(a.Now().Replicas), len(b.Now().Replicas))
+		if len(a.Current().Replicas) != len(b.Current().Replicas) {
+			t.Fatalf("one has %d upstreams, the other %d", len(a.Current().Replicas), len(b.Current().Replicas))
 		}
 	})
 }
@@ -262,14 +262,14 @@
 		{"between others", []magno.Change{plan(2, 10), up("a", 11, "10.0.0.1:80"), plan(3, 12), down("a", 13)}, []int64{12, 13}, 3},
 	} {
 		b, _ := newBook()
-		b.Read([]magno.Change{plan(1, 1)}, 1, true)
-		news := b.Read(c.changes, 60, false)
+		b.ApplyRead([]magno.Change{plan(1, 1)}, 1, true)
+		news := b.ApplyRead(c.changes, 60, false)
 		var got []int64
 		for _, told := range news.Changes {
 			got = append(got, told.Revision)
 		}
-		if !slices.Equal(got, c.want) || b.Now().Plan.Version != c.version {
-			t.Errorf("%s: told %v, in force %d; want %v and %d", c.name, got, b.Now().Plan.Version, c.want, c.version)
+		if !slices.Equal(got, c.want) || b.Current().Plan.Version != c.version {
+			t.Errorf("%s: told %v, in force %d; want %v and %d", c.name, got, b.Current().Plan.Version, c.want, c.version)
 		}
 	}
 }
@@ -278,9 +278,9 @@
 // another process, 1,700 new routes take a tenth of a second at ten megabits a second.
 func TestManyNewRoutesFitANarrowLink(t *testing.T) {
 	const most = 10e6 / 8 / 10
-	from := &Book{Clock: magno.NewClock(magno.Hour)}
-	from.Read([]magno.Change{{Key: "plan", Revision: 1, Plan: routes(1, 50)}}, 1, true)
-	told, err := json.Marshal(from.Read([]magno.Change{{Key: "plan", Revision: 2, Plan: routes(2, 1750)}}, 2, false))
+	from := &Store{Clock: magno.NewClock(magno.Hour)}
+	from.ApplyRead([]magno.Change{{Key: "plan", Revision: 1, Plan: routes(1, 50)}}, 1, true)
+	told, err := json.Marshal(from.ApplyRead([]magno.Change{{Key: "plan", Revision: 2, Plan: routes(2, 1750)}}, 2, false))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -296,12 +296,12 @@
 // Guards against a configuration that couldn't be encoded and is taken for none: its
 // process would go on with the old one, and say that it knows the new one's revision.
 func TestChangeThatSaysNothingIsRefused(t *testing.T) {
-	b := &Book{Clock: magno.NewClock(magno.Hour)}
-	b.Read([]magno.Change{plan(1, 1)}, 1, true)
-	if err := b.Heard(News{Changes: []magno.Change{{Key: "plan", Revision: 2}}, Since: 1, Revision: 2}); err == nil {
+	b := &Store{Clock: magno.NewClock(magno.Hour)}
+	b.ApplyRead([]magno.Change{plan(1, 1)}, 1, true)
+	if err := b.ApplyUpdate(Update{Changes: []magno.Change{{Key: "plan", Revision: 2}}, Since: 1, Revision: 2}); err == nil {
 		t.Error("taken")
 	}
-	if now := b.Now(); now.Revision != 1 || now.Plan.Version != 1 {
+	if now := b.Current(); now.Revision != 1 || now.Plan.Version != 1 {
 		t.Errorf("at revision %d with configuration %d", now.Revision, now.Plan.Version)
 	}
 }
--- a/magno/watch/http.go
+++ b/magno/watch/http.go
@@ -30,7 +30,7 @@
 		return nil, 0, err
 	}
 	r.reads.Inc()
-	answer, err := fetch.Get(ctx, r.Client, r.URL+path, check.MaxShard+1)
+	answer, err := fetch.Get(ctx, r.Client, r.URL+path, check.MaxShardBytes+1)
 	r.bytes.Add(len(answer.Body))
 	switch {
 	case answer.Status == http.StatusTooManyRequests:
--- a/magno/watch/load.go
+++ b/magno/watch/load.go
@@ -15,7 +15,7 @@
 // it held, to tell what a change takes away.
 type shard struct {
 	sum     string
-	names   check.Gone
+	names   check.Removed
 	rosters []magno.Roster
 }
 
@@ -45,7 +45,7 @@
 	return names{map[string]bool{}, map[string]bool{}, map[string]bool{}, map[string]bool{}, map[string]bool{}}
 }
 
-func (n names) add(g check.Gone) {
+func (n names) add(g check.Removed) {
 	mark(n.customers, g.Customers)
 	mark(n.pools, g.Pools)
 	mark(n.adapters, g.Adapters)
@@ -60,8 +60,8 @@
 }
 
 // without lists what n has and other has not.
-func (n names) without(other names) check.Gone {
-	return check.Gone{
+func (n names) without(other names) check.Removed {
+	return check.Removed{
 		Customers: minus(n.customers, other.customers), Pools: minus(n.pools, other.pools),
 		Adapters: minus(n.adapters, other.adapters), Profiles: minus(n.profiles, other.profiles),
 		Drained: minus(n.drained, other.drained),
@@ -137,7 +137,7 @@
 	if sum := pack.Checksum(data); sum != s.Sum {
 		return check.Shard{}, fmt.Errorf("shard %s has sum %s, the index says %s", s.Name, sum, s.Sum)
 	}
-	text, err := pack.Decompress(data, check.MaxShard)
+	text, err := pack.Decompress(data, check.MaxShardBytes)
 	return check.Shard{Name: s.Name, Text: text}, err
 }
 
@@ -160,8 +160,8 @@
 	}
 }
 
-func namesOf(cfg *magno.Config) check.Gone {
-	var g check.Gone
+func namesOf(cfg *magno.Config) check.Removed {
+	var g check.Removed
 	for i := range cfg.Customers {
 		g.Customers = append(g.Customers, cfg.Customers[i].Name)
 	}
@@ -180,7 +180,7 @@
 
 // doubles finds names that another shard holds as well. Two records of one
 // name would give whichever was read last, other ones in other processes.
-func (l *load) doubles(file string, had check.Gone) {
+func (l *load) doubles(file string, had check.Removed) {
 	base := l.reader.base
 	l.double(file, "customers", had.Customers, l.old.customers, l.seen.customers, func(n string) bool {
 		_, ok := base.Customer(n)
@@ -231,7 +231,7 @@
 }
 
 func (l *load) flush() {
-	l.next = l.next.With(l.version, &l.pending, check.Gone{})
+	l.next = l.next.WithChanges(l.version, &l.pending, check.Removed{})
 	l.pending = magno.Config{}
 }
 
@@ -242,5 +242,5 @@
 		l.pending.Rosters = append(l.pending.Rosters, l.shards[s.Name].rosters...)
 	}
 	gone.Rosters = len(l.pending.Rosters) == 0
-	l.next = l.next.With(l.version, &l.pending, gone)
+	l.next = l.next.WithChanges(l.version, &l.pending, gone)
 }
--- a/magno/watch/reader.go
+++ b/magno/watch/reader.go
@@ -99,7 +99,7 @@
 	// Reachable is false while calls to the service fail.
 	Reachable bool `json:"reachable"`
 	// Last is when the service last answered.
-	Last magno.Millis `json:"last"`
+	LastSuccess magno.Millis `json:"last"`
 	// Version is the newest that the service showed.
 	Version int64  `json:"version"`
 	Error   string `json:"error,omitempty"`
@@ -170,7 +170,7 @@
 	was := r.status.Reachable
 	r.status.Reachable = err == nil
 	if err == nil {
-		r.status.Last, r.status.Error = r.Clock.Now(), ""
+		r.status.LastSuccess, r.status.Error = r.Clock.Now(), ""
 		if !was {
 			r.Log.Info("platform reachable", "service", "configuration")
 		}
@@ -178,7 +178,7 @@
 	}
 	r.fails.Inc()
 	r.status.Error = err.Error()
-	if was || r.status.Last == 0 {
+	if was || r.status.LastSuccess == 0 {
 		r.Log.Warn("platform unreachable", "service", "configuration", "error", err)
 	}
 }
@@ -242,7 +242,7 @@
 	if r.revision < 0 {
 		r.revision = revision
 	}
-	if data, err = pack.Decompress(data, check.MaxShard); err != nil {
+	if data, err = pack.Decompress(data, check.MaxShardBytes); err != nil {
 		return err
 	}
 	var index pack.Index
@@ -278,7 +278,7 @@
 	}
 	if len(l.faults) > 0 {
 		r.bad = index.Version
-		_ = r.Store.Refuse(index.Version, r.Name(), l.faults) // logged and shown by the store
+		_ = r.Store.Reject(index.Version, r.Name(), l.faults) // logged and shown by the store
 		return nil
 	}
 	err = r.Store.Install(l.next, l.texts, r.Name())
--- a/magno/watch/reader_test.go
+++ b/magno/watch/reader_test.go
@@ -147,7 +147,7 @@
 	s.publish(t, sample(1, 1000))
 	store, _ := read(t, url)
 	until(t, "version 1", func() bool { return store.Version() == 1 })
-	if got, want := store.Now().Sum, config.NewSnapshot(sample(1, 1000)).Sum; got != want {
+	if got, want := store.Current().Sum, config.NewSnapshot(sample(1, 1000)).Sum; got != want {
 		t.Fatal("other content than published")
 	}
 	s.mu.Lock()
@@ -160,7 +160,7 @@
 	cfg.Rosters = rosters
 	s.publish(t, cfg)
 	until(t, "version 2", func() bool { return store.Version() == 2 })
-	if store.Now().Sum != config.NewSnapshot(cfg).Sum {
+	if store.Current().Sum != config.NewSnapshot(cfg).Sum {
 		t.Fatal("other content than published")
 	}
 	s.mu.Lock()
@@ -173,8 +173,8 @@
 	cfg.Rosters = rosters
 	s.publish(t, cfg)
 	until(t, "version 3", func() bool { return store.Version() == 3 })
-	if store.Now().Sum != config.NewSnapshot(cfg).Sum || store.Now().Records != 1000 {
-		t.Fatalf("other content than published, %d records", store.Now().Records)
+	if store.Current().Sum != config.NewSnapshot(cfg).Sum || store.Current().Records != 1000 {
+		t.Fatalf("other content than published, %d records", store.Current().Records)
 	}
 }
 
@@ -253,7 +253,7 @@
 		s.values[pack.IndexKey] = text
 	})
 	until(t, "refusal", func() bool { return store.Status().Refused.Version == 3 })
-	if store.Version() != 1 || store.Now().Sum != config.NewSnapshot(sample(1, 300)).Sum {
+	if store.Version() != 1 || store.Current().Sum != config.NewSnapshot(sample(1, 300)).Sum {
 		t.Fatalf("version %d in force", store.Version())
 	}
 	s.publish(t, sample(4, 300))
@@ -293,7 +293,7 @@
 	}
 	s.publish(t, sample(2, 40))
 	until(t, "version 2", func() bool { return store.Version() == 2 })
-	if store.Now().Sum != config.NewSnapshot(sample(2, 40)).Sum {
+	if store.Current().Sum != config.NewSnapshot(sample(2, 40)).Sum {
 		t.Fatal("other content than published")
 	}
 }
@@ -311,7 +311,7 @@
 	s.publish(t, sample(2, 31))
 	s.publish(t, sample(3, 32))
 	until(t, "version 3", func() bool { return store.Version() == 3 })
-	if store.Now().Sum != config.NewSnapshot(sample(3, 32)).Sum {
+	if store.Current().Sum != config.NewSnapshot(sample(3, 32)).Sum {
 		t.Fatal("other content than published")
 	}
 	if err := store.Load(sample(2, 31), nil, "peer"); !errors.Is(err, config.ErrOld) {
