--- a/magno/view/bench_test.go
+++ b/magno/view/bench_test.go
@@ -9,8 +9,8 @@
 	"magnoliastall.example/magno"
 )
 
-// routes makes a configuration of n routes.
-func routes(version int64, n int) *magno.Plan {
+// planWithRoutes returns a configuration with n routes.
+func planWithRoutes(version int64, n int) *magno.Plan {
 	p := &magno.Plan{Version: version, Body: 1 << 20, Header: 1 << 14}
 	for i := range n {
 		p.Routes = append(p.Routes, magno.Route{
@@ -22,11 +22,11 @@
 	return p
 }
 
-// BenchmarkConfig tells one other entry a configuration in which one route changed.
+// BenchmarkConfig sends another process a configuration in which one route changed.
 func BenchmarkConfig(b *testing.B) {
 	for _, n := range []int{50, 1700, 130000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			next := routes(2, n)
+			next := planWithRoutes(2, n)
 			next.Routes[n/2].Timeout = 9000
 			clock := magno.NewClock(magno.Hour)
 			var size int
@@ -34,11 +34,11 @@
 				b.StopTimer()
 				from, to := &Store{Clock: clock}, &Store{Clock: clock}
 				for _, book := range []*Store{from, to} {
-					book.ApplyRead([]magno.Change{{Key: "plan", Revision: 1, Plan: routes(1, n)}}, 1, true)
+					book.ApplyRead([]magno.Change{{Key: "plan", Revision: 1, Plan: planWithRoutes(1, n)}}, 1, true)
 				}
 				b.StartTimer()
-				news := from.ApplyRead([]magno.Change{{Key: "plan", Revision: 2, Plan: next}}, 2, false)
-				data, err := json.Marshal(news)
+				update := from.ApplyRead([]magno.Change{{Key: "plan", Revision: 2, Plan: next}}, 2, false)
+				data, err := json.Marshal(update)
 				if err != nil {
 					b.Fatal(err)
 				}
@@ -49,7 +49,7 @@
 				}
 				to.ApplyUpdate(got)
 				if to.Current().Plan.Version != 2 {
-					b.Fatal("the change was not taken")
+					b.Fatal("the change was not applied")
 				}
 			}
 			b.ReportMetric(float64(size), "bytes")
@@ -57,24 +57,24 @@
 	}
 }
 
-// BenchmarkNowBesideNews asks for what is known, as each request does, while configurations
-// of 1,700 new routes come, and reports the longest wait.
-func BenchmarkNowBesideNews(b *testing.B) {
+// BenchmarkCurrentDuringUpdate calls Current, as each request does, while a configuration
+// with 1,700 new routes is applied, and reports the longest call.
+func BenchmarkCurrentDuringUpdate(b *testing.B) {
 	from := &Store{Clock: magno.NewClock(magno.Hour)}
-	from.ApplyRead([]magno.Change{{Key: "plan", Revision: 1, Plan: routes(1, 1700)}}, 1, true)
-	told := from.Since(0)
-	told.Changes[0].Plan = nil
+	from.ApplyRead([]magno.Change{{Key: "plan", Revision: 1, Plan: planWithRoutes(1, 1700)}}, 1, true)
+	update := from.Since(0)
+	update.Changes[0].Plan = nil
 	var longest time.Duration
 	for b.Loop() {
 		to := &Store{Clock: from.Clock}
-		heard := make(chan error)
-		go func() { heard <- to.ApplyUpdate(told) }()
+		done := make(chan error)
+		go func() { done <- to.ApplyUpdate(update) }()
 		for to.Current().Plan == nil {
 			began := time.Now()
 			to.Current()
 			longest = max(longest, time.Since(began))
 		}
-		if err := <-heard; err != nil {
+		if err := <-done; err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/magno/view/machine_test.go
+++ b/magno/view/machine_test.go
@@ -14,50 +14,50 @@
 	"magnoliastall.example/magno"
 )
 
-// written is a change of the list and when it was made.
-type written struct {
+// logEntry is a change of the list and the time at which it was made.
+type logEntry struct {
 	magno.Change
-	at magno.Millis
+	writtenAt magno.Millis
 }
 
-// list is the truth: all that was ever written.
-type list struct {
-	log     []written
+// listModel is the reference model of the list: the log of all changes.
+type listModel struct {
+	log     []logEntry
 	version int64
 	pins    map[string]int64
 }
 
-// asOf returns the whole list as it was at a revision.
-func (l *list) asOf(revision int64) map[string]magno.Change {
+// stateAt returns the whole list at a revision.
+func (l *listModel) stateAt(revision int64) map[string]magno.Change {
 	state := map[string]magno.Change{}
-	for _, w := range l.log {
-		if w.Revision > revision {
+	for _, entry := range l.log {
+		if entry.Revision > revision {
 			break
 		}
-		if w.Deleted {
-			delete(state, w.Key)
+		if entry.Deleted {
+			delete(state, entry.Key)
 			continue
 		}
-		state[w.Key] = w.Change
+		state[entry.Key] = entry.Change
 	}
 	return state
 }
 
-// at is the newest revision before a time.
-func (l *list) at(t magno.Millis) int64 {
+// revisionBefore returns the newest revision before a time.
+func (l *listModel) revisionBefore(t magno.Millis) int64 {
 	revision := int64(0)
 	for _, w := range l.log {
-		if w.at < t {
+		if w.writtenAt < t {
 			revision = w.Revision
 		}
 	}
 	return revision
 }
 
-func (l *list) newest() int64 { return int64(len(l.log)) }
+func (l *listModel) newestRevision() int64 { return int64(len(l.log)) }
 
-// after lists the changes after a revision.
-func (l *list) after(revision int64) []magno.Change {
+// changesAfter returns the changes after a revision.
+func (l *listModel) changesAfter(revision int64) []magno.Change {
 	var out []magno.Change
 	for _, w := range l.log {
 		if w.Revision > revision {
@@ -67,89 +67,92 @@
 	return out
 }
 
-// fleet is a few processes that read the list or hear of it from each other.
+// fleet simulates processes that read the list and exchange updates.
 type fleet struct {
-	clock *magno.Clock
-	list  list
-	books []*Store
-	// plans and pins are what each process was seen to know; neither may fall.
-	plans []int64
-	pins  []map[string]int64
+	clock  *magno.Clock
+	list   listModel
+	stores []*Store
+	// maxPlans and maxPins are the highest versions seen in each process; they must never
+	// decrease.
+	maxPlans []int64
+	maxPins  []map[string]int64
 }
 
 func newFleet() *fleet {
-	f := &fleet{clock: magno.NewClock(magno.Hour), list: list{pins: map[string]int64{}}}
+	f := &fleet{clock: magno.NewClock(magno.Hour), list: listModel{pins: map[string]int64{}}}
 	for range 3 {
-		f.books = append(f.books, &Store{Clock: f.clock})
-		f.plans = append(f.plans, 0)
-		f.pins = append(f.pins, map[string]int64{})
+		f.stores = append(f.stores, &Store{Clock: f.clock})
+		f.maxPlans = append(f.maxPlans, 0)
+		f.maxPins = append(f.maxPins, map[string]int64{})
 	}
 	return f
 }
 
 func (f *fleet) pick(t *rapid.T, label string) *Store {
-	return f.books[rapid.IntRange(0, len(f.books)-1).Draw(t, label)]
+	return f.stores[rapid.IntRange(0, len(f.stores)-1).Draw(t, label)]
 }
 
-// write has the operator or a worker change the list.
+// write makes an operator or a worker change the list.
 func (f *fleet) write(t *rapid.T) {
-	revision := f.list.newest() + 1
+	revision := f.list.newestRevision() + 1
 	id := rapid.IntRange(0, 4).Draw(t, "id")
 	var c magno.Change
 	switch rapid.IntRange(0, 5).Draw(t, "kind") {
 	case 0:
 		f.list.version += int64(rapid.IntRange(1, 3).Draw(t, "step"))
-		c = plan(f.list.version, revision)
-		c.Plan.Routes = ofVersion(f.list.version)
+		c = planChange(f.list.version, revision)
+		c.Plan.Routes = routesOfVersion(f.list.version)
 	case 1:
 		name := fmt.Sprint("a", id)
 		f.list.pins[name]++
 		c = magno.Change{Key: "pin/" + name, Revision: revision, Pin: &magno.Pin{Model: "m", Adapter: name, Number: f.list.pins[name]}}
 	case 2:
-		if c = down(fmt.Sprint(id), revision); f.list.asOf(revision)[c.Key].Replica == nil {
-			return // it isn't there
+		if c = deletionChange(fmt.Sprint(id), revision); f.list.stateAt(revision)[c.Key].Replica == nil {
+			return // no such entry
 		}
 	default:
-		c = up(fmt.Sprint(id), revision, "10.0.0."+fmt.Sprint(id)+":80")
-		if old := f.list.asOf(revision)[c.Key].Replica; old != nil {
+		c = replicaChange(fmt.Sprint(id), revision, "10.0.0."+fmt.Sprint(id)+":80")
+		if old := f.list.stateAt(revision)[c.Key].Replica; old != nil {
 			c.Replica.Since = old.Since
 			c.Replica.Leaving = rapid.Bool().Draw(t, "leaving")
 		}
 	}
-	f.list.log = append(f.list.log, written{c, f.clock.Now()})
+	f.list.log = append(f.list.log, logEntry{c, f.clock.Now()})
 }
 
-// read has a process read everything, as it was a while ago, and follow it up
-// as a watch does.
+// read makes a process read the whole list, possibly at an earlier revision, and then the
+// changes after it, as a watch does.
 func (f *fleet) read(t *rapid.T) {
-	b := f.pick(t, "reader")
-	old := max(f.list.newest()-int64(rapid.IntRange(0, 4).Draw(t, "behind")), 0)
+	s := f.pick(t, "reader")
+	old := max(f.list.newestRevision()-int64(rapid.IntRange(0, 4).Draw(t, "behind")), 0)
 	var all []magno.Change
-	state := f.list.asOf(old)
+	state := f.list.stateAt(old)
 	for _, key := range slices.Sorted(maps.Keys(state)) {
 		all = append(all, state[key])
 	}
-	b.ApplyRead(all, old, true)
-	f.follow(b)
+	s.ApplyRead(all, old, true)
+	f.follow(s)
 }
 
-func (f *fleet) follow(b *Store) Update {
-	return b.ApplyRead(f.list.after(b.Current().Revision), f.list.newest(), false)
+func (f *fleet) follow(s *Store) Update {
+	return s.ApplyRead(f.list.changesAfter(s.Current().Revision), f.list.newestRevision(), false)
 }
 
-// push has a reader watch, and tell those of the others that it reaches.
+// push makes a reader watch the list and send the update to the processes that it can
+// reach.
 func (f *fleet) push(t *rapid.T) {
-	b := f.pick(t, "reader")
-	news := f.follow(b)
-	for _, other := range f.books {
-		if other != b && rapid.Bool().Draw(t, "reached") {
-			_ = other.ApplyUpdate(carried(t, news)) // what it can't use it asks for later
+	s := f.pick(t, "reader")
+	update := f.follow(s)
+	for _, other := range f.stores {
+		if other != s && rapid.Bool().Draw(t, "reached") {
+			_ = other.ApplyUpdate(roundTrip(t, update)) // a rejected update is fetched later
 		}
 	}
 }
 
-// ofVersion are routes of which successive versions change, add and remove a few.
-func ofVersion(version int64) []magno.Route {
+// routesOfVersion returns routes of which a few are changed, added and removed from one
+// version to the next.
+func routesOfVersion(version int64) []magno.Route {
 	var list []magno.Route
 	for i := range int64(8) {
 		if (i+version)%5 != 0 {
@@ -159,9 +162,9 @@
 	return list
 }
 
-// carried is news as another process decodes them.
-func carried(t *rapid.T, n Update) (got Update) {
-	data, err := json.Marshal(n)
+// roundTrip returns an update as another process decodes it.
+func roundTrip(t *rapid.T, u Update) (got Update) {
+	data, err := json.Marshal(u)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -171,75 +174,75 @@
 	return got
 }
 
-// fetch has one process ask another for what it lacks.
+// fetch makes one process request what it lacks from another.
 func (f *fleet) fetch(t *rapid.T) {
 	from, to := f.pick(t, "from"), f.pick(t, "to")
-	if err := to.ApplyUpdate(carried(t, from.Since(to.Current().Revision))); err != nil {
-		t.Fatal(err) // an answer to what it asked
+	if err := to.ApplyUpdate(roundTrip(t, from.Since(to.Current().Revision))); err != nil {
+		t.Fatal(err) // a response to its own request is never rejected
 	}
 }
 
-// outage lasts for a while; workers cannot renew their entries in it, and some
-// of those that run out are written again after it.
+// outage simulates an outage of the list. Workers can't renew their entries in it; some
+// of those that expired are registered again later.
 func (f *fleet) outage(t *rapid.T) {
-	for _, b := range f.books {
-		b.RecordFailure()
+	for _, s := range f.stores {
+		s.RecordFailure()
 	}
-	f.pass(t)
-	state := f.list.asOf(f.list.newest())
+	f.advance(t)
+	state := f.list.stateAt(f.list.newestRevision())
 	for _, key := range slices.Sorted(maps.Keys(state)) {
 		if state[key].Replica != nil && rapid.Bool().Draw(t, "ran out") {
-			f.list.log = append(f.list.log, written{magno.Change{Key: key, Revision: f.list.newest() + 1, Deleted: true}, f.clock.Now()})
+			f.list.log = append(f.list.log, logEntry{magno.Change{Key: key, Revision: f.list.newestRevision() + 1, Deleted: true}, f.clock.Now()})
 		}
 	}
 }
 
-func (f *fleet) pass(t *rapid.T) {
+func (f *fleet) advance(t *rapid.T) {
 	f.clock.Advance(magno.Millis(rapid.IntRange(1, 2000).Draw(t, "time")))
-	for _, b := range f.books {
-		b.Tick()
+	for _, s := range f.stores {
+		s.Tick()
 	}
 }
 
-// check holds what each process believes against the truth.
+// check compares the state of each process with the model.
 func (f *fleet) check(t *rapid.T) {
 	now := f.clock.Now()
-	for i, b := range f.books {
-		snap := b.Current()
+	for i, s := range f.stores {
+		snap := s.Current()
 		if snap.Plan != nil {
-			if snap.Plan.Version < f.plans[i] {
-				t.Fatalf("process %d goes back from configuration %d to %d", i, f.plans[i], snap.Plan.Version)
+			if snap.Plan.Version < f.maxPlans[i] {
+				t.Fatalf("process %d went back from configuration %d to %d", i, f.maxPlans[i], snap.Plan.Version)
 			}
-			f.plans[i] = snap.Plan.Version
+			f.maxPlans[i] = snap.Plan.Version
 		}
-		for name, n := range f.pins[i] {
+		for name, n := range f.maxPins[i] {
 			if snap.Pins[name] < n {
-				t.Fatalf("process %d goes back from version %d of %s to %d", i, n, name, snap.Pins[name])
+				t.Fatalf("process %d went back from version %d of %s to %d", i, n, name, snap.Pins[name])
 			}
 		}
-		f.pins[i] = snap.Pins
-		truth := f.list.asOf(snap.Revision)
+		f.maxPins[i] = snap.Pins
+		truth := f.list.stateAt(snap.Revision)
 		for key, c := range truth {
-			if rec := b.items[key]; rec == nil || !says(&rec.change, &c) {
-				t.Fatalf("process %d states revision %d and lacks %s of %d", i, snap.Revision, key, c.Revision)
+			if rec := s.items[key]; rec == nil || !equalChanges(&rec.change, &c) {
+				t.Fatalf("process %d at revision %d lacks %s of revision %d", i, snap.Revision, key, c.Revision)
 			}
 		}
-		for key, rec := range b.items {
+		for key, rec := range s.items {
 			if _, there := truth[key]; !there && !rec.change.Deleted {
-				t.Fatalf("process %d states revision %d and has %s, which isn't there", i, snap.Revision, key)
+				t.Fatalf("process %d at revision %d has %s, which the list doesn't have", i, snap.Revision, key)
 			}
 		}
-		if b.confirmed > 0 && f.list.at(now-b.Age()) > snap.Revision {
-			t.Fatalf("process %d states that revision %d was the newest %d ms ago; it was %d", i, snap.Revision, b.Age(), f.list.at(now-b.Age()))
+		if s.confirmedAt > 0 && f.list.revisionBefore(now-s.Age()) > snap.Revision {
+			t.Fatalf("process %d reports that revision %d was the newest %d ms ago; it was %d", i, snap.Revision, s.Age(), f.list.revisionBefore(now-s.Age()))
 		}
 	}
 }
 
-// says tells whether two changes of an item have the same content.
-func says(a, b *magno.Change) bool {
+// equalChanges reports whether two changes of an item have the same content.
+func equalChanges(a, b *magno.Change) bool {
 	c := *a
 	c.Revision = b.Revision
-	if a.Plan != nil && b.Plan != nil { // routes have no order
+	if a.Plan != nil && b.Plan != nil { // the order of routes doesn't matter
 		p := *a.Plan
 		p.Routes = slices.SortedFunc(slices.Values(p.Routes), func(a, b magno.Route) int { return strings.Compare(a.Name, b.Name) })
 		c.Plan = &p
@@ -247,45 +250,45 @@
 	return reflect.DeepEqual(c, *b)
 }
 
-// Changes reach processes by their own reading, which may be old, by what peers
-// push, which may be lost, and by asking; in between the list fails and entries
-// run out. No process goes back to an older configuration or version, or states
-// a revision or an age that it doesn't have: the first serves callers by rules
-// that were replaced, the others keep it from asking for what it lacks. In the
-// end all believe what is true.
-func TestBeliefsAgainstTheList(t *testing.T) {
+// Changes reach processes by full reads, which may be outdated, by pushes from peers,
+// which may be lost, and by requests; in between, the list fails and entries expire. No
+// process may go back to an older configuration or version, or it would serve requests by
+// replaced rules. None may report a revision or an age that it doesn't have, or it would
+// never request what it lacks. In the end all processes must have the state of the list.
+func TestStateAgainstTheList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFleet()
 		t.Repeat(map[string]func(*rapid.T){
 			"write": f.write, "write more": f.write, "read": f.read, "push": f.push, "fetch": f.fetch,
-			"pass": f.pass, "outage": f.outage, "": f.check,
+			"pass": f.advance, "outage": f.outage, "": f.check,
 		})
 		f.settle(t)
 	})
 }
 
-// settle has all read, and compares them to the list once lapses are over.
+// settle makes all processes read the list, and compares them with it once all grace
+// periods are over.
 func (f *fleet) settle(t *rapid.T) {
-	for _, b := range f.books {
-		f.follow(b)
+	for _, s := range f.stores {
+		f.follow(s)
 	}
-	f.clock.Advance(2 * lapseGrace)
-	truth := f.list.asOf(f.list.newest())
-	for i, b := range f.books {
-		b.Tick()
-		got := b.Current().Replicas
+	f.clock.Advance(2 * expiryGrace)
+	truth := f.list.stateAt(f.list.newestRevision())
+	for i, s := range f.stores {
+		s.Tick()
+		got := s.Current().Replicas
 		for key, c := range truth {
 			r := c.Replica
 			if r == nil {
 				continue
 			}
 			if got[r.ID] == nil || got[r.ID].Leaving != r.Leaving || got[r.ID].Since != r.Since {
-				t.Fatalf("process %d has %v of %s, the list %v", i, got[r.ID], key, r)
+				t.Fatalf("process %d has %v for %s, the list has %v", i, got[r.ID], key, r)
 			}
 		}
 		for id := range got {
 			if truth["servers/"+id].Replica == nil {
-				t.Fatalf("process %d still uses %s, which is gone", i, id)
+				t.Fatalf("process %d still uses %s, which was deleted", i, id)
 			}
 		}
 	}
--- a/magno/view/news.go
+++ b/magno/view/news.go
@@ -2,35 +2,37 @@
 
 import "magnoliastall.example/magno"
 
-// Update are the changes of the list after Since and up to Revision, as one
-// process tells them to another.
+// Update holds the changes of the list after Since and up to Revision, as sent between
+// processes.
 type Update struct {
 	Changes  []magno.Change `json:"changes"`
 	Since    int64          `json:"since"`
 	Revision int64          `json:"rev"`
-	// Age is how long ago Revision was the list's newest.
+	// Age is the time since Revision was known to be the newest revision of the list.
 	Age magno.Millis `json:"age"`
-	// Full is true when Changes is all that the list had at Revision. What it
-	// lacks is gone, though no change tells so; Since then says nothing.
+	// Full means that Changes holds the whole list at Revision: an item that it doesn't
+	// hold was deleted, and Since has no meaning.
 	Full bool `json:"all,omitempty"`
-	// UnknownDeletions is where whoever tells this may not know of deletions; whoever
-	// hears it doesn't either.
+	// UnknownDeletions is the range of revisions in which the sender may have missed
+	// deletions. The receiver may then have missed them too.
 	UnknownDeletions RevisionRange `json:"blind,omitzero"`
 }
 
-// RevisionRange is the revisions after one and before another; Before is zero where there
-// are none.
+// RevisionRange holds the revisions between After and Before, both exclusive. Before is
+// zero if the range is empty.
 type RevisionRange struct {
 	After  int64 `json:"after,omitempty"`
 	Before int64 `json:"before,omitempty"`
 }
 
-func (s RevisionRange) holds(revision int64) bool { return s.After < revision && revision < s.Before }
+func (r RevisionRange) contains(revision int64) bool {
+	return r.After < revision && revision < r.Before
+}
 
-// add widens a span, or begins it.
-func (s *RevisionRange) add(after, before int64) {
-	if s.Before == 0 || after < s.After {
-		s.After = after
+// extend widens the range to include the given one.
+func (r *RevisionRange) extend(after, before int64) {
+	if r.Before == 0 || after < r.After {
+		r.After = after
 	}
-	s.Before = max(s.Before, before)
+	r.Before = max(r.Before, before)
 }
--- a/magno/view/tell.go
+++ b/magno/view/tell.go
@@ -10,14 +10,14 @@
 	"magnoliastall.example/magno/delta"
 )
 
-// ErrGap tells that news begin after what this process knows.
-var ErrGap = errors.New("the changes before these are unknown here")
-
-// telling leaves out of the list's changes what repeats, and what a later one of them
-// replaces. Of 10,000 upstreams that load an adapter every few seconds, the entries
-// alone would be 150 KB/s to each process; and of a storm of configurations each would
-// go to each process, where only the last is of use.
-func (b *Store) telling(changes []magno.Change) []magno.Change {
+// ErrGap means that an update starts after the last revision known to this process.
+var ErrGap = errors.New("the update starts after the last known revision")
+
+// changesToSend leaves out changes that repeat the known content or that a later change
+// supersedes. With 10,000 upstreams that load an adapter every few seconds, the repeated
+// entries alone would be 150 KB/s to each process. Of many configurations in a row, only
+// the last one is needed.
+func (s *Store) changesToSend(changes []magno.Change) []magno.Change {
 	last := map[string]int{}
 	changed := map[string]bool{}
 	for i := range changes {
@@ -25,30 +25,29 @@
 		if c.Fault == "" {
 			last[c.Key] = i
 		}
-		if !repeats(b.items[c.Key], c) {
+		if !sameContent(s.items[c.Key], c) {
 			changed[c.Key] = true
 		}
 	}
-	var told []magno.Change
+	var toSend []magno.Change
 	for i := range changes {
 		c := &changes[i]
-		if at, ok := last[c.Key]; !changed[c.Key] || (ok && i < at && replaces(&changes[at], c)) {
+		if at, ok := last[c.Key]; !changed[c.Key] || (ok && i < at && supersedes(&changes[at], c)) {
 			continue
 		}
-		told = append(told, *c)
+		toSend = append(toSend, *c)
 	}
-	return told
+	return toSend
 }
 
-// bases returns for each change the item that it replaces, as it is known here or as an
-// earlier one of the changes leaves it; its zero value where there is none. The caller
-// holds mu.
-func (b *Store) bases(changes []magno.Change) []magno.Change {
+// bases returns the item that each change replaces, either the stored one or that of an
+// earlier change in the list, or the zero value if there is none. The caller holds mu.
+func (s *Store) bases(changes []magno.Change) []magno.Change {
 	bases := make([]magno.Change, len(changes))
 	latest := map[string]*magno.Change{}
 	for i := range changes {
 		c := &changes[i]
-		switch rec := b.items[c.Key]; {
+		switch rec := s.items[c.Key]; {
 		case latest[c.Key] != nil:
 			bases[i] = *latest[c.Key]
 		case rec != nil:
@@ -59,30 +58,30 @@
 	return bases
 }
 
-// pack encodes the configurations among changes that others are to be told, each as its
-// difference from its base. It needs no lock: it takes a small machine tens of
-// milliseconds, for which requests would wait.
-func (b *Store) pack(told, bases []magno.Change) {
-	for i := range told {
-		if c := &told[i]; c.Plan != nil {
-			c.Packed = b.encode(delta.Diff(bases[i].Plan, bases[i].Revision, c.Plan))
+// encodePlans encodes each configuration among the changes as the difference from its
+// base. It runs without the lock, because it takes tens of milliseconds on a small
+// machine and would block requests.
+func (s *Store) encodePlans(changes, bases []magno.Change) {
+	for i := range changes {
+		if c := &changes[i]; c.Plan != nil {
+			c.Packed = s.encodeDelta(delta.Diff(bases[i].Plan, bases[i].Revision, c.Plan))
 		}
 	}
 }
 
-func (b *Store) encode(d *delta.Delta) []byte {
-	packed, err := d.Encode()
-	if err != nil && b.Log != nil {
-		b.Log.Error("configuration not encoded", "version", d.Rest.Version, "error", err)
+func (s *Store) encodeDelta(d *delta.Delta) []byte {
+	encoded, err := d.Encode()
+	if err != nil && s.Log != nil {
+		s.Log.Error("encoding of configuration failed", "version", d.Rest.Version, "error", err)
 	}
-	return packed
+	return encoded
 }
 
-// decode returns the configurations that news bring, nil for a change that brings none
-// or is known here. Like pack it needs no lock.
-func (b *Store) decode(changes []magno.Change) ([]*delta.Delta, error) {
-	known := b.Current().Revision
-	list := make([]*delta.Delta, len(changes))
+// decodePlans decodes the configurations of an update. The result is nil for changes that
+// have none or that are already known. Like encodePlans, it runs without the lock.
+func (s *Store) decodePlans(changes []magno.Change) ([]*delta.Delta, error) {
+	known := s.Current().Revision
+	deltas := make([]*delta.Delta, len(changes))
 	for i := range changes {
 		c := &changes[i]
 		if c.Packed == nil || c.Revision <= known {
@@ -92,23 +91,24 @@
 		if err != nil {
 			return nil, err
 		}
-		list[i] = d
+		deltas[i] = d
 	}
-	return list, nil
+	return deltas, nil
 }
 
-// unpack returns changes with the decoded configurations, applied to those known here. It
-// fails when one starts from another than this process has, or a change says nothing: its
-// configuration couldn't be encoded. The caller holds mu.
-func (b *Store) unpack(changes []magno.Change, decoded []*delta.Delta) ([]magno.Change, error) {
+// applyDeltas returns the changes with the decoded configurations, applied to the stored
+// ones. It fails if a delta has another base than the stored configuration, or if a
+// change is empty because the sender failed to encode its configuration. The caller holds
+// mu.
+func (s *Store) applyDeltas(changes []magno.Change, deltas []*delta.Delta) ([]magno.Change, error) {
 	changes = slices.Clone(changes)
 	for i := range changes {
 		c := &changes[i]
-		if c.Revision <= b.now.Revision {
+		if c.Revision <= s.current.Revision {
 			continue
 		}
-		if d := decoded[i]; d != nil {
-			base := b.bases(changes[:i+1])[i]
+		if d := deltas[i]; d != nil {
+			base := s.bases(changes[:i+1])[i]
 			plan, err := d.Apply(base.Plan, base.Revision)
 			if err != nil {
 				return nil, err
@@ -116,98 +116,99 @@
 			c.Plan, c.Packed = plan, nil
 		}
 		if c.Empty() {
-			return nil, errors.Newf("%s says nothing at revision %d", c.Key, c.Revision)
+			return nil, errors.Newf("change of %s at revision %d is empty", c.Key, c.Revision)
 		}
 	}
 	return changes, nil
 }
 
-// replaces tells whether a later change of the same key leaves nothing of c. One
-// that is faulty doesn't, nor does an older configuration.
-func replaces(later, c *magno.Change) bool {
+// supersedes reports whether a later change of the same key makes c irrelevant. An
+// invalid change doesn't, nor does a configuration with a lower version.
+func supersedes(later, c *magno.Change) bool {
 	if later.Plan != nil && c.Plan != nil {
 		return later.Plan.Version >= c.Plan.Version
 	}
 	return later.Fault == ""
 }
 
-// repeats tells whether a change says what all who know the list up to Revision
-// know already.
-func repeats(old *record, c *magno.Change) bool {
+// sameContent reports whether a change leaves its item as it is, apart from the revision.
+func sameContent(old *record, c *magno.Change) bool {
 	if old == nil {
 		return false
 	}
-	was := old.change
-	was.Revision = c.Revision
-	return reflect.DeepEqual(was, *c)
+	previous := old.change
+	previous.Revision = c.Revision
+	return reflect.DeepEqual(previous, *c)
 }
 
-// ApplyUpdate takes news of a peer. News that begin after what this process knows, or that
-// can't be decoded with it, are left and are an error; it then asks for all that it
-// lacks, and so never knows a later change without the ones before.
-func (b *Store) ApplyUpdate(n Update) error {
-	decoded, err := b.decode(n.Changes)
+// ApplyUpdate applies an update from a peer. It returns an error, and changes nothing, if
+// the update starts after the known revision or can't be decoded against the known state.
+// The caller then requests everything it lacks, so a later change is never stored without
+// the earlier ones.
+func (s *Store) ApplyUpdate(u Update) error {
+	deltas, err := s.decodePlans(u.Changes)
 	if err != nil {
 		return err
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.setup()
-	if !n.Full && n.Since > b.now.Revision {
-		return errors.Wrapf(ErrGap, "after %d, known up to %d", n.Since, b.now.Revision)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.setup()
+	if !u.Full && u.Since > s.current.Revision {
+		return errors.Wrapf(ErrGap, "update after revision %d, known up to %d", u.Since, s.current.Revision)
 	}
-	changes, err := b.unpack(n.Changes, decoded)
+	changes, err := s.applyDeltas(u.Changes, deltas)
 	if err != nil {
 		return err
 	}
-	n.Changes = changes
-	b.takeNews(n, b.Clock.Now()-n.Age)
+	u.Changes = changes
+	s.applyUpdateLocked(u, s.Clock.Now()-u.Age)
 	return nil
 }
 
-// Since returns the news after a revision: the newest change of each key, or
-// all that there is where this process doesn't know each deletion since then.
-func (b *Store) Since(revision int64) Update {
-	n := b.since(revision)
-	for i := range n.Changes {
-		if c := &n.Changes[i]; c.Plan != nil && c.Packed == nil {
-			c.Packed = b.encode(delta.Full(c.Plan))
-			b.keep(c)
+// Since returns an update with the newest change of each key after a revision. If this
+// process may have missed deletions since then, the update is full.
+func (s *Store) Since(revision int64) Update {
+	u := s.collectSince(revision)
+	for i := range u.Changes {
+		if c := &u.Changes[i]; c.Plan != nil && c.Packed == nil {
+			c.Packed = s.encodeDelta(delta.Full(c.Plan))
+			s.cacheEncoded(c)
 		}
 	}
-	return n
+	return u
 }
 
-// since is Since but for the encoding of a configuration that nobody asked for before.
-func (b *Store) since(revision int64) Update {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.setup()
-	n := Update{
-		Since: revision, Revision: b.now.Revision, Age: b.Clock.Now() - b.confirmed,
-		Full: b.blind.holds(revision), UnknownDeletions: b.blind,
-	}
-	if n.Full {
+// collectSince does the work of Since, except for encoding configurations that have no
+// cached encoding.
+func (s *Store) collectSince(revision int64) Update {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.setup()
+	u := Update{
+		Since: revision, Revision: s.current.Revision, Age: s.Clock.Now() - s.confirmedAt,
+		Full: s.unknownDeletions.contains(revision), UnknownDeletions: s.unknownDeletions,
+	}
+	if u.Full {
 		revision = 0
 	}
-	for _, rec := range b.items {
-		if n.Full && rec.change.Deleted {
-			continue // what a whole list lacks is gone
+	for _, rec := range s.items {
+		if u.Full && rec.change.Deleted {
+			continue // a full update implies deletions
 		}
 		if rec.change.Revision > revision {
 			c := rec.change
-			c.Packed = rec.packed
-			n.Changes = append(n.Changes, c)
+			c.Packed = rec.encodedPlan
+			u.Changes = append(u.Changes, c)
 		}
 	}
-	return n
+	return u
 }
 
-// keep notes an encoded configuration for the next process that asks.
-func (b *Store) keep(c *magno.Change) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if rec := b.items[c.Key]; rec != nil && rec.change.Revision == c.Revision {
-		rec.packed = c.Packed
+// cacheEncoded stores an encoded configuration for the next process that requests it.
+func (s *Store) cacheEncoded(c *magno.Change) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if rec := s.items[c.Key]; rec != nil && rec.change.Revision == c.Revision {
+		rec.encodedPlan = c.Packed
 	}
 }
--- a/magno/view/view.go
+++ b/magno/view/view.go
@@ -1,16 +1,16 @@
-// Package view keeps what the platform's list says, whoever brought it: this
-// process's own reading or a peer's.
+// Package view stores the last known state of the platform's list, whether it was read
+// from the list itself or received from a peer.
 //
-// Load pattern: a change every few minutes on a calm day, several a second
-// while upstreams are replaced, and after an outage everything at once, with
-// entries missing that are only late. Without one place that orders changes by
-// revision, a slow answer would bring back a configuration that was replaced,
-// or hide an upstream that came back.
+// Normally there is a change every few minutes. While upstreams are replaced there are
+// several per second, and after an outage of the list all entries change at once, some of
+// them missing only because they were renewed too late. Changes are ordered by revision.
+// Otherwise a delayed response could restore a replaced configuration or remove an
+// upstream that has returned.
 //
-// What is known is always what the list held at one revision: news that begin
-// after it are left, and asked for. So changes may come twice and in any order,
-// and two processes at one revision believe the same. The configuration's
-// version never falls within a process.
+// The stored state is always that of the list at one revision. Updates that start after
+// it are rejected, and the missing part is requested. So changes may arrive repeatedly
+// and in any order, and two processes at the same revision have the same state. The
+// version of the configuration never decreases within a process.
 package view
 
 import (
@@ -24,31 +24,31 @@
 )
 
 const (
-	// lapseGrace is how long an upstream whose entry vanished in an outage of
-	// the list is still used after the list came back: live ones are listed
-	// again within about two seconds.
-	lapseGrace = 2200 * magno.Millis(1)
-	// lapseLeast is how long an outage must last for entries to run out in it:
-	// they are renewed about each second and last for three of these times.
-	lapseLeast = 1500 * magno.Millis(1)
-	// graveLife is how long a deletion is remembered against older news of the
-	// key: longer than any answer or peer can be late.
-	graveLife = 5 * magno.Minute
+	// expiryGrace is how long an upstream whose entry expired during an outage of the
+	// list is still used after the list recovered. Live upstreams register again within
+	// about two seconds.
+	expiryGrace = 2200 * magno.Millis(1)
+	// minOutage is the shortest outage in which entries can expire: they are renewed
+	// about every second, and their time to live is three times this long.
+	minOutage = 1500 * magno.Millis(1)
+	// tombstoneTTL is how long a deletion is kept to reject older changes of its key. It
+	// is longer than any response or peer can be delayed.
+	tombstoneTTL = 5 * magno.Minute
 )
 
-// Snapshot is what is known at one time. It isn't changed once made.
+// Snapshot is an immutable copy of the state.
 type Snapshot struct {
-	// Plan is nil until the first configuration came.
+	// Plan is nil until the first configuration was received.
 	Plan *magno.Plan
-	// Replicas maps IDs to the upstreams that may be used or are leaving.
+	// Replicas maps IDs to upstreams that are in use or leaving.
 	Replicas map[string]*magno.Replica
-	// Pins maps MODEL/ADAPTER to the newest version that was declared.
+	// Pins maps MODEL/ADAPTER to the newest version declared for it.
 	Pins map[string]int64
-	// Revision is the list's; changes up to it are known.
+	// Revision is the revision of the list up to which all changes are included.
 	Revision int64
 }
 
-// Find returns the replica with that key, nil when there is none.
+// Find returns the replica with the given key, or nil.
 func (s *Snapshot) Find(key string) *magno.Replica {
 	id, _, _ := strings.Cut(key, "@")
 	if r := s.Replicas[id]; r != nil && r.Key() == key {
@@ -57,281 +57,288 @@
 	return nil
 }
 
-// Store takes changes. It is safe for concurrent use; exported fields are set
-// before.
+// Store holds the state and applies changes to it. It is safe for concurrent use;
+// exported fields are set before the first use.
 type Store struct {
 	Clock *magno.Clock
-	// OnChange is told of each change that took effect, in order. It may be nil
-	// and must not call the book.
+	// OnChange is called for each applied change, in order. It may be nil and must not
+	// call the store.
 	OnChange func(magno.Change)
-	// Log is told of configurations that can't be encoded. It may be nil.
+	// Log receives errors in encoding configurations. It may be nil.
 	Log *slog.Logger
 
 	mu    sync.Mutex
 	items map[string]*record
-	// newest maps an address to when the last entry there was made, also one
-	// that is gone again. There are as many as the platform has addresses.
-	newest map[string]int64
-	now    *Snapshot
-	// plan is the newest configuration; its version never falls.
+	// newestSince maps each address to the start time of the newest entry seen there,
+	// including deleted ones. Its size is limited by the number of addresses on the
+	// platform.
+	newestSince map[string]int64
+	current     *Snapshot
+	// plan is the configuration with the highest version received.
 	plan *magno.Plan
-	// confirmed is when Revision was known to be the list's newest.
-	confirmed magno.Millis
-	// vouched is the latest time at which the list is known to have held nothing newer
-	// than revision sure.
-	vouched magno.Millis
-	sure    int64
-	// blind is where deletions may be unknown here: those of items that were made
-	// after its start.
-	blind RevisionRange
-	// failing is true from a failed read to the next good one; back is when
-	// that came.
-	failing bool
-	back    magno.Millis
-	watch   chan struct{}
+	// confirmedAt is the latest time at which the current revision was known to be the
+	// newest of the list.
+	confirmedAt magno.Millis
+	// freshAt is the latest time for which it is proven that the list had no revision
+	// newer than freshRevision.
+	freshAt       magno.Millis
+	freshRevision int64
+	// unknownDeletions is the range of revisions in which this process may have missed
+	// deletions. Only items created after the start of the range are affected.
+	unknownDeletions RevisionRange
+	// failing is true between a failed read and the next successful one; recoveredAt is
+	// the time of that successful read if the outage lasted longer than minOutage.
+	failing     bool
+	recoveredAt magno.Millis
+	changed     chan struct{}
 }
 
 type record struct {
 	change magno.Change
-	// until is when a deletion takes effect that may only be a lapse; zero
-	// when it has.
-	until magno.Millis
-	// last is the upstream as it was before such a deletion.
-	last *magno.Replica
-	at   magno.Millis
-	// packed is a whole configuration as other processes are told of it, nil until
-	// one asked.
-	packed []byte
+	// effectiveAt is when a deletion takes effect that may be an expiry during an outage.
+	// It is zero for other deletions, and once the deletion took effect.
+	effectiveAt magno.Millis
+	// previous is the upstream before such a deletion.
+	previous  *magno.Replica
+	appliedAt magno.Millis
+	// encodedPlan caches the full encoding of the configuration; nil until a process
+	// requested it.
+	encodedPlan []byte
 }
 
-// Current returns what is known.
-func (b *Store) Current() *Snapshot {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.setup()
-	return b.now
+// Current returns the latest snapshot.
+func (s *Store) Current() *Snapshot {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.setup()
+	return s.current
 }
 
-// Changed returns a channel that is closed at the next change.
-func (b *Store) Changed() <-chan struct{} {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.setup()
-	return b.watch
+// Changed returns a channel that is closed on the next change.
+func (s *Store) Changed() <-chan struct{} {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.setup()
+	return s.changed
 }
 
-// Age is how long ago what is known was the newest.
-func (b *Store) Age() magno.Millis {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.Clock.Now() - b.confirmed
+// Age returns the time since the state was last known to be the newest.
+func (s *Store) Age() magno.Millis {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.Clock.Now() - s.confirmedAt
 }
 
-// RecordFreshness notes that at a time the list's newest revision was no higher than the given
-// one. It says nothing to a process that doesn't know all changes up to that.
-func (b *Store) RecordFreshness(revision int64, at magno.Millis) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.setup()
-	if revision <= b.now.Revision && at <= b.Clock.Now() && at > b.vouched {
-		b.vouched, b.sure = at, revision
+// RecordFreshness records that the newest revision of the list was no higher than the
+// given one at the given time. It is ignored if this process doesn't know all changes up
+// to that revision.
+func (s *Store) RecordFreshness(revision int64, at magno.Millis) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.setup()
+	if revision <= s.current.Revision && at <= s.Clock.Now() && at > s.freshAt {
+		s.freshAt, s.freshRevision = at, revision
 	}
 }
 
-// FreshAt is the latest time at which the list is known to have held nothing newer
-// than a revision, which this process knows; zero when there is none. Unlike Age it
-// rests on no message whose way may have taken long.
-func (b *Store) FreshAt() (at magno.Millis, revision int64) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.vouched, b.sure
+// FreshAt returns the latest time for which it is proven that the list had no revision
+// newer than the returned one, which this process knows; zero if there is no such time.
+// Unlike Age, it doesn't depend on messages that may have been delayed.
+func (s *Store) FreshAt() (at magno.Millis, revision int64) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.freshAt, s.freshRevision
 }
 
-// Staleness is how long ago that was.
-func (b *Store) Staleness() magno.Millis {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.Clock.Now() - b.vouched
+// Staleness returns the time since FreshAt, an upper bound for the age of the state.
+func (s *Store) Staleness() magno.Millis {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.Clock.Now() - s.freshAt
 }
 
-func (b *Store) setup() {
-	if b.items == nil {
-		b.items, b.newest = map[string]*record{}, map[string]int64{}
-		b.watch = make(chan struct{})
-		b.now = &Snapshot{Replicas: map[string]*magno.Replica{}, Pins: map[string]int64{}}
+func (s *Store) setup() {
+	if s.items == nil {
+		s.items, s.newestSince = map[string]*record{}, map[string]int64{}
+		s.changed = make(chan struct{})
+		s.current = &Snapshot{Replicas: map[string]*magno.Replica{}, Pins: map[string]int64{}}
 	}
 }
 
-// RecordFailure notes that the list could not be read.
-func (b *Store) RecordFailure() {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.failing = true
+// RecordFailure records that reading the list failed.
+func (s *Store) RecordFailure() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.failing = true
 }
 
-// ApplyRead notes a good answer of the list: changes up to revision. With all set
-// they are the whole list, and what it lacks was deleted; such an answer may be
-// seconds old, so it confirms nothing but the first time. ApplyRead returns what
-// others are to be told; of a whole list that is only the revision, as each
-// process reads one when it starts.
-func (b *Store) ApplyRead(changes []magno.Change, revision int64, all bool) Update {
-	news, bases := b.read(changes, revision, all)
-	b.pack(news.Changes, bases)
-	return news
+// ApplyRead applies a successful read of the list with the changes up to revision. With
+// full set, changes is the whole list and items that are not in it were deleted. A full
+// read may be seconds old, so only the first one counts as a confirmation of the current
+// revision. ApplyRead returns the update for the other processes; for a full read it has
+// only the revision, because each process makes a full read when it starts.
+func (s *Store) ApplyRead(changes []magno.Change, revision int64, full bool) Update {
+	update, bases := s.applyRead(changes, revision, full)
+	s.encodePlans(update.Changes, bases)
+	return update
 }
 
-// read is Read but for the encoding of configurations, whose bases it returns.
-func (b *Store) read(changes []magno.Change, revision int64, all bool) (Update, []magno.Change) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.setup()
-	now := b.Clock.Now()
-	if b.failing {
-		b.failing = false
-		if now-b.confirmed > lapseLeast {
-			b.back = now
+// applyRead does the work of ApplyRead except for encoding configurations, whose bases it
+// returns.
+func (s *Store) applyRead(changes []magno.Change, revision int64, full bool) (Update, []magno.Change) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.setup()
+	now := s.Clock.Now()
+	if s.failing {
+		s.failing = false
+		if now-s.confirmedAt > minOutage {
+			s.recoveredAt = now
 		}
 	}
-	if all {
-		confirmed := b.confirmed
+	if full {
+		confirmed := s.confirmedAt
 		if confirmed == 0 {
 			confirmed = now
 		}
-		b.takeNews(Update{Changes: changes, Revision: revision, Full: true}, confirmed)
-		return Update{Since: revision, Revision: revision, Age: now - b.confirmed}, nil
+		s.applyUpdateLocked(Update{Changes: changes, Revision: revision, Full: true}, confirmed)
+		return Update{Since: revision, Revision: revision, Age: now - s.confirmedAt}, nil
 	}
-	told := b.telling(changes)
-	bases := b.bases(told)
-	news := Update{Changes: told, Since: b.now.Revision, Revision: revision}
-	b.takeNews(news, now)
-	return news, bases
+	toSend := s.changesToSend(changes)
+	bases := s.bases(toSend)
+	update := Update{Changes: toSend, Since: s.current.Revision, Revision: revision}
+	s.applyUpdateLocked(update, now)
+	return update, bases
 }
 
-// takeNews applies news. A whole list tells nothing of what came and went before
-// it, so this process can't tell others of that either. The caller holds mu.
-func (b *Store) takeNews(n Update, confirmed magno.Millis) {
-	changes := n.Changes
-	if n.Full {
-		changes = append(slices.Clip(changes), b.missing(changes, n.Revision)...)
-		n.UnknownDeletions.add(b.now.Revision, n.Revision)
+// applyUpdateLocked applies an update. A full one doesn't show which items were created
+// and deleted before it, so this process can't report those deletions to others either.
+// The caller holds mu.
+func (s *Store) applyUpdateLocked(u Update, confirmed magno.Millis) {
+	changes := u.Changes
+	if u.Full {
+		changes = append(slices.Clip(changes), s.impliedDeletions(changes, u.Revision)...)
+		u.UnknownDeletions.extend(s.current.Revision, u.Revision)
 	}
-	if n.UnknownDeletions.Before > b.now.Revision {
-		b.blind.add(n.UnknownDeletions.After, n.UnknownDeletions.Before)
+	if u.UnknownDeletions.Before > s.current.Revision {
+		s.unknownDeletions.extend(u.UnknownDeletions.After, u.UnknownDeletions.Before)
 	}
-	b.take(changes, n.Revision, confirmed)
+	s.applyChanges(changes, u.Revision, confirmed)
 }
 
-// missing makes deletions of what a whole list lacks. What is known to be
-// newer than the list, which may be old, stays.
-func (b *Store) missing(changes []magno.Change, revision int64) []magno.Change {
-	there := make(map[string]bool, len(changes))
+// impliedDeletions returns deletions for the stored items that a full list doesn't have.
+// Items newer than the list, which may be outdated, are kept.
+func (s *Store) impliedDeletions(changes []magno.Change, revision int64) []magno.Change {
+	present := make(map[string]bool, len(changes))
 	for i := range changes {
-		there[changes[i].Key] = true
+		present[changes[i].Key] = true
 	}
-	var gone []magno.Change
-	for key, rec := range b.items {
-		if !there[key] && !rec.change.Deleted && rec.change.Revision <= revision {
-			gone = append(gone, magno.Change{Key: key, Revision: revision, Deleted: true})
+	var deletions []magno.Change
+	for key, rec := range s.items {
+		if !present[key] && !rec.change.Deleted && rec.change.Revision <= revision {
+			deletions = append(deletions, magno.Change{Key: key, Revision: revision, Deleted: true})
 		}
 	}
-	return gone
+	return deletions
 }
 
-// take applies changes. The caller holds mu.
-func (b *Store) take(changes []magno.Change, revision int64, confirmed magno.Millis) {
+// applyChanges applies changes and publishes a new snapshot if needed. The caller holds
+// mu.
+func (s *Store) applyChanges(changes []magno.Change, revision int64, confirmed magno.Millis) {
 	changed := false
 	for i := range changes {
-		changed = b.apply(&changes[i]) || changed
+		changed = s.applyChange(&changes[i]) || changed
 	}
-	b.confirmed = max(b.confirmed, confirmed)
-	if revision > b.now.Revision || changed {
-		b.publish(max(revision, b.now.Revision), changed)
+	s.confirmedAt = max(s.confirmedAt, confirmed)
+	if revision > s.current.Revision || changed {
+		s.publish(max(revision, s.current.Revision), changed)
 	}
 }
 
-func (b *Store) apply(c *magno.Change) bool {
-	if c.Revision <= b.now.Revision {
-		// All that the list had at Revision is here. What an older answer tells
-		// beyond that is gone since, and would come back for good.
+func (s *Store) applyChange(c *magno.Change) bool {
+	if c.Revision <= s.current.Revision {
+		// The state is complete up to the current revision. Any other item in an older
+		// response has been deleted since, and would never be removed if it were added
+		// here.
 		return false
 	}
-	old, now := b.items[c.Key], b.Clock.Now()
-	rec := &record{change: *c, at: now}
+	old, now := s.items[c.Key], s.Clock.Now()
+	rec := &record{change: *c, appliedAt: now}
 	rec.change.Packed = nil
 	if c.Deleted && old != nil {
-		b.lapse(rec, old, now)
+		s.delayDeletion(rec, old, now)
 	}
-	b.items[c.Key] = rec
+	s.items[c.Key] = rec
 	if r := c.Replica; r != nil {
-		b.newest[r.Address] = max(b.newest[r.Address], r.Since)
+		s.newestSince[r.Address] = max(s.newestSince[r.Address], r.Since)
 	}
-	if c.Plan != nil && (b.plan == nil || c.Plan.Version > b.plan.Version) {
-		b.plan = c.Plan
+	if c.Plan != nil && (s.plan == nil || c.Plan.Version > s.plan.Version) {
+		s.plan = c.Plan
 	}
-	if b.OnChange != nil {
-		b.OnChange(*c)
+	if s.OnChange != nil {
+		s.OnChange(*c)
 	}
 	return true
 }
 
-// lapse keeps an upstream that vanished with an outage for a while: its entry
-// may have run out only because nobody could renew it, and taking all such
-// upstreams as gone would refuse every request.
-func (b *Store) lapse(rec, old *record, now magno.Millis) {
-	last := old.change.Replica
-	if last == nil || last.Leaving {
+// delayDeletion keeps an upstream in use for a while if its entry was deleted right after
+// an outage: the entry may have expired only because it couldn't be renewed, and removing
+// all such upstreams would make every request fail.
+func (s *Store) delayDeletion(rec, old *record, now magno.Millis) {
+	previous := old.change.Replica
+	if previous == nil || previous.Leaving {
 		return
 	}
-	if end := b.back + lapseGrace; b.back > 0 && now < end {
-		rec.until, rec.last = end, last
+	if end := s.recoveredAt + expiryGrace; s.recoveredAt > 0 && now < end {
+		rec.effectiveAt, rec.previous = end, previous
 	}
 }
 
-// Tick lets deletions take effect that turned out to be no lapse, and forgets
-// old ones. It is called every few hundred milliseconds.
-func (b *Store) Tick() {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.setup()
-	now, changed := b.Clock.Now(), false
-	for key, rec := range b.items {
-		if rec.until > 0 && now >= rec.until {
-			rec.until, rec.last = 0, nil
+// Tick applies delayed deletions that are due and removes old tombstones. It is called
+// every few hundred milliseconds.
+func (s *Store) Tick() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.setup()
+	now, changed := s.Clock.Now(), false
+	for key, rec := range s.items {
+		if rec.effectiveAt > 0 && now >= rec.effectiveAt {
+			rec.effectiveAt, rec.previous = 0, nil
 			changed = true
 		}
-		if rec.change.Deleted && rec.until == 0 && now-rec.at > graveLife {
-			delete(b.items, key)
-			b.blind.add(0, rec.change.Revision)
+		if rec.change.Deleted && rec.effectiveAt == 0 && now-rec.appliedAt > tombstoneTTL {
+			delete(s.items, key)
+			s.unknownDeletions.extend(0, rec.change.Revision)
 		}
 	}
 	if changed {
-		b.publish(b.now.Revision, true)
+		s.publish(s.current.Revision, true)
 	}
 }
 
-// publish makes the next snapshot. The caller holds mu.
-func (b *Store) publish(revision int64, changed bool) {
-	next := &Snapshot{Plan: b.plan, Revision: revision, Replicas: b.now.Replicas, Pins: b.now.Pins}
+// publish creates the next snapshot. The caller holds mu.
+func (s *Store) publish(revision int64, changed bool) {
+	next := &Snapshot{Plan: s.plan, Revision: revision, Replicas: s.current.Replicas, Pins: s.current.Pins}
 	if changed {
-		next.Replicas, next.Pins = b.collect()
+		next.Replicas, next.Pins = s.collect()
 	}
-	b.now = next
+	s.current = next
 	if changed {
-		close(b.watch)
-		b.watch = make(chan struct{})
+		close(s.changed)
+		s.changed = make(chan struct{})
 	}
 }
 
-func (b *Store) collect() (map[string]*magno.Replica, map[string]int64) {
-	replicas, pins := map[string]*magno.Replica{}, maps.Clone(b.now.Pins)
-	for _, rec := range b.items {
+func (s *Store) collect() (map[string]*magno.Replica, map[string]int64) {
+	replicas, pins := map[string]*magno.Replica{}, maps.Clone(s.current.Pins)
+	for _, rec := range s.items {
 		r := rec.change.Replica
 		if r == nil {
-			r = rec.last
+			r = rec.previous
 		}
-		// The entry of an upstream that crashed stands for some seconds beside
-		// that of its successor at the same address.
-		if r != nil && r.Since >= b.newest[r.Address] {
+		// The entry of a crashed upstream remains for some seconds beside that of its
+		// successor at the same address.
+		if r != nil && r.Since >= s.newestSince[r.Address] {
 			replicas[r.ID] = r
 		}
 		if p := rec.change.Pin; p != nil {
@@ -339,8 +346,8 @@
 			pins[name] = max(pins[name], p.Number)
 		}
 	}
-	if maps.Equal(pins, b.now.Pins) {
-		pins = b.now.Pins // whoever compares what all agents are told sees at once that it is the same
+	if maps.Equal(pins, s.current.Pins) {
+		pins = s.current.Pins // the same map, so that comparing what each agent was sent is cheap
 	}
 	return replicas, pins
 }
