--- a/magno/check/check.go
+++ b/magno/check/check.go
@@ -1,14 +1,14 @@
-// Package check says whether a version of the configuration is sound, and
-// where not. Daemons and the operators' command use the same code, so that
-// what passes before it is published is what the fleet accepts.
+// Package check validates versions of the configuration and locates faults in them.
+// Daemons and the operators' command use the same code, so that a version that passes
+// before it is published is accepted by the fleet.
 //
-//	shards --> Parse --> Join --> whole version --> Whole   --> faults
-//	changed records --------------------------> Records --> faults
+//	shards --> Parse --> Join --> full version --> Validate       --> faults
+//	changed records -----------------------------> ValidateChange --> faults
 //
-// The load is 54,000 changes a day over 130,000 adapters and as many profiles.
-// Checking everything for each change would take a few per cent of a core on
-// each daemon, so Records checks only what changed, and reads all profiles
-// only when something that they may name has gone.
+// There are 54,000 changes a day over 130,000 adapters and as many profiles. Validating
+// everything for each change would take a few per cent of a core on each daemon. So
+// ValidateChange checks only what changed, and reads all profiles only if something that
+// they may refer to was removed.
 package check
 
 import (
@@ -20,18 +20,17 @@
 
 // Limits of a version.
 const (
-	// MaxShardBytes is the largest value that the platform holds, in bytes.
+	// MaxShardBytes is the largest value that the platform stores.
 	MaxShardBytes = 1 << 20
-	// MaxFaults is how many faults are told at once.
-	MaxFaults = 20
-	// maxName is in bytes.
-	maxName = 128
-	// maxRecords bounds each list, ten times the size planned for.
+	// MaxFaults is the largest number of faults reported at once.
+	MaxFaults    = 20
+	maxNameBytes = 128
+	// maxRecords limits each list. It is ten times the planned size.
 	maxRecords = 1_300_000
 	maxWeight  = 1e6
 	maxRate    = 1e12
 	maxUrgency = 9
-	// maxDeadline is the longest default deadline.
+	// maxDeadline limits the default deadline of a profile.
 	maxDeadline = 24 * magno.Hour
 )
 
@@ -41,7 +40,7 @@
 	Text []byte
 }
 
-// View is what records are checked against: the version as it would be.
+// View gives access to the version that a change leads to.
 type View interface {
 	Customer(name string) (magno.Customer, bool)
 	Pool(name string) (magno.Pool, bool)
@@ -51,33 +50,34 @@
 	EachProfile(visit func(magno.Profile) bool)
 }
 
-// Checker checks versions against the one in force.
+// Checker validates versions against the active one.
 type Checker struct {
-	// Past returns the time before which an ended roster may be dropped, in
-	// milliseconds; nil means that none may.
+	// RosterCutoff returns the time before which an ended roster may be removed, in
+	// milliseconds. If nil, no roster may be removed.
 	RosterCutoff func() magno.Millis
 }
 
-// New returns the checker that daemons and magctl use: a roster may be dropped
-// once all of its keys are stale.
+// New returns the checker that daemons and magctl use: a roster may be removed once all
+// keys issued under it have expired.
 func New(clock *magno.Clock) *Checker {
 	return &Checker{RosterCutoff: func() magno.Millis { return clock.Now() - magno.KeyRetention }}
 }
 
-// fault is a Fault that has no place yet.
+// fault is a setup.Fault without a location.
 type fault struct {
-	// list is the JSON key of the list, name the record's, field its key.
+	// list is the JSON key of the list, name the record's name and field the JSON key of
+	// the field.
 	list, name, field string
-	// nth is which record of that name is meant, from 0.
-	nth  int
-	what string
+	// nth selects one of several records with that name, starting at 0.
+	nth     int
+	message string
 }
 
-// Parse reads one shard. The fault names shard, line and key.
+// Parse decodes one shard. A fault has the name of the shard, the line and the key.
 func (c *Checker) Parse(s Shard) (magno.Config, *setup.Fault) {
 	if len(s.Text) > MaxShardBytes {
 		return magno.Config{}, &setup.Fault{File: s.Name, Line: 1, Key: "shard",
-			What: fmt.Sprintf("%d bytes are over the limit of %d", len(s.Text), MaxShardBytes)}
+			What: fmt.Sprintf("%d bytes exceed the limit of %d", len(s.Text), MaxShardBytes)}
 	}
 	var cfg magno.Config
 	if err := setup.Parse(s.Name, s.Text, &cfg); err != nil {
@@ -85,12 +85,12 @@
 	}
 	if cfg.Version != 0 {
 		return magno.Config{}, &setup.Fault{File: s.Name, Line: lineOf(s, "version"), Key: "version",
-			What: "stands in the index, not in a shard"}
+			What: "belongs in the index, not in a shard"}
 	}
 	return cfg, nil
 }
 
-// Join parses shards and joins them to one version without further checks.
+// Join parses shards and joins them into one version without further checks.
 func (c *Checker) Join(version int64, shards []Shard) (*magno.Config, []*setup.Fault) {
 	all := &magno.Config{Version: version}
 	var faults []*setup.Fault
@@ -115,98 +115,98 @@
 	all.Rosters = append(all.Rosters, part.Rosters...)
 }
 
-// Whole checks a version that Join made. shards serve to place the faults;
-// old are the rosters in force.
+// Validate checks a version that Join returned. shards are used to locate faults; old are
+// the active rosters.
 func (c *Checker) Validate(cfg *magno.Config, shards []Shard, old []magno.Roster) []*setup.Fault {
 	var found []fault
 	if cfg.Version <= 0 {
-		found = append(found, fault{list: "version", what: "must be over zero"})
+		found = append(found, fault{list: "version", message: "must be greater than zero"})
 	}
-	found = append(found, sizes(cfg)...)
-	found = append(found, doubles(cfg)...)
-	found = append(found, sharedKeys(cfg)...)
-	found = append(found, records(cfg, newTable(cfg))...)
-	found = append(found, c.follows(old, cfg.Rosters)...)
-	return place(shards, found)
-}
-
-// Records checks changed records against view, the version that they would
-// give, where before is the one in force. gone lists what the change takes away;
-// a profile left behind may still name it.
-func (c *Checker) ValidateChange(set *magno.Config, gone Removed, view, before View, shards []Shard) []*setup.Fault {
-	found := append(doubles(set), records(set, view)...)
-	if set.Rosters != nil || gone.Rosters {
-		found = append(found, c.follows(before.Rosters(), set.Rosters)...)
+	found = append(found, checkSizes(cfg)...)
+	found = append(found, duplicateNames(cfg)...)
+	found = append(found, duplicateKeys(cfg)...)
+	found = append(found, checkRecords(cfg, newConfigView(cfg))...)
+	found = append(found, c.checkRosters(old, cfg.Rosters)...)
+	return locate(shards, found)
+}
+
+// ValidateChange checks changed records. view is the version that they lead to and before
+// the active one. removed lists the removed records, which unchanged profiles may still
+// refer to.
+func (c *Checker) ValidateChange(set *magno.Config, removed Removed, view, before View, shards []Shard) []*setup.Fault {
+	found := append(duplicateNames(set), checkRecords(set, view)...)
+	if set.Rosters != nil || removed.Rosters {
+		found = append(found, c.checkRosters(before.Rosters(), set.Rosters)...)
 	}
-	if lost := newLost(set, gone, before); lost.any() {
-		found = append(found, orphans(lost, view)...)
+	if targets := newRemovedTargets(set, removed, before); targets.notEmpty() {
+		found = append(found, danglingProfiles(targets, view)...)
 	}
-	return place(shards, found)
+	return locate(shards, found)
 }
 
-// Group checks some records of view alone, where nothing has gone: a version
-// that came group by group is checked without unpacking it as a whole.
+// ValidateBucket checks some records of view, without removed ones. A version received
+// bucket by bucket is validated with it without unpacking the whole version.
 func (c *Checker) ValidateBucket(set *magno.Config, view View, shards []Shard) []*setup.Fault {
-	found := records(set, view)
+	found := checkRecords(set, view)
 	if set.Rosters != nil {
-		found = append(found, c.follows(nil, set.Rosters)...)
+		found = append(found, c.checkRosters(nil, set.Rosters)...)
 	}
-	return place(shards, found)
+	return locate(shards, found)
 }
 
-// Gone names records that a change takes away.
+// Removed lists the records that a change removes.
 type Removed struct {
 	Customers []string `json:"customers,omitempty"`
 	Pools     []string `json:"pools,omitempty"`
 	Adapters  []string `json:"adapters,omitempty"`
 	Profiles  []string `json:"profiles,omitempty"`
 	Drained   []string `json:"drained,omitempty"`
-	// Rosters is true when the list of rosters became empty.
+	// Rosters is true if the list of rosters became empty.
 	Rosters bool `json:"rosters,omitempty"`
 }
 
-// table is a View of a plain configuration.
-type table struct {
+// configView is a View of a plain configuration.
+type configView struct {
 	cfg       *magno.Config
 	customers map[string]int
 	pools     map[string]int
 	adapters  map[string]int
 }
 
-func newTable(cfg *magno.Config) *table {
-	t := &table{cfg: cfg, customers: map[string]int{}, pools: map[string]int{},
+func newConfigView(cfg *magno.Config) *configView {
+	v := &configView{cfg: cfg, customers: map[string]int{}, pools: map[string]int{},
 		adapters: make(map[string]int, len(cfg.Adapters))}
 	for i := range cfg.Customers {
-		t.customers[cfg.Customers[i].Name] = i
+		v.customers[cfg.Customers[i].Name] = i
 	}
 	for i := range cfg.Pools {
-		t.pools[cfg.Pools[i].Name] = i
+		v.pools[cfg.Pools[i].Name] = i
 	}
 	for i := range cfg.Adapters {
-		t.adapters[cfg.Adapters[i].Name] = i
+		v.adapters[cfg.Adapters[i].Name] = i
 	}
-	return t
+	return v
 }
 
-// Customer finds a customer by name.
-func (t *table) Customer(name string) (magno.Customer, bool) {
-	return find(t.cfg.Customers, t.customers, name)
+// Customer returns a customer by name.
+func (v *configView) Customer(name string) (magno.Customer, bool) {
+	return find(v.cfg.Customers, v.customers, name)
 }
 
-// Pool finds a pool by name.
-func (t *table) Pool(name string) (magno.Pool, bool) { return find(t.cfg.Pools, t.pools, name) }
+// Pool returns a pool by name.
+func (v *configView) Pool(name string) (magno.Pool, bool) { return find(v.cfg.Pools, v.pools, name) }
 
-// Adapter finds an adapter by name.
-func (t *table) Adapter(name string) (magno.Adapter, bool) {
-	return find(t.cfg.Adapters, t.adapters, name)
+// Adapter returns an adapter by name.
+func (v *configView) Adapter(name string) (magno.Adapter, bool) {
+	return find(v.cfg.Adapters, v.adapters, name)
 }
 
-// Rosters lists the rosters.
-func (t *table) Rosters() []magno.Roster { return t.cfg.Rosters }
+// Rosters returns the rosters.
+func (v *configView) Rosters() []magno.Roster { return v.cfg.Rosters }
 
-// EachProfile visits every profile.
-func (t *table) EachProfile(visit func(magno.Profile) bool) {
-	for _, p := range t.cfg.Profiles {
+// EachProfile calls visit for each profile until it returns false.
+func (v *configView) EachProfile(visit func(magno.Profile) bool) {
+	for _, p := range v.cfg.Profiles {
 		if !visit(p) {
 			return
 		}
--- a/magno/check/check_test.go
+++ b/magno/check/check_test.go
@@ -9,7 +9,7 @@
 	"magnoliastall.example/magno/setup"
 )
 
-const base = `{
+const baseShard = `{
   // Customers of the group.
   "customers": [{"name": "delta", "weight": 2}],
   "pools": [
@@ -18,7 +18,7 @@
   ]
 }`
 
-const work = `{
+const workShard = `{
   "adapters": [
     {"name": "a", "base": "llama",
      "versions": ["v2"], "retired": ["v1"]},
@@ -32,17 +32,17 @@
 }`
 
 func shards(edit ...string) []Shard {
-	text := work
+	text := workShard
 	for i := 0; i+1 < len(edit); i += 2 {
 		if !strings.Contains(text, edit[i]) {
 			panic("no such text: " + edit[i])
 		}
 		text = strings.Replace(text, edit[i], edit[i+1], 1)
 	}
-	return []Shard{{"base", []byte(base)}, {"work", []byte(text)}}
+	return []Shard{{"base", []byte(baseShard)}, {"work", []byte(text)}}
 }
 
-func whole(c *Checker, s []Shard) []*setup.Fault {
+func validate(c *Checker, s []Shard) []*setup.Fault {
 	cfg, faults := c.Join(1, s)
 	if len(faults) > 0 {
 		return faults
@@ -50,11 +50,10 @@
 	return c.Validate(cfg, s, nil)
 }
 
-// An operator publishes a version with a fault in it. Were it put in force,
-// requests would fail or run on the wrong adapter; the operator needs the
-// shard, line and key to mend it.
+// Guards against activating an invalid version, with which requests fail or run on the
+// wrong adapter. The operator needs shard, line and key of the fault to correct it.
 func TestFaultsArePlaced(t *testing.T) {
-	if faults := whole(&Checker{}, shards()); len(faults) > 0 {
+	if faults := validate(&Checker{}, shards()); len(faults) > 0 {
 		t.Fatal(faults[0])
 	}
 	tests := []struct {
@@ -79,9 +78,9 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			faults := whole(&Checker{}, shards(tt.old, tt.new))
+			faults := validate(&Checker{}, shards(tt.old, tt.new))
 			if len(faults) == 0 {
-				t.Fatal("taken")
+				t.Fatal("no fault found")
 			}
 			f := faults[0]
 			if f.File != "work" || f.Line != tt.line || f.Key != tt.key {
@@ -91,48 +90,48 @@
 	}
 }
 
-// A change removes an adapter, or retires its version, that a profile in
-// another shard still names. Only changed records are checked, so this must
-// be found from the other end.
-func TestRecordsFindOrphans(t *testing.T) {
+// A change removes an adapter, or retires a version of it, that a profile in another
+// shard still refers to. Only changed records are validated, so the reference must be
+// found from the removed record.
+func TestValidateChangeFindsDanglingProfiles(t *testing.T) {
 	c := &Checker{}
 	cfg, _ := c.Join(1, shards())
 	without := *cfg
 	without.Adapters = nil
-	faults := c.ValidateChange(&magno.Config{}, Removed{Adapters: []string{"a"}}, newTable(&without), newTable(cfg), nil)
+	faults := c.ValidateChange(&magno.Config{}, Removed{Adapters: []string{"a"}}, newConfigView(&without), newConfigView(cfg), nil)
 	if len(faults) != 1 || faults[0].Key != "profiles[p].adapter" {
 		t.Fatalf("got %v", faults)
 	}
 	retired := *cfg
 	retired.Adapters = []magno.Adapter{{Name: "a", Base: "llama", Versions: []string{"v3"}, Retired: []string{"v2"}}}
 	set := &magno.Config{Adapters: retired.Adapters}
-	if faults = c.ValidateChange(set, Removed{}, newTable(&retired), newTable(cfg), nil); len(faults) != 1 {
+	if faults = c.ValidateChange(set, Removed{}, newConfigView(&retired), newConfigView(cfg), nil); len(faults) != 1 {
 		t.Fatalf("got %v", faults)
 	}
-	if faults = c.ValidateChange(&magno.Config{Adapters: cfg.Adapters}, Removed{}, newTable(cfg), newTable(cfg), nil); len(faults) != 0 {
+	if faults = c.ValidateChange(&magno.Config{Adapters: cfg.Adapters}, Removed{}, newConfigView(cfg), newConfigView(cfg), nil); len(faults) != 0 {
 		t.Fatalf("got %v", faults)
 	}
 }
 
-// A new version gives keys that were issued before other witnesses: they might
-// be granted twice, and a receipt counted twice. It is refused, whether it
-// comes whole or as a change.
-func TestRostersFollow(t *testing.T) {
+// A new version assigns other witnesses to keys that were already issued: keys might be
+// granted twice and receipts counted twice. It must be rejected, both as a full version
+// and as a change.
+func TestIssuedKeysKeepTheirWitnesses(t *testing.T) {
 	c := &Checker{}
 	old := []magno.Roster{{Since: 0, Until: 9, Members: []string{"x", "z"}}}
 	cfg, _ := c.Join(1, shards())
 	if faults := c.Validate(cfg, shards(), cfg.Rosters); len(faults) != 0 {
 		t.Fatal(faults[0])
 	}
-	before := newTable(&magno.Config{Rosters: old})
+	before := newConfigView(&magno.Config{Rosters: old})
 	faults := c.Validate(cfg, shards(), old)
 	if len(faults) != 1 || faults[0].Key != "rosters" || faults[0].Line != 11 {
 		t.Fatalf("got %v", faults)
 	}
-	if faults = c.ValidateChange(&magno.Config{Rosters: cfg.Rosters}, Removed{}, newTable(cfg), before, nil); len(faults) != 1 {
+	if faults = c.ValidateChange(&magno.Config{Rosters: cfg.Rosters}, Removed{}, newConfigView(cfg), before, nil); len(faults) != 1 {
 		t.Fatalf("got %v", faults)
 	}
-	if faults = c.ValidateChange(&magno.Config{}, Removed{Rosters: true}, newTable(cfg), before, nil); len(faults) != 1 {
+	if faults = c.ValidateChange(&magno.Config{}, Removed{Rosters: true}, newConfigView(cfg), before, nil); len(faults) != 1 {
 		t.Fatalf("got %v", faults)
 	}
 	c.RosterCutoff = func() magno.Millis { return 9 }
@@ -144,7 +143,7 @@
 func TestSizes(t *testing.T) {
 	big := Shard{"big", []byte(strings.Repeat(" ", MaxShardBytes+1))}
 	if _, fault := (&Checker{}).Parse(big); fault == nil {
-		t.Fatal("a shard over the limit was read")
+		t.Fatal("an oversized shard was parsed")
 	}
 	cfg := &magno.Config{Version: 1}
 	for i := range 100 {
@@ -155,10 +154,10 @@
 	}
 }
 
-// FuzzParse looks for texts that a shard may hold and that crash the reader.
+// FuzzParse searches for shard texts that crash the parser.
 func FuzzParse(f *testing.F) {
-	f.Add([]byte(base))
-	f.Add([]byte(work))
+	f.Add([]byte(baseShard))
+	f.Add([]byte(workShard))
 	f.Add([]byte(`{"profiles": [{"name": 3}]}`))
 	f.Fuzz(func(_ *testing.T, text []byte) {
 		c := &Checker{}
--- a/magno/check/place.go
+++ b/magno/check/place.go
@@ -13,10 +13,10 @@
 	"magnoliastall.example/magno/setup"
 )
 
-// hujsonLine finds the line in the parser's own error text.
+// hujsonLine finds the line number in an error text of the parser.
 var hujsonLine = regexp.MustCompile(`line (\d+)`)
 
-// asFault turns an error of the parser into a fault of the shard.
+// asFault converts an error of the parser to a fault of the shard.
 func asFault(name string, err error) *setup.Fault {
 	var f *setup.Fault
 	if errors.As(err, &f) {
@@ -29,30 +29,30 @@
 	return f
 }
 
-// place turns faults into those of setup, with shard and line. It reads the
-// shards again, which only a bad version costs.
-func place(shards []Shard, found []fault) []*setup.Fault {
+// locate adds shard and line to faults. It parses the shards again, which happens only
+// for invalid versions.
+func locate(shards []Shard, found []fault) []*setup.Fault {
 	if len(found) == 0 {
 		return nil
 	}
 	found = found[:min(len(found), MaxFaults)]
-	placed := make([]*setup.Fault, len(found))
+	located := make([]*setup.Fault, len(found))
 	for i, f := range found {
-		placed[i] = &setup.Fault{File: "configuration", Line: 1, Key: f.key(), What: f.what}
+		located[i] = &setup.Fault{File: "configuration", Line: 1, Key: f.key(), What: f.message}
 		nth := f.nth
 		for _, s := range shards {
-			line, seen := search(s, f, nth)
+			line, seen := findLine(s, f, nth)
 			if line > 0 {
-				placed[i].File, placed[i].Line = s.Name, line
+				located[i].File, located[i].Line = s.Name, line
 				break
 			}
 			nth -= seen
 		}
 	}
-	return placed
+	return located
 }
 
-// key names list, record and field.
+// key returns the path of list, record and field.
 func (f fault) key() string {
 	key := f.list
 	if f.name != "" {
@@ -64,16 +64,16 @@
 	return key
 }
 
-// lineOf returns the line of a top key, 1 when it isn't there.
+// lineOf returns the line of a top-level key, or 1 if it doesn't exist.
 func lineOf(s Shard, key string) int {
-	line, _ := search(s, fault{list: key}, 0)
+	line, _ := findLine(s, fault{list: key}, 0)
 	return max(line, 1)
 }
 
-// search returns the line of the nth record of f's name, at f's field where
-// it has one. Without a match line is zero and seen counts the records of that
-// name.
-func search(s Shard, f fault, nth int) (line, seen int) {
+// findLine returns the line of the nth record with the fault's name, or of the fault's
+// field in it. If there is no such record, line is zero and seen is the number of records
+// with that name.
+func findLine(s Shard, f fault, nth int) (line, seen int) {
 	text, err := hujson.Standardize(bytes.Clone(s.Text))
 	if err != nil {
 		return 0, 0
@@ -96,7 +96,7 @@
 		if dec.Decode(&raw) != nil {
 			return 0, seen
 		}
-		if nameOf(raw) != f.name {
+		if recordName(raw) != f.name {
 			continue
 		}
 		if seen == nth {
@@ -108,8 +108,8 @@
 	return 0, seen
 }
 
-// nameOf returns the name of a record, or the record when it is a string.
-func nameOf(raw json.RawMessage) string {
+// recordName returns the name of a record, or the record itself if it is a string.
+func recordName(raw json.RawMessage) string {
 	var text string
 	if json.Unmarshal(raw, &text) == nil {
 		return text
--- a/magno/check/rules.go
+++ b/magno/check/rules.go
@@ -10,7 +10,7 @@
 	"magnoliastall.example/magno/roster"
 )
 
-// The JSON keys of the lists.
+// JSON keys of the lists.
 const (
 	listCustomers = "customers"
 	listPools     = "pools"
@@ -20,44 +20,44 @@
 	listRosters   = "rosters"
 )
 
-// sizes bounds each list.
-func sizes(cfg *magno.Config) []fault {
+// checkSizes reports lists that are too long.
+func checkSizes(cfg *magno.Config) []fault {
 	var found []fault
 	for list, n := range map[string]int{
 		listCustomers: len(cfg.Customers), listPools: len(cfg.Pools), listAdapters: len(cfg.Adapters),
 		listProfiles: len(cfg.Profiles), listDrained: len(cfg.Drained), listRosters: len(cfg.Rosters),
 	} {
 		if n > maxRecords {
-			found = append(found, fault{list: list, what: fmt.Sprintf("%d records are over the limit of %d", n, maxRecords)})
+			found = append(found, fault{list: list, message: fmt.Sprintf("%d records exceed the limit of %d", n, maxRecords)})
 		}
 	}
 	return found
 }
 
-// doubles finds names that stand twice in a list.
-func doubles(cfg *magno.Config) []fault {
-	found := double(nil, listCustomers, cfg.Customers, func(b magno.Customer) string { return b.Name })
-	found = double(found, listPools, cfg.Pools, func(p magno.Pool) string { return p.Name })
-	found = double(found, listAdapters, cfg.Adapters, func(a magno.Adapter) string { return a.Name })
-	found = double(found, listProfiles, cfg.Profiles, func(p magno.Profile) string { return p.Name })
-	return double(found, listDrained, cfg.Drained, func(d string) string { return d })
+// duplicateNames reports names that occur more than once in a list.
+func duplicateNames(cfg *magno.Config) []fault {
+	found := appendDuplicates(nil, listCustomers, cfg.Customers, func(b magno.Customer) string { return b.Name })
+	found = appendDuplicates(found, listPools, cfg.Pools, func(p magno.Pool) string { return p.Name })
+	found = appendDuplicates(found, listAdapters, cfg.Adapters, func(a magno.Adapter) string { return a.Name })
+	found = appendDuplicates(found, listProfiles, cfg.Profiles, func(p magno.Profile) string { return p.Name })
+	return appendDuplicates(found, listDrained, cfg.Drained, func(d string) string { return d })
 }
 
-func double[T any](found []fault, list string, records []T, name func(T) string) []fault {
+func appendDuplicates[T any](found []fault, list string, records []T, name func(T) string) []fault {
 	seen := make(map[string]int, len(records))
 	for _, r := range records {
 		n := name(r)
 		if seen[n] > 0 && len(found) < MaxFaults {
-			found = append(found, fault{list: list, name: n, nth: seen[n], field: "name", what: "stands twice"})
+			found = append(found, fault{list: list, name: n, nth: seen[n], field: "name", message: "duplicate name"})
 		}
 		seen[n]++
 	}
 	return found
 }
 
-// records checks each record of cfg by itself and against view.
-func records(cfg *magno.Config, view View) []fault {
-	var f findings
+// checkRecords validates each record of cfg by itself and against view.
+func checkRecords(cfg *magno.Config, view View) []fault {
+	var f faultList
 	for _, b := range cfg.Customers {
 		f.customer(b)
 	}
@@ -76,90 +76,90 @@
 	return f.list
 }
 
-// follows checks the list of rosters, and that it keeps the witnesses of keys
-// issued before.
-func (c *Checker) follows(old, next []magno.Roster) []fault {
-	var past magno.Millis
+// checkRosters validates the list of rosters, and that keys already issued keep their
+// witnesses.
+func (c *Checker) checkRosters(old, next []magno.Roster) []fault {
+	var cutoff magno.Millis
 	if c.RosterCutoff != nil {
-		past = c.RosterCutoff()
+		cutoff = c.RosterCutoff()
 	}
-	if err := roster.ValidateSuccessor(old, next, past); err != nil {
-		return []fault{{list: listRosters, what: err.Error()}}
+	if err := roster.ValidateSuccessor(old, next, cutoff); err != nil {
+		return []fault{{list: listRosters, message: err.Error()}}
 	}
 	return nil
 }
 
-// findings collects faults.
-type findings struct {
+type faultList struct {
 	list []fault
 }
 
-// spot is a place that a fault may be at.
-type spot struct {
-	f     *findings
+// location identifies the record and field that a fault would be reported for.
+type location struct {
+	f     *faultList
 	fault fault
 }
 
-func (f *findings) at(list, name, field string) spot {
-	return spot{f: f, fault: fault{list: list, name: name, field: field}}
+func (f *faultList) at(list, name, field string) location {
+	return location{f: f, fault: fault{list: list, name: name, field: field}}
 }
 
-func (s spot) add(format string, args ...any) {
-	if len(s.f.list) < MaxFaults {
-		s.fault.what = fmt.Sprintf(format, args...)
-		s.f.list = append(s.f.list, s.fault)
+func (l location) add(format string, args ...any) {
+	if len(l.f.list) < MaxFaults {
+		l.fault.message = fmt.Sprintf(format, args...)
+		l.f.list = append(l.f.list, l.fault)
 	}
 }
 
-// name wants a name that survives in logs, paths and adapter@version.
-func (s spot) name(value string) {
+// name reports a name that can't be used in logs, paths and adapter@version.
+func (l location) name(value string) {
 	switch {
 	case value == "":
-		s.add("is empty")
-	case len(value) > maxName:
-		s.add("%d bytes are over the limit of %d", len(value), maxName)
+		l.add("is empty")
+	case len(value) > maxNameBytes:
+		l.add("%d bytes exceed the limit of %d", len(value), maxNameBytes)
 	case strings.ContainsFunc(value, func(r rune) bool { return r <= ' ' || r == '@' || r == 0x7f || r == 0xfffd }):
-		s.add("%q holds a space, a control character or @", value)
+		l.add("%q contains a space, a control character or @", value)
 	}
 }
 
-// within wants a number from 0 to high.
-func (s spot) within(value, high float64) {
+// inRange reports a number that isn't between 0 and high.
+func (l location) inRange(value, high float64) {
 	if math.IsNaN(value) || value < 0 || value > high {
-		s.add("%v is out of range 0 to %v", value, high)
+		l.add("%v is out of range 0 to %v", value, high)
 	}
 }
 
-func (f *findings) customer(b magno.Customer) {
+func (f *faultList) customer(b magno.Customer) {
 	f.at(listCustomers, b.Name, "name").name(b.Name)
 	if !(b.Weight > 0 && b.Weight <= maxWeight) {
-		f.at(listCustomers, b.Name, "weight").add("%v is not over zero and at most %v", b.Weight, maxWeight)
+		f.at(listCustomers, b.Name, "weight").add("%v must be greater than 0 and at most %v", b.Weight, maxWeight)
 	}
 	if b.Limit != nil {
 		f.limit(b.Name, b.Limit)
 	}
 }
 
-func (f *findings) limit(customer string, l *magno.Limit) {
+func (f *faultList) limit(customer string, l *magno.Limit) {
 	f.rate(customer, "limit.rate", l.Rate)
 	f.rate(customer, "limit.burst", l.Burst)
-	f.at(listCustomers, customer, "limit.plain").within(l.Plain, maxRate)
+	f.at(listCustomers, customer, "limit.plain").inRange(l.Plain, maxRate)
 }
 
-func (f *findings) rate(customer, field string, value float64) {
+func (f *faultList) rate(customer, field string, value float64) {
 	if !(value > 0 && value <= maxRate) {
-		f.at(listCustomers, customer, field).add("%v is not over zero and at most %v", value, maxRate)
+		f.at(listCustomers, customer, field).add("%v must be greater than 0 and at most %v", value, maxRate)
 	}
 }
 
-// sharedKeys finds keys that two customers have: nobody could tell whose request it is.
-func sharedKeys(cfg *magno.Config) []fault {
+// duplicateKeys reports API keys that two customers share, because requests with them
+// can't be attributed.
+func duplicateKeys(cfg *magno.Config) []fault {
 	var found []fault
 	owners := map[magno.Digest]string{}
 	for _, c := range cfg.Customers {
 		for _, d := range c.Keys {
 			if other, known := owners[d]; known && len(found) < MaxFaults {
-				found = append(found, fault{list: listCustomers, name: c.Name, field: "keys", what: fmt.Sprintf("%.8s is a key of %s too", d, other)})
+				found = append(found, fault{list: listCustomers, name: c.Name, field: "keys", message: fmt.Sprintf("%.8s is a key of %s too", d, other)})
 			}
 			owners[d] = c.Name
 		}
@@ -167,7 +167,7 @@
 	return found
 }
 
-func (f *findings) pool(p magno.Pool) {
+func (f *faultList) pool(p magno.Pool) {
 	f.at(listPools, p.Name, "name").name(p.Name)
 	switch p.Kind {
 	case magno.PoolEngine:
@@ -179,11 +179,11 @@
 	default:
 		f.at(listPools, p.Name, "kind").add("%q is neither %s nor %s", p.Kind, magno.PoolEngine, magno.PoolPlain)
 	}
-	f.at(listPools, p.Name, "loadrate").within(p.LoadRate, maxWeight)
-	f.at(listPools, p.Name, "loadwidth").within(float64(p.LoadWidth), maxWeight)
+	f.at(listPools, p.Name, "loadrate").inRange(p.LoadRate, maxWeight)
+	f.at(listPools, p.Name, "loadwidth").inRange(float64(p.LoadWidth), maxWeight)
 }
 
-func (f *findings) adapter(a *magno.Adapter) {
+func (f *faultList) adapter(a *magno.Adapter) {
 	f.at(listAdapters, a.Name, "name").name(a.Name)
 	f.at(listAdapters, a.Name, "base").name(a.Base)
 	if len(a.Versions)+len(a.Retired) == 0 {
@@ -192,31 +192,31 @@
 	for i, v := range a.Versions {
 		f.at(listAdapters, a.Name, "versions").name(v)
 		if slices.Contains(a.Versions[:i], v) {
-			f.at(listAdapters, a.Name, "versions").add("%q stands twice", v)
+			f.at(listAdapters, a.Name, "versions").add("duplicate version %q", v)
 		}
 	}
 	for i, v := range a.Retired {
 		f.at(listAdapters, a.Name, "retired").name(v)
 		if slices.Contains(a.Retired[:i], v) {
-			f.at(listAdapters, a.Name, "retired").add("%q stands twice", v)
+			f.at(listAdapters, a.Name, "retired").add("duplicate version %q", v)
 		}
 		if slices.Contains(a.Versions, v) {
-			f.at(listAdapters, a.Name, "retired").add("%q stands in versions as well", v)
+			f.at(listAdapters, a.Name, "retired").add("%q is also listed in versions", v)
 		}
 	}
 }
 
-func (f *findings) profile(p *magno.Profile, view View) {
+func (f *faultList) profile(p *magno.Profile, view View) {
 	f.at(listProfiles, p.Name, "name").name(p.Name)
-	f.at(listProfiles, p.Name, "urgency").within(float64(p.Urgency), maxUrgency)
-	f.at(listProfiles, p.Name, "deadline").within(float64(p.Deadline), float64(maxDeadline))
-	f.at(listProfiles, p.Name, "stall").within(p.Stall, 1)
+	f.at(listProfiles, p.Name, "urgency").inRange(float64(p.Urgency), maxUrgency)
+	f.at(listProfiles, p.Name, "deadline").inRange(float64(p.Deadline), float64(maxDeadline))
+	f.at(listProfiles, p.Name, "stall").inRange(p.Stall, 1)
 	f.refs(p, view)
 }
 
-// refs checks what a profile names. A retired one serves nothing, so its
-// adapter may be gone.
-func (f *findings) refs(p *magno.Profile, view View) {
+// refs checks the references of a profile. A retired profile isn't served, so its adapter
+// may be missing.
+func (f *faultList) refs(p *magno.Profile, view View) {
 	if _, ok := view.Customer(p.Customer); !ok {
 		f.at(listProfiles, p.Name, "customer").add("there is no customer %q", p.Customer)
 	}
@@ -248,11 +248,11 @@
 	}
 }
 
-// orphans finds unchanged profiles that name something the change took away.
-func orphans(lost lost, view View) []fault {
-	var f findings
+// danglingProfiles reports unchanged profiles with references to removed records.
+func danglingProfiles(targets removedTargets, view View) []fault {
+	var f faultList
 	view.EachProfile(func(p magno.Profile) bool {
-		if lost.customers[p.Customer] || lost.pools[p.Pool] || lost.adapters[p.Adapter] {
+		if targets.customers[p.Customer] || targets.pools[p.Pool] || targets.adapters[p.Adapter] {
 			f.refs(&p, view)
 		}
 		return len(f.list) < MaxFaults
@@ -260,43 +260,44 @@
 	return f.list
 }
 
-// lost are records that profiles may name and that went, or lost something.
-type lost struct {
+// removedTargets holds the records that were removed or restricted and that profiles may
+// refer to.
+type removedTargets struct {
 	customers, pools, adapters map[string]bool
 }
 
-// newLost leaves out what only gained, such as an adapter with one version
-// more: that is most of what operators change, and reading all profiles for it
+// newRemovedTargets leaves out records that were only extended, such as an adapter with
+// one more version. Those are most of the changes, and reading all profiles for each
 // would take a hundred times as long as the change itself.
-func newLost(set *magno.Config, gone Removed, before View) lost {
-	l := lost{map[string]bool{}, map[string]bool{}, map[string]bool{}}
-	for _, b := range gone.Customers {
-		l.customers[b] = true
+func newRemovedTargets(set *magno.Config, removed Removed, before View) removedTargets {
+	t := removedTargets{map[string]bool{}, map[string]bool{}, map[string]bool{}}
+	for _, b := range removed.Customers {
+		t.customers[b] = true
 	}
-	for _, p := range gone.Pools {
-		l.pools[p] = true
+	for _, p := range removed.Pools {
+		t.pools[p] = true
 	}
 	for _, p := range set.Pools {
 		if old, had := before.Pool(p.Name); had && (old.Kind != p.Kind || old.Base != p.Base) {
-			l.pools[p.Name] = true
+			t.pools[p.Name] = true
 		}
 	}
-	for _, a := range gone.Adapters {
-		l.adapters[a] = true
+	for _, a := range removed.Adapters {
+		t.adapters[a] = true
 	}
 	for i := range set.Adapters {
 		a := &set.Adapters[i]
-		if old, had := before.Adapter(a.Name); had && !covers(a, &old) {
-			l.adapters[a.Name] = true
+		if old, had := before.Adapter(a.Name); had && !keepsReferences(a, &old) {
+			t.adapters[a.Name] = true
 		}
 	}
-	return l
+	return t
 }
 
-func (l lost) any() bool { return len(l.customers)+len(l.pools)+len(l.adapters) > 0 }
+func (t removedTargets) notEmpty() bool { return len(t.customers)+len(t.pools)+len(t.adapters) > 0 }
 
-// covers is true when whatever could name old can name a.
-func covers(a, old *magno.Adapter) bool {
+// keepsReferences reports whether every reference to old is also valid for a.
+func keepsReferences(a, old *magno.Adapter) bool {
 	for _, v := range old.Versions {
 		if !slices.Contains(a.Versions, v) {
 			return false
