--- a/magno/delta/delta.go
+++ b/magno/delta/delta.go
@@ -1,12 +1,12 @@
 // Package delta encodes a configuration as its difference from an earlier one, for
-// processes that tell each other what changed.
+// sending changes between processes.
 //
 //	base, next --Diff--> Delta --Encode--> bytes --Decode--> Delta --Apply(base)--> next
 //
-// Load pattern: a configuration of thousands of routes, of which a change touches
-// one or a few, told to every process over links of a few megabits a second. Sent
-// whole and as plain text, each change fills those links and keeps small machines
-// decoding while callers' requests wait.
+// A configuration has thousands of routes, a change affects one or a few of them, and it
+// is sent to every process over links of a few megabits a second. Sending the whole
+// configuration as plain text would saturate those links and keep small machines busy
+// decoding while requests wait.
 package delta
 
 import (
@@ -21,27 +21,27 @@
 	"magnoliastall.example/magno"
 )
 
-// maxPlain bounds a decoded delta, in bytes: a small damaged value could
-// otherwise fill the memory of every process.
-const maxPlain = 128 << 20
+// maxDecodedBytes limits the decompressed size of a delta. A small corrupt value could
+// otherwise exhaust the memory of every process.
+const maxDecodedBytes = 128 << 20
 
-// ErrBase tells that a delta starts from another configuration than the one at hand.
-var ErrBaseMismatch = errors.New("the delta starts from another configuration")
+// ErrBaseMismatch means that a delta has another base than the given configuration.
+var ErrBaseMismatch = errors.New("the delta is based on another configuration")
 
-// Delta is how a configuration differs from an earlier one.
+// Delta is the difference of a configuration from an earlier one.
 type Delta struct {
-	// Base is the revision of the configuration that it starts from, zero when it
-	// holds a whole one.
+	// Base is the revision of the earlier configuration; zero if the delta holds a full
+	// one.
 	Base int64
 	// Rest is the new configuration without its routes.
 	Rest magno.Plan
-	// Routes are those that are new or changed; Gone names those that were removed.
-	// Both are empty in a whole configuration without routes.
+	// Routes holds the new and changed routes, and Gone the names of removed ones. Both
+	// are empty in a full configuration without routes.
 	Routes []magno.Route
 	Gone   []string
 }
 
-// Whole returns a delta that needs no earlier configuration.
+// Full returns a delta that needs no earlier configuration.
 func Full(next *magno.Plan) *Delta {
 	d := &Delta{Rest: *next, Routes: next.Routes}
 	d.Rest.Routes = nil
@@ -49,9 +49,9 @@
 }
 
 // Diff returns the difference of next from base, which the list had at the given
-// revision. It is whole where that is no larger.
+// revision. If it is no smaller than the full configuration, Diff returns that.
 func Diff(base *magno.Plan, revision int64, next *magno.Plan) *Delta {
-	old, unique := byName(base)
+	old, unique := routesByName(base)
 	if base == nil || revision == 0 || !unique {
 		return Full(next)
 	}
@@ -59,23 +59,24 @@
 	d.Rest.Routes = nil
 	for i := range next.Routes {
 		r := &next.Routes[i]
-		was := old[r.Name]
+		previous := old[r.Name]
 		delete(old, r.Name)
-		if was == nil || !reflect.DeepEqual(was, r) {
+		if previous == nil || !reflect.DeepEqual(previous, r) {
 			d.Routes = append(d.Routes, *r)
 		}
 	}
 	for name := range old {
 		d.Gone = append(d.Gone, name)
 	}
-	if _, unique = byName(next); !unique || len(d.Routes)+len(d.Gone) >= len(next.Routes) {
+	if _, unique = routesByName(next); !unique || len(d.Routes)+len(d.Gone) >= len(next.Routes) {
 		return Full(next)
 	}
 	return d
 }
 
-// byName maps the routes of a configuration; unique is false when two share a name.
-func byName(p *magno.Plan) (routes map[string]*magno.Route, unique bool) {
+// routesByName maps the routes of a configuration by name; unique is false if two of them
+// share a name.
+func routesByName(p *magno.Plan) (routes map[string]*magno.Route, unique bool) {
 	if p == nil {
 		return nil, false
 	}
@@ -86,9 +87,8 @@
 	return routes, len(routes) == len(p.Routes)
 }
 
-// Apply returns the new configuration. Base is the one at hand, which the list had at
-// the given revision; it isn't changed. The order of routes may differ from the
-// sender's.
+// Apply returns the new configuration, made from base, which the list had at the given
+// revision and which isn't modified. The order of routes may differ from the sender's.
 func (d *Delta) Apply(base *magno.Plan, revision int64) (*magno.Plan, error) {
 	next := d.Rest
 	if d.Base == 0 {
@@ -96,7 +96,7 @@
 		return &next, nil
 	}
 	if base == nil || d.Base != revision {
-		return nil, errors.Wrapf(ErrBaseMismatch, "%d, not %d", d.Base, revision)
+		return nil, errors.Wrapf(ErrBaseMismatch, "delta of revision %d, configuration of revision %d", d.Base, revision)
 	}
 	replaced := make(map[string]bool, len(d.Routes)+len(d.Gone))
 	for i := range d.Routes {
@@ -133,9 +133,9 @@
 
 // Decode reads what Encode wrote.
 func Decode(data []byte) (*Delta, error) {
-	plain := io.LimitReader(flate.NewReader(bytes.NewReader(data)), maxPlain)
+	decompressed := io.LimitReader(flate.NewReader(bytes.NewReader(data)), maxDecodedBytes)
 	d := &Delta{}
-	if err := gob.NewDecoder(plain).Decode(d); err != nil {
+	if err := gob.NewDecoder(decompressed).Decode(d); err != nil {
 		return nil, errors.Wrap(err, "delta")
 	}
 	return d, nil
