--- a/magno/config/look.go
+++ b/magno/config/look.go
@@ -2,15 +2,15 @@
 
 import "magnoliastall.example/magno"
 
-// Retired tells whether the version in force has retired a version of an
-// adapter. What it doesn't know of is not retired: a process that is behind
-// must not end requests by what it lacks.
+// Retired reports whether the active version has retired a version of an adapter. An
+// adapter that it doesn't have is not retired: a process that is behind must not end
+// requests because of what it hasn't received.
 func (s *Store) Retired(ref magno.Ref) bool {
-	now := s.Current()
-	if now == nil || ref == (magno.Ref{}) {
+	current := s.Current()
+	if current == nil || ref == (magno.Ref{}) {
 		return false
 	}
-	a, ok := now.Adapter(ref.Adapter)
+	a, ok := current.Adapter(ref.Adapter)
 	if !ok {
 		return false
 	}
@@ -22,16 +22,16 @@
 	return false
 }
 
-// Drained tells whether operators have drained an instance.
+// Drained reports whether operators have drained an instance.
 func (s *Store) Drained(instance string) bool {
-	now := s.Current()
-	return now != nil && now.Drained(instance)
+	current := s.Current()
+	return current != nil && current.Drained(instance)
 }
 
-// Rosters returns those of the version in force.
+// Rosters returns the rosters of the active version.
 func (s *Store) Rosters() []magno.Roster {
-	if now := s.Current(); now != nil {
-		return now.Rosters()
+	if current := s.Current(); current != nil {
+		return current.Rosters()
 	}
 	return nil
 }
--- a/magno/config/main_test.go
+++ b/magno/config/main_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// TestMain fixes the seed, so that a run gives the same verdict every time;
-// the environment's SEED and CHECKS take others for long searches.
+// TestMain sets a fixed seed for reproducible runs. The environment variables SEED and
+// CHECKS override it for longer searches.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	settings := map[string]string{"rapid.seed": "1", "rapid.checks": "300", "rapid.nofailfile": "true"}
--- a/magno/config/snap.go
+++ b/magno/config/snap.go
@@ -9,38 +9,38 @@
 	"magnoliastall.example/magno/check"
 )
 
-// Buckets is how many groups adapters and profiles are kept in, by a hash of
-// the name. At 130,000 of each a group has some 254 records: a change copies
-// one group (about 14 KB) where one flat list would copy 15 MB, and two
-// processes find what differs by comparing 8 KB of sums.
+// Buckets is the number of buckets into which adapters and profiles are divided, by a
+// hash of the name. With 130,000 of each a bucket has about 254 records: a change copies
+// one bucket (about 14 KB), where a single flat list would copy 15 MB, and two processes
+// find their differences by comparing 8 KB of checksums.
 const Buckets = 1024
 
-// SmallListsBucket is the number of the group that holds everything else.
+// SmallListsBucket is the index of the bucket with all other records.
 const SmallListsBucket = Buckets
 
-// Snapshot is one version. It is immutable and shares what did not change
-// with the version that it was made from.
+// Snapshot is one version. It is immutable and shares unchanged data with the version
+// that it was made from.
 type Snapshot struct {
-	// Version is over zero once in force.
+	// Version is positive in an active version.
 	Version int64
-	// Sum is equal for equal content.
+	// Sum is a checksum of the content, regardless of the version.
 	Sum uint64
-	// Records counts adapters and profiles.
+	// Records is the number of adapters and profiles.
 	Records int
 
 	buckets [Buckets]*bucket
-	few     *few
+	lists   *smallLists
 }
 
-// bucket holds adapters and profiles of one hash, each ordered by name.
+// bucket holds the adapters and profiles with one hash, both sorted by name.
 type bucket struct {
 	sum      uint64
-	adapters []adapterRec
-	profiles []profileRec
+	adapters []packedAdapter
+	profiles []packedProfile
 }
 
-// few holds the short lists, each ordered by name.
-type few struct {
+// smallLists holds the small lists, sorted by name except for the rosters.
+type smallLists struct {
 	sum       uint64
 	customers []magno.Customer
 	pools     []magno.Pool
@@ -48,20 +48,20 @@
 	rosters   []magno.Roster
 }
 
-func adapterName(r *adapterRec) string      { return r.name }
-func profileName(r *profileRec) string      { return r.name }
+func adapterName(r *packedAdapter) string   { return r.name }
+func profileName(r *packedProfile) string   { return r.name }
 func customerName(r *magno.Customer) string { return r.Name }
 func poolName(r *magno.Pool) string         { return r.Name }
 func drainedName(r *string) string          { return *r }
 
-// NewSnapshot returns a version of cfg, whose names are unique.
+// NewSnapshot returns a snapshot of cfg, whose names must be unique.
 func NewSnapshot(cfg *magno.Config) *Snapshot {
 	return Empty().WithChanges(cfg.Version, cfg, check.Removed{})
 }
 
-// Empty returns a version without records, to build others on.
+// Empty returns a snapshot without records, from which others can be made.
 func Empty() *Snapshot {
-	s := &Snapshot{few: &few{}}
+	s := &Snapshot{lists: &smallLists{}}
 	none := &bucket{}
 	for i := range s.buckets {
 		s.buckets[i] = none
@@ -69,56 +69,56 @@
 	return s
 }
 
-// bucketOf returns the number of the group that name is in.
+// bucketOf returns the index of the bucket for a name.
 func bucketOf(name string) int { return int(xxhash.Sum64String(name) % Buckets) }
 
-// change is what happens to one bucket.
-type change struct {
-	adapters     []adapterRec
-	profiles     []profileRec
-	goneAdapters []string
-	goneProfiles []string
+// bucketChange holds the changes to one bucket.
+type bucketChange struct {
+	adapters        []packedAdapter
+	profiles        []packedProfile
+	removedAdapters []string
+	removedProfiles []string
 }
 
-// With returns the next version: set put in and gone taken out. set.Rosters,
-// when not nil, replaces the whole list.
-func (s *Snapshot) WithChanges(version int64, set *magno.Config, gone check.Removed) *Snapshot {
+// WithChanges returns the next version, with the records of set added or replaced and the
+// removed ones left out. set.Rosters, if not nil, replaces the whole list.
+func (s *Snapshot) WithChanges(version int64, set *magno.Config, removed check.Removed) *Snapshot {
 	next := *s
 	next.Version = version
-	for i, c := range group(set, gone) {
-		next.put(i, c)
+	for i, c := range changesByBucket(set, removed) {
+		next.changeBucket(i, c)
 	}
-	if len(set.Customers)+len(set.Pools)+len(set.Drained)+len(gone.Customers)+len(gone.Pools)+len(gone.Drained) == 0 &&
-		set.Rosters == nil && !gone.Rosters {
+	if len(set.Customers)+len(set.Pools)+len(set.Drained)+len(removed.Customers)+len(removed.Pools)+len(removed.Drained) == 0 &&
+		set.Rosters == nil && !removed.Rosters {
 		return &next
 	}
-	f := few{
-		customers: merge(s.few.customers, set.Customers, gone.Customers, customerName),
-		pools:     merge(s.few.pools, set.Pools, gone.Pools, poolName),
-		drained:   merge(s.few.drained, set.Drained, gone.Drained, drainedName),
-		rosters:   s.few.rosters,
+	l := smallLists{
+		customers: merge(s.lists.customers, set.Customers, removed.Customers, customerName),
+		pools:     merge(s.lists.pools, set.Pools, removed.Pools, poolName),
+		drained:   merge(s.lists.drained, set.Drained, removed.Drained, drainedName),
+		rosters:   s.lists.rosters,
 	}
-	if set.Rosters != nil || gone.Rosters {
-		f.rosters = set.Rosters
+	if set.Rosters != nil || removed.Rosters {
+		l.rosters = set.Rosters
 	}
-	next.swap(&f)
+	next.replaceLists(&l)
 	return &next
 }
 
-// swap replaces the short lists.
-func (s *Snapshot) swap(f *few) {
+// replaceLists replaces the small lists.
+func (s *Snapshot) replaceLists(l *smallLists) {
 	var h hasher
-	f.sum = h.few(f)
-	s.Sum += f.sum - s.few.sum
-	s.few = f
+	l.sum = h.smallLists(l)
+	s.Sum += l.sum - s.lists.sum
+	s.lists = l
 }
 
-// put replaces bucket i by one with c made to it.
-func (s *Snapshot) put(i int, c *change) {
+// changeBucket replaces bucket i with a changed copy.
+func (s *Snapshot) changeBucket(i int, c *bucketChange) {
 	old := s.buckets[i]
 	b := &bucket{
-		adapters: merge(old.adapters, c.adapters, c.goneAdapters, adapterName),
-		profiles: merge(old.profiles, c.profiles, c.goneProfiles, profileName),
+		adapters: merge(old.adapters, c.adapters, c.removedAdapters, adapterName),
+		profiles: merge(old.profiles, c.profiles, c.removedProfiles, profileName),
 	}
 	var h hasher
 	for k := range b.adapters {
@@ -132,13 +132,13 @@
 	s.buckets[i] = b
 }
 
-// group sorts changed adapters and profiles by bucket.
-func group(set *magno.Config, gone check.Removed) map[int]*change {
-	changes := map[int]*change{}
-	at := func(name string) *change {
+// changesByBucket groups changed adapters and profiles by bucket.
+func changesByBucket(set *magno.Config, removed check.Removed) map[int]*bucketChange {
+	changes := map[int]*bucketChange{}
+	at := func(name string) *bucketChange {
 		i := bucketOf(name)
 		if changes[i] == nil {
-			changes[i] = &change{}
+			changes[i] = &bucketChange{}
 		}
 		return changes[i]
 	}
@@ -150,11 +150,11 @@
 		c := at(set.Profiles[i].Name)
 		c.profiles = append(c.profiles, packProfile(&set.Profiles[i]))
 	}
-	for _, name := range gone.Adapters {
-		at(name).goneAdapters = append(at(name).goneAdapters, name)
+	for _, name := range removed.Adapters {
+		at(name).removedAdapters = append(at(name).removedAdapters, name)
 	}
-	for _, name := range gone.Profiles {
-		at(name).goneProfiles = append(at(name).goneProfiles, name)
+	for _, name := range removed.Profiles {
+		at(name).removedProfiles = append(at(name).removedProfiles, name)
 	}
 	return changes
 }
@@ -177,33 +177,33 @@
 	return r.unpack(), true
 }
 
-// HasAdapter is true when s holds exactly this record.
+// HasAdapter reports whether s holds exactly this record.
 func (s *Snapshot) HasAdapter(a *magno.Adapter) bool {
 	r, ok := lookup(s.buckets[bucketOf(a.Name)].adapters, a.Name, adapterName)
 	return ok && *r == packAdapter(a)
 }
 
-// HasProfile is true when s holds exactly this record.
+// HasProfile reports whether s holds exactly this record.
 func (s *Snapshot) HasProfile(p *magno.Profile) bool {
 	r, ok := lookup(s.buckets[bucketOf(p.Name)].profiles, p.Name, profileName)
 	return ok && *r == packProfile(p)
 }
 
-// Known is true when ref names a version that isn't retired.
+// HasVersion reports whether the adapter has this version and it isn't retired.
 func (s *Snapshot) HasVersion(ref magno.Ref) bool {
 	r, ok := lookup(s.buckets[bucketOf(ref.Adapter)].adapters, ref.Adapter, adapterName)
-	return ok && holds(r.versions, ref.Version)
+	return ok && containsVersion(r.versions, ref.Version)
 }
 
-// Retired is true when ref names a version that operators retired. A version
-// that this process has not heard of isn't retired: it may be new.
+// Retired reports whether operators retired this version of the adapter. A version that
+// this process doesn't know isn't retired: it may be new.
 func (s *Snapshot) Retired(ref magno.Ref) bool {
 	r, ok := lookup(s.buckets[bucketOf(ref.Adapter)].adapters, ref.Adapter, adapterName)
-	return ok && holds(r.retired, ref.Version)
+	return ok && containsVersion(r.retired, ref.Version)
 }
 
-// holds looks for a version in a joined list.
-func holds(joined, version string) bool {
+// containsVersion reports whether a joined list contains a version.
+func containsVersion(joined, version string) bool {
 	for v := range strings.SplitSeq(joined, versionSep) {
 		if v == version && v != "" {
 			return true
@@ -214,21 +214,21 @@
 
 // Customer finds a customer by name.
 func (s *Snapshot) Customer(name string) (magno.Customer, bool) {
-	return copied(lookup(s.few.customers, name, customerName))
+	return deref(lookup(s.lists.customers, name, customerName))
 }
 
 // Pool finds a pool by name.
 func (s *Snapshot) Pool(name string) (magno.Pool, bool) {
-	return copied(lookup(s.few.pools, name, poolName))
+	return deref(lookup(s.lists.pools, name, poolName))
 }
 
-// Drained is true when the instance takes no new work.
+// Drained reports whether the instance takes no new work.
 func (s *Snapshot) Drained(instance string) bool {
-	_, ok := lookup(s.few.drained, instance, drainedName)
+	_, ok := lookup(s.lists.drained, instance, drainedName)
 	return ok
 }
 
-func copied[T any](r *T, ok bool) (T, bool) {
+func deref[T any](r *T, ok bool) (T, bool) {
 	if !ok {
 		var none T
 		return none, false
@@ -236,17 +236,17 @@
 	return *r, true
 }
 
-// Customers lists every customer in order of name; like the lists below, it
-// must not be changed.
-func (s *Snapshot) Customers() []magno.Customer { return s.few.customers }
+// Customers returns all customers sorted by name. This list, and those returned by the
+// methods below, must not be modified.
+func (s *Snapshot) Customers() []magno.Customer { return s.lists.customers }
 
-// Pools lists every pool in order of name.
-func (s *Snapshot) Pools() []magno.Pool { return s.few.pools }
+// Pools returns all pools sorted by name.
+func (s *Snapshot) Pools() []magno.Pool { return s.lists.pools }
 
-// Rosters lists the rosters as published.
-func (s *Snapshot) Rosters() []magno.Roster { return s.few.rosters }
+// Rosters returns the rosters in the published order.
+func (s *Snapshot) Rosters() []magno.Roster { return s.lists.rosters }
 
-// EachProfile visits every profile until visit returns false.
+// EachProfile calls visit for each profile until it returns false.
 func (s *Snapshot) EachProfile(visit func(magno.Profile) bool) {
 	for _, b := range s.buckets {
 		for i := range b.profiles {
@@ -257,7 +257,7 @@
 	}
 }
 
-// Config returns the whole version as plain data; it is large.
+// Config returns the whole version unpacked, which takes much memory.
 func (s *Snapshot) Config() *magno.Config {
 	cfg := s.Bucket(SmallListsBucket)
 	cfg.Version = s.Version
@@ -267,10 +267,10 @@
 	return cfg
 }
 
-// Bucket returns the records of one group, SmallListsBucket included.
+// Bucket returns the records of one bucket, which may be SmallListsBucket.
 func (s *Snapshot) Bucket(i int) *magno.Config {
 	if i == SmallListsBucket {
-		return &magno.Config{Customers: s.few.customers, Pools: s.few.pools, Drained: s.few.drained, Rosters: s.few.rosters}
+		return &magno.Config{Customers: s.lists.customers, Pools: s.lists.pools, Drained: s.lists.drained, Rosters: s.lists.rosters}
 	}
 	b := s.buckets[i]
 	cfg := &magno.Config{Adapters: make([]magno.Adapter, len(b.adapters)), Profiles: make([]magno.Profile, len(b.profiles))}
@@ -283,18 +283,18 @@
 	return cfg
 }
 
-// Replace returns the version with group i holding exactly cfg, whose names are
-// unique; records of other groups are left out.
+// WithBucket returns a copy in which bucket i holds exactly the records of cfg, whose
+// names must be unique. Records that belong to other buckets are ignored.
 func (s *Snapshot) WithBucket(i int, cfg *magno.Config) *Snapshot {
 	next := *s
 	if i == SmallListsBucket {
-		next.swap(&few{customers: cfg.Customers, pools: cfg.Pools, drained: cfg.Drained, rosters: cfg.Rosters})
+		next.replaceLists(&smallLists{customers: cfg.Customers, pools: cfg.Pools, drained: cfg.Drained, rosters: cfg.Rosters})
 		return &next
 	}
 	next.Sum -= s.buckets[i].sum
 	next.Records -= len(s.buckets[i].adapters) + len(s.buckets[i].profiles)
 	next.buckets[i] = &bucket{}
-	c := &change{}
+	c := &bucketChange{}
 	for k := range cfg.Adapters {
 		if bucketOf(cfg.Adapters[k].Name) == i {
 			c.adapters = append(c.adapters, packAdapter(&cfg.Adapters[k]))
@@ -305,23 +305,23 @@
 			c.profiles = append(c.profiles, packProfile(&cfg.Profiles[k]))
 		}
 	}
-	next.put(i, c)
+	next.changeBucket(i, c)
 	return &next
 }
 
-// WithVersion returns the same content under another number.
+// WithVersion returns the same content under another version number.
 func (s *Snapshot) WithVersion(version int64) *Snapshot {
 	next := *s
 	next.Version = version
 	return &next
 }
 
-// BucketSums returns the sum of each group, SmallListsBucket last.
+// BucketSums returns the checksum of each bucket, that of SmallListsBucket last.
 func (s *Snapshot) BucketSums() []uint64 {
 	sums := make([]uint64, Buckets+1)
 	for i, b := range s.buckets {
 		sums[i] = b.sum
 	}
-	sums[SmallListsBucket] = s.few.sum
+	sums[SmallListsBucket] = s.lists.sum
 	return sums
 }
--- a/magno/config/store.go
+++ b/magno/config/store.go
@@ -1,18 +1,18 @@
-// Package config holds the version of the configuration that is in force.
+// Package config stores the active version of the configuration.
 //
-//	reader --- whole version --+                    +--> subscribers
-//	                           +--> check --> in force --> look-ups, lock-free
-//	peers --- deltas, groups --+        |           +--> deltas for peers
-//	                                    +--> refused: log, metric, status
+//	reader --- full version ---+                    +--> subscribers
+//	                           +--> check --> active --> look-ups, lock-free
+//	peers --- deltas, buckets -+        |           +--> deltas for peers
+//	                                    +--> rejected: log, metric, status
 //
-// The load is look-ups by every request (42,000 a second over the fleet) while
-// 54,000 changes a day replace the version under them. A version is immutable
-// and shares all but the changed groups of records with the one before, so a
-// look-up takes no lock and a change copies kilobytes. Without that, each
-// change would copy and index 260,000 records in every daemon.
+// Every request looks up records, 42,000 times a second over the fleet, while 54,000
+// changes a day replace the version. A version is immutable and shares all but the
+// changed buckets with the previous one, so look-ups take no lock and a change copies
+// kilobytes. With flat lists, each change would copy and index 260,000 records in every
+// daemon.
 //
-// A version only grows, whoever offers it; a bad one leaves the last good one
-// in force.
+// The version number only increases, wherever a version comes from. If a version is
+// invalid, the last valid one stays active.
 package config
 
 import (
@@ -29,39 +29,39 @@
 	"magnoliastall.example/magno/setup"
 )
 
-// Store holds the version in force. It is safe for concurrent use.
+// Store holds the active version. It is safe for concurrent use.
 type Store struct {
-	// Check may be nil for the rules without those on rosters.
+	// Check may be nil for a checker without RosterCutoff.
 	Check *check.Checker
-	// Clock may be nil, for the machine's.
+	// Clock may be nil for the system clock.
 	Clock *magno.Clock
 	// Log may be nil.
 	Log *slog.Logger
-	// Metrics takes the store's metrics; nil keeps them out of sight.
+	// Metrics is where the store registers its metrics; if nil, they aren't exported.
 	Metrics *metrics.Set
 
-	once  sync.Once
-	force atomic.Pointer[Snapshot]
-	// confirmed is when the version in force was last known to be the newest,
-	// in milliseconds; zero means never.
-	confirmed atomic.Int64
-	// conflict is the last version that was logged as having two contents.
-	conflict atomic.Int64
+	once    sync.Once
+	current atomic.Pointer[Snapshot]
+	// confirmedAt is when the active version was last known to be the newest, in
+	// milliseconds; zero means never.
+	confirmedAt atomic.Int64
+	// lastConflict is the last version for which a conflict was logged.
+	lastConflict atomic.Int64
 
 	mu sync.Mutex
-	// since is when the version came into force.
-	since   magno.Millis
-	refused *Rejection
-	history history
-	subs    []chan *Snapshot
+	// activeSince is when the active version was activated.
+	activeSince magno.Millis
+	rejection   *Rejection
+	history     history
+	subscribers []chan *Snapshot
 
-	changes, rejects, conflicts *metrics.Counter
+	changes, rejections, conflicts *metrics.Counter
 }
 
-// Refused tells of a version that was not put in force.
+// Rejection describes a version that was rejected.
 type Rejection struct {
 	Version int64 `json:"version"`
-	// Source is who offered it.
+	// Source is where the version came from.
 	Source string       `json:"source"`
 	Reason string       `json:"reason"`
 	At     magno.Millis `json:"at"`
@@ -73,10 +73,10 @@
 	Sum     uint64       `json:"sum"`
 	Records int          `json:"records"`
 	Since   magno.Millis `json:"since"`
-	// Confirmed is when the version was last known to be the newest.
+	// Confirmed is when the active version was last known to be the newest.
 	Confirmed magno.Millis `json:"confirmed"`
-	// Refused is the last version that was not put in force; nil when a newer
-	// one was since.
+	// Refused is the last rejected version; nil if a version at least as new was
+	// activated since.
 	Refused *Rejection `json:"refused,omitempty"`
 }
 
@@ -92,7 +92,7 @@
 			s.Metrics = metrics.NewSet()
 		}
 		s.changes = s.Metrics.GetOrCreateCounter("config_changes_total")
-		s.rejects = s.Metrics.GetOrCreateCounter("config_rejects_total")
+		s.rejections = s.Metrics.GetOrCreateCounter("config_rejects_total")
 		s.conflicts = s.Metrics.GetOrCreateCounter("config_conflicts_total")
 		s.Metrics.GetOrCreateGauge("config_version", func() float64 { return float64(s.Version()) })
 		s.Metrics.GetOrCreateGauge("config_age_seconds", func() float64 {
@@ -101,108 +101,109 @@
 	})
 }
 
-// Now returns the version in force, nil when there is none yet.
-func (s *Store) Current() *Snapshot { return s.force.Load() }
+// Current returns the active version, or nil if there is none yet.
+func (s *Store) Current() *Snapshot { return s.current.Load() }
 
-// Version returns the number of the version in force, zero for none.
+// Version returns the number of the active version, or zero if there is none.
 func (s *Store) Version() int64 {
-	if now := s.Current(); now != nil {
-		return now.Version
+	if current := s.Current(); current != nil {
+		return current.Version
 	}
 	return 0
 }
 
-// Parse reads a shard by the store's rules.
+// Parse decodes a shard with the store's checker.
 func (s *Store) Parse(shard check.Shard) (magno.Config, *setup.Fault) {
 	s.init()
 	return s.Check.Parse(shard)
 }
 
-// Load checks a whole version and puts it in force. shards place the faults.
+// Load validates a full version and activates it. shards are used to locate faults.
 func (s *Store) Load(cfg *magno.Config, shards []check.Shard, source string) error {
 	s.init()
 	if cfg.Version <= s.Version() {
 		return ErrOld
 	}
 	if faults := s.Check.Validate(cfg, shards, s.Rosters()); len(faults) > 0 {
-		return s.refuse(cfg.Version, source, join(faults))
+		return s.reject(cfg.Version, source, joinFaults(faults))
 	}
-	return s.enforce(NewSnapshot(cfg), source)
+	return s.activate(NewSnapshot(cfg), source)
 }
 
-// Install puts next in force after checking what differs from the present
-// version. shards, which may be nil, place the faults.
+// Install activates next after validating its differences from the active version. shards
+// are used to locate faults and may be nil.
 func (s *Store) Install(next *Snapshot, shards []check.Shard, source string) error {
 	s.init()
-	now := s.Current()
-	if now == nil {
-		return s.first(next, shards, source)
+	current := s.Current()
+	if current == nil {
+		return s.activateFirst(next, shards, source)
 	}
-	if next.Version <= now.Version {
+	if next.Version <= current.Version {
 		s.ReportConflict(next.Version, next.Sum, source)
 		return ErrOld
 	}
-	d := Diff(now, next)
-	if faults := s.Check.ValidateChange(&d.Set, d.Removed, next, now, shards); len(faults) > 0 {
-		return s.refuse(next.Version, source, join(faults))
+	d := Diff(current, next)
+	if faults := s.Check.ValidateChange(&d.Set, d.Removed, next, current, shards); len(faults) > 0 {
+		return s.reject(next.Version, source, joinFaults(faults))
 	}
-	return s.enforce(next, source)
+	return s.activate(next, source)
 }
 
-// first puts a version in force that came in groups, with none before it.
-func (s *Store) first(next *Snapshot, shards []check.Shard, source string) error {
+// activateFirst validates a version bucket by bucket and activates it when none is active
+// yet.
+func (s *Store) activateFirst(next *Snapshot, shards []check.Shard, source string) error {
 	for i := range Buckets + 1 {
 		if faults := s.Check.ValidateBucket(next.Bucket(i), next, shards); len(faults) > 0 {
-			return s.refuse(next.Version, source, join(faults))
+			return s.reject(next.Version, source, joinFaults(faults))
 		}
 	}
-	return s.enforce(next, source)
+	return s.activate(next, source)
 }
 
-// Apply puts the end of a delta in force when it starts from the present
-// version and its records give the announced sum.
+// Apply activates the target version of a delta if it starts from the active version and
+// its records have the announced checksum.
 func (s *Store) Apply(d *Delta, source string) error {
 	s.init()
-	now := s.Current()
+	current := s.Current()
 	switch {
-	case now != nil && d.To <= now.Version:
+	case current != nil && d.To <= current.Version:
 		return ErrOld
-	case now == nil || d.From != now.Version || d.BaseSum != now.Sum:
+	case current == nil || d.From != current.Version || d.BaseSum != current.Sum:
 		return ErrGap
 	}
-	next := now.WithChanges(d.To, &d.Set, d.Removed)
+	next := current.WithChanges(d.To, &d.Set, d.Removed)
 	if next.Sum != d.Sum {
 		return ErrChecksum
 	}
 	return s.Install(next, nil, source)
 }
 
-// enforce makes next the version in force unless a newer one came first.
-func (s *Store) enforce(next *Snapshot, source string) error {
+// activate activates next unless a newer version is already active.
+func (s *Store) activate(next *Snapshot, source string) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	now := s.Current()
-	if now != nil && next.Version <= now.Version {
+	current := s.Current()
+	if current != nil && next.Version <= current.Version {
 		return ErrOld
 	}
-	if now != nil {
-		s.history.add(Diff(now, next))
+	if current != nil {
+		s.history.add(Diff(current, next))
 	}
-	s.force.Store(next)
-	s.since = s.Clock.Now()
-	if s.refused != nil && s.refused.Version <= next.Version {
-		s.refused = nil
+	s.current.Store(next)
+	s.activeSince = s.Clock.Now()
+	if s.rejection != nil && s.rejection.Version <= next.Version {
+		s.rejection = nil
 	}
 	s.changes.Inc()
-	s.Log.Info("config in force", "version", next.Version, "source", source, "records", next.Records)
-	for _, sub := range s.subs {
+	s.Log.Info("config activated", "version", next.Version, "source", source, "records", next.Records)
+	for _, sub := range s.subscribers {
 		publish(sub, next)
 	}
 	return nil
 }
 
-// publish replaces what a slow subscriber has not taken yet: only the newest
-// version counts. The caller holds mu, so nobody else sends.
+// publish replaces a version that a slow subscriber has not received yet, because only
+// the newest one matters. The caller holds mu, so there is no other sender.
 func publish(sub chan *Snapshot, next *Snapshot) {
 	select {
 	case <-sub:
@@ -211,89 +212,90 @@
 	sub <- next
 }
 
-// Subscribe returns a channel that holds the newest version not yet taken.
+// Subscribe returns a channel that always holds the newest version not yet received from
+// it.
 func (s *Store) Subscribe() <-chan *Snapshot {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	sub := make(chan *Snapshot, 1)
-	if now := s.Current(); now != nil {
-		sub <- now
+	if current := s.Current(); current != nil {
+		sub <- current
 	}
-	s.subs = append(s.subs, sub)
+	s.subscribers = append(s.subscribers, sub)
 	return sub
 }
 
-// refuse notes a version that is not put in force and returns why.
-func (s *Store) refuse(version int64, source, reason string) error {
-	s.rejects.Inc()
+// reject records a rejected version and returns the reason as an error.
+func (s *Store) reject(version int64, source, reason string) error {
+	s.rejections.Inc()
 	s.mu.Lock()
-	known := s.refused != nil && s.refused.Version == version && s.refused.Reason == reason
-	s.refused = &Rejection{Version: version, Source: source, Reason: reason, At: s.Clock.Now()}
+	known := s.rejection != nil && s.rejection.Version == version && s.rejection.Reason == reason
+	s.rejection = &Rejection{Version: version, Source: source, Reason: reason, At: s.Clock.Now()}
 	s.mu.Unlock()
 	if !known {
-		s.Log.Error("config refused", "version", version, "source", source, "reason", reason, "kept", s.Version())
+		s.Log.Error("config rejected", "version", version, "source", source, "reason", reason, "kept", s.Version())
 	}
 	return errors.Wrapf(ErrInvalid, "version %d: %s", version, reason)
 }
 
-// Reject notes a version that could not even be read.
+// Reject records a version that could not be parsed.
 func (s *Store) Reject(version int64, source string, faults []*setup.Fault) error {
 	s.init()
-	return s.refuse(version, source, join(faults))
+	return s.reject(version, source, joinFaults(faults))
 }
 
-// Compare tells of two contents under one version number. It comes from
-// publishing a number twice; processes would then differ without a sign, so
-// it shows in log and metric until a newer version ends it.
+// ReportConflict reports a version that has the number of the active one but another
+// checksum. This happens if a number is published twice. Processes would differ
+// unnoticed, so each conflict is counted and the first one of a version is logged.
 func (s *Store) ReportConflict(version int64, sum uint64, source string) {
-	now := s.Current()
-	if now == nil || version != now.Version || sum == now.Sum {
+	current := s.Current()
+	if current == nil || version != current.Version || sum == current.Sum {
 		return
 	}
 	s.init()
 	s.conflicts.Inc()
-	if s.conflict.Swap(version) != version {
-		s.Log.Error("config conflict", "version", version, "source", source, "sum", sum, "kept", now.Sum)
+	if s.lastConflict.Swap(version) != version {
+		s.Log.Error("config conflict", "version", version, "source", source, "sum", sum, "kept", current.Sum)
 	}
 }
 
-// Confirm notes that version was the newest at the time at.
+// Confirm records that version was the newest at the given time.
 func (s *Store) Confirm(version int64, at magno.Millis) {
 	if version != s.Version() {
 		return
 	}
 	for {
-		old := s.confirmed.Load()
-		if int64(at) <= old || s.confirmed.CompareAndSwap(old, int64(at)) {
+		old := s.confirmedAt.Load()
+		if int64(at) <= old || s.confirmedAt.CompareAndSwap(old, int64(at)) {
 			return
 		}
 	}
 }
 
-// Confirmed returns when the version in force was last known to be the newest.
-func (s *Store) Confirmed() magno.Millis { return magno.Millis(s.confirmed.Load()) }
+// Confirmed returns when the active version was last known to be the newest.
+func (s *Store) Confirmed() magno.Millis { return magno.Millis(s.confirmedAt.Load()) }
 
-// Since returns the deltas that lead from a version to the one in force; false
-// when they aren't kept.
+// DeltasSince returns the deltas from a version to the active one, or false if they are
+// no longer kept.
 func (s *Store) DeltasSince(version int64, sum uint64) ([]*Delta, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.history.since(version, sum)
 }
 
-// Status describes the present state.
+// Status returns the state of the store.
 func (s *Store) Status() Status {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	st := Status{Since: s.since, Confirmed: s.Confirmed(), Refused: s.refused}
-	if now := s.Current(); now != nil {
-		st.Version, st.Sum, st.Records = now.Version, now.Sum, now.Records
+	st := Status{Since: s.activeSince, Confirmed: s.Confirmed(), Refused: s.rejection}
+	if current := s.Current(); current != nil {
+		st.Version, st.Sum, st.Records = current.Version, current.Sum, current.Records
 	}
 	return st
 }
 
-// join makes one line of faults, the first in full.
-func join(faults []*setup.Fault) string {
+// joinFaults returns the first fault and the number of further ones.
+func joinFaults(faults []*setup.Fault) string {
 	if len(faults) == 1 {
 		return faults[0].Error()
 	}
--- a/magno/config/store_test.go
+++ b/magno/config/store_test.go
@@ -12,8 +12,8 @@
 	"magnoliastall.example/magno/check"
 )
 
-// sample returns a sound version with n adapters and profiles.
-func sample(version int64, n int) *magno.Config {
+// testConfig returns a valid version with n adapters and profiles.
+func testConfig(version int64, n int) *magno.Config {
 	cfg := &magno.Config{
 		Version:   version,
 		Customers: []magno.Customer{{Name: "delta", Weight: 1}},
@@ -29,21 +29,21 @@
 }
 
 func TestLookups(t *testing.T) {
-	s := NewSnapshot(sample(1, 3000))
+	s := NewSnapshot(testConfig(1, 3000))
 	p, ok := s.Profile("pa2999")
 	if !ok || p.Adapter != "a2999" || s.Records != 6000 {
 		t.Fatalf("got %+v, %d records", p, s.Records)
 	}
 	if !s.HasVersion(magno.Ref{Adapter: "a7", Version: "v2"}) || s.HasVersion(magno.Ref{Adapter: "a7", Version: "v"}) ||
 		s.HasVersion(magno.Ref{Adapter: "a7"}) {
-		t.Fatal("versions are mixed up")
+		t.Fatal("HasVersion is wrong for a version or a prefix of one")
 	}
 	if _, ok := s.Profile("none"); ok {
-		t.Fatal("found what isn't there")
+		t.Fatal("found a profile that doesn't exist")
 	}
 }
 
-// fill sets every field of a plain struct to something that isn't zero.
+// fill sets every field of a plain struct to a non-zero value.
 func fill(v reflect.Value) {
 	switch v.Kind() {
 	case reflect.String:
@@ -62,13 +62,12 @@
 			fill(v.Field(i))
 		}
 	default:
-		panic("teach fill about " + v.Kind().String())
+		panic("fill doesn't support " + v.Kind().String())
 	}
 }
 
-// Someone adds a field to a record of the root package. Were it not packed,
-// every process would drop it in silence, and operators' changes to it would
-// do nothing.
+// Guards against a new field of a record in the root package that isn't packed: every
+// process would drop it silently, and changes of it would have no effect.
 func TestRecordsKeepEveryField(t *testing.T) {
 	var a magno.Adapter
 	var p magno.Profile
@@ -82,32 +81,32 @@
 	if got, _ := s.Profile("x"); !reflect.DeepEqual(got, p) {
 		t.Fatalf("got %+v, want %+v", got, p)
 	}
-	// Each field counts in the sum.
+	// Each field is part of the checksum.
 	for i := range reflect.TypeFor[magno.Profile]().NumField() {
 		other := p
 		reflect.ValueOf(&other).Elem().Field(i).SetZero()
 		if next := NewSnapshot(&magno.Config{Profiles: []magno.Profile{other}, Adapters: cfg.Adapters}); next.Sum == s.Sum {
-			t.Fatalf("field %d of a profile is not in the sum", i)
+			t.Fatalf("field %d of a profile is not part of the checksum", i)
 		}
 	}
 }
 
-// draw makes a version with some of six adapters and their profiles, at
-// times with a fault.
-func draw(t *rapid.T, version int64) (cfg *magno.Config, sound bool) {
-	cfg = sample(version, 0)
+// drawConfig generates a version with some of six adapters and their profiles, sometimes
+// an invalid one.
+func drawConfig(t *rapid.T, version int64) (cfg *magno.Config, valid bool) {
+	cfg = testConfig(version, 0)
 	cfg.Customers[0].Weight = float64(rapid.IntRange(1, 3).Draw(t, "weight"))
 	for i := range 6 {
 		if !rapid.Bool().Draw(t, "there") {
 			continue
 		}
 		name := fmt.Sprintf("a%d", i)
-		at := rapid.SampledFrom([]string{"v1", "v2"}).Draw(t, "version")
-		cfg.Adapters = append(cfg.Adapters, magno.Adapter{Name: name, Base: "llama", Versions: []string{at}})
+		adapterVersion := rapid.SampledFrom([]string{"v1", "v2"}).Draw(t, "version")
+		cfg.Adapters = append(cfg.Adapters, magno.Adapter{Name: name, Base: "llama", Versions: []string{adapterVersion}})
 		cfg.Profiles = append(cfg.Profiles, magno.Profile{Name: "p" + name, Customer: "delta", Pool: "read",
-			Adapter: name, Version: at})
+			Adapter: name, Version: adapterVersion})
 	}
-	// Rosters only gain, so that any later version may follow any earlier one.
+	// Rosters are only added, so that any later version may follow any earlier one.
 	for i := range magno.Millis(version / 3) {
 		cfg.Rosters = append(cfg.Rosters, magno.Roster{Since: i, Until: i + 1, Members: []string{"m"}})
 	}
@@ -118,19 +117,19 @@
 	return cfg, true
 }
 
-// Versions reach a process in any order: from a stale service, from peers
-// ahead and behind, as deltas that fit or don't, sound or not. A user notices a
-// failure here as requests that run on a retired version, or not at all.
-func TestNeverBackNeverBad(t *testing.T) {
+// Versions reach a process in any order: from a stale service, from peers that are ahead
+// or behind, and as deltas that match or not, valid or not. If this fails, requests run
+// on a retired version or not at all.
+func TestVersionNeverDecreasesNorIsInvalid(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		published := []*magno.Config{}
-		sound := map[int64]bool{}
+		valid := map[int64]bool{}
 		for v := int64(1); v <= 8; v++ {
-			cfg, ok := draw(t, v)
-			published, sound[v] = append(published, cfg), ok
+			cfg, ok := drawConfig(t, v)
+			published, valid[v] = append(published, cfg), ok
 		}
 		s := &Store{}
-		var high int64
+		var highest int64
 		for range 30 {
 			from := published[rapid.IntRange(0, 7).Draw(t, "from")]
 			to := published[rapid.IntRange(0, 7).Draw(t, "to")]
@@ -149,29 +148,28 @@
 					t.Fatal("a damaged delta was applied")
 				}
 			}
-			now := s.Current()
-			if now == nil {
+			current := s.Current()
+			if current == nil {
 				continue
 			}
-			if now.Version < high || !sound[now.Version] || (err == nil && now.Version != to.Version) {
-				t.Fatalf("version %d after %d, sound %v, err %v", now.Version, high, sound[now.Version], err)
+			if current.Version < highest || !valid[current.Version] || (err == nil && current.Version != to.Version) {
+				t.Fatalf("version %d after %d, valid %v, err %v", current.Version, highest, valid[current.Version], err)
 			}
-			high = now.Version
-			want := NewSnapshot(published[now.Version-1])
-			if now.Sum != want.Sum || now.Records != want.Records || Diff(now, want).RecordCount() != 0 {
-				t.Fatalf("version %d has other content than was published", now.Version)
+			highest = current.Version
+			want := NewSnapshot(published[current.Version-1])
+			if current.Sum != want.Sum || current.Records != want.Records || Diff(current, want).RecordCount() != 0 {
+				t.Fatalf("version %d has other content than published", current.Version)
 			}
 		}
 	})
 }
 
-// A peer two versions behind asks for what it lacks; the deltas must lead it
-// to the same content, and a peer with other content under the same number must
-// not get them.
-func TestDeltasLeadOn(t *testing.T) {
+// A peer two versions behind requests deltas, which must lead it to the same content. A
+// peer with other content under the same number must not get them.
+func TestDeltasReachTheCurrentVersion(t *testing.T) {
 	s, behind := &Store{}, &Store{}
 	for v := int64(1); v <= 5; v++ {
-		cfg := sample(v, int(10*v))
+		cfg := testConfig(v, int(10*v))
 		if err := s.Load(cfg, nil, "test"); err != nil {
 			t.Fatal(err)
 		}
@@ -194,17 +192,17 @@
 		t.Fatal("other content")
 	}
 	if _, ok := s.DeltasSince(3, 1); ok {
-		t.Fatal("deltas were given to a peer with other content")
+		t.Fatal("a peer with other content got deltas")
 	}
 }
 
-// A slow subscriber must get the newest version, never hold up the store, and
-// never see an older one after a newer.
+// A slow subscriber must get the newest version, must not block the store, and must never
+// get an older version after a newer one.
 func TestSubscribersGetTheNewest(t *testing.T) {
 	s := &Store{}
 	sub := s.Subscribe()
 	for v := int64(1); v <= 3; v++ {
-		if err := s.Load(sample(v, 1), nil, "test"); err != nil {
+		if err := s.Load(testConfig(v, 1), nil, "test"); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -213,23 +211,23 @@
 	}
 }
 
-// A bad version stays visible to operators until a newer one comes.
-func TestRefusedIsShown(t *testing.T) {
+// A rejected version must stay visible to operators until a newer one is activated.
+func TestRejectionIsReported(t *testing.T) {
 	s := &Store{Check: &check.Checker{}}
-	_ = s.Load(sample(1, 2), nil, "test")
-	bad := sample(2, 2)
+	_ = s.Load(testConfig(1, 2), nil, "test")
+	bad := testConfig(2, 2)
 	bad.Profiles[1].Adapter = "none"
 	if err := s.Load(bad, nil, "reader"); err == nil {
-		t.Fatal("taken")
+		t.Fatal("an invalid version was accepted")
 	}
 	st := s.Status()
 	if st.Version != 1 || st.Refused == nil || st.Refused.Version != 2 || st.Refused.Source != "reader" {
 		t.Fatalf("got %+v", st)
 	}
-	if err := s.Load(sample(1, 3), nil, "test"); !errors.Is(err, ErrOld) {
+	if err := s.Load(testConfig(1, 3), nil, "test"); !errors.Is(err, ErrOld) {
 		t.Fatalf("got %v", err)
 	}
-	if err := s.Load(sample(3, 2), nil, "test"); err != nil || s.Status().Refused != nil {
+	if err := s.Load(testConfig(3, 2), nil, "test"); err != nil || s.Status().Refused != nil {
 		t.Fatalf("err %v, status %+v", err, s.Status())
 	}
 }
