--- a/magno/mend/mend.go
+++ b/magno/mend/mend.go
@@ -1,16 +1,15 @@
-// Package mend brings a process to the version of the configuration that a
-// peer holds, when the deltas that ride on gossip can't.
+// Package mend synchronizes the configuration of a process with that of a peer when the
+// deltas sent with gossip can't.
 //
-//	Pull: have N --> Serve: deltas from N, or the sums of all groups
-//	      want groups --> records of those that differ, a part at a time
-//	      all sums equal --> checked --> in force
+//	Pull: have N --> Serve: deltas from N, or the checksums of all buckets
+//	      want buckets --> records of those that differ, a part at a time
+//	      all checksums equal --> validated --> active
 //
-// The load is 750 processes a day that start empty, and after a cut many that
-// are far behind, with 260,000 records to fetch. Were they to read the
-// platform, a fleet that starts at once would need a thousand reads from each of
-// 2,600 processes, and the service gives 2,000 a second. Groups that came are
-// kept when the peer moves on to a newer version meanwhile, so a pull ends even
-// while operators publish all the time.
+// 750 processes a day start empty, and after a partition many are far behind, with
+// 260,000 records to fetch. If they read them from the platform, a fleet of 2,600
+// processes starting at once would need a thousand reads each, and the service allows
+// 2,000 a second. Buckets that were received are kept when the peer activates a newer
+// version meanwhile, so a pull completes even if operators publish continuously.
 package mend
 
 import (
@@ -22,103 +21,103 @@
 	"magnoliastall.example/magno/config"
 )
 
-// Limits of one answer and one pull.
+// Limits of a reply and of a pull.
 const (
-	// replyRecords keeps an answer near half a megabyte.
-	replyRecords = 4096
-	// askGroups is how many groups are asked for at once.
-	askGroups = 64
-	// maxAsks ends a pull from a peer that gives no end; a whole version of
-	// 260,000 records takes some 70.
-	maxAsks = 2000
+	// maxReplyRecords limits a reply to about half a megabyte.
+	maxReplyRecords = 4096
+	// maxRequestBuckets is the number of buckets requested at once.
+	maxRequestBuckets = 64
+	// maxRequests ends a pull from a peer that never completes it. A full version of
+	// 260,000 records takes about 70 requests.
+	maxRequests = 2000
 )
 
-// Ask is what a process wants from a peer.
+// Request asks a peer for a newer version.
 type Request struct {
-	// Version and Sum are what it has; zero for nothing.
+	// Version and Sum describe the version that the process has, zero for none.
 	Version int64  `json:"version"`
 	Sum     uint64 `json:"sum"`
-	// Want lists groups whose records are asked for; empty asks for deltas or
-	// sums.
+	// WantBuckets lists the buckets whose records are requested. If empty, deltas or
+	// checksums are requested.
 	WantBuckets []int `json:"want,omitempty"`
 }
 
-// Group is the records of one group.
+// BucketRecords holds the records of one bucket.
 type BucketRecords struct {
 	Index   int          `json:"index"`
 	Records magno.Config `json:"records"`
 }
 
-// Reply answers an Ask with what the peer has in force.
+// Reply answers a Request with the peer's active version.
 type Reply struct {
 	Version int64  `json:"version"`
 	Sum     uint64 `json:"sum"`
-	// Deltas lead from the asker's version to Version.
+	// Deltas leads from the version in the request to Version.
 	Deltas []*config.Delta `json:"deltas,omitempty"`
-	// Sums of all groups at Version.
+	// BucketSums holds the checksums of all buckets at Version.
 	BucketSums []uint64        `json:"sums,omitempty"`
 	Buckets    []BucketRecords `json:"groups,omitempty"`
 }
 
-// Syncer serves and pulls versions of one store.
+// Syncer serves and pulls versions of a store.
 type Syncer struct {
 	Store *config.Store
 }
 
-// errPeer means that a peer's answers don't lead anywhere.
-var errPeer = errors.New("the peer's answers lead to no version")
+// errNoProgress means that a peer's replies don't lead to a complete version.
+var errNoProgress = errors.New("the peer's replies don't lead to a complete version")
 
-// Serve answers a peer.
-func (m *Syncer) Serve(ask Request) Reply {
-	now := m.Store.Current()
-	if now == nil {
+// Serve answers a request of a peer.
+func (s *Syncer) Serve(request Request) Reply {
+	current := s.Store.Current()
+	if current == nil {
 		return Reply{}
 	}
-	reply := Reply{Version: now.Version, Sum: now.Sum}
-	if len(ask.WantBuckets) > 0 {
-		reply.Buckets = groups(now, ask.WantBuckets)
+	reply := Reply{Version: current.Version, Sum: current.Sum}
+	if len(request.WantBuckets) > 0 {
+		reply.Buckets = bucketRecords(current, request.WantBuckets)
 		return reply
 	}
-	if ask.Version >= now.Version {
+	if request.Version >= current.Version {
 		return reply
 	}
-	if deltas, ok := m.Store.DeltasSince(ask.Version, ask.Sum); ok {
+	if deltas, ok := s.Store.DeltasSince(request.Version, request.Sum); ok {
 		reply.Deltas = deltas
 		return reply
 	}
-	reply.BucketSums = now.BucketSums()
+	reply.BucketSums = current.BucketSums()
 	return reply
 }
 
-// groups returns the first of the wanted groups, as many as one answer takes.
-func groups(now *config.Snapshot, want []int) []BucketRecords {
+// bucketRecords returns the first of the wanted buckets, as many as fit into one reply.
+func bucketRecords(snapshot *config.Snapshot, want []int) []BucketRecords {
 	var out []BucketRecords
 	n := 0
 	for _, i := range want {
-		if i < 0 || i > config.SmallListsBucket || n >= replyRecords {
+		if i < 0 || i > config.SmallListsBucket || n >= maxReplyRecords {
 			break
 		}
-		cfg := now.Bucket(i)
+		cfg := snapshot.Bucket(i)
 		n += len(cfg.Adapters) + len(cfg.Profiles) + 1
 		out = append(out, BucketRecords{Index: i, Records: *cfg})
 	}
 	return out
 }
 
-// Pull asks the peer behind call until this store has the peer's version. told
-// is the version that the peer last named.
-func (m *Syncer) Pull(ctx context.Context, source string, call func(context.Context, Request) (Reply, error)) (told int64, err error) {
-	p := pull{store: m.Store, source: source, call: call, work: m.Store.Current()}
-	if p.work == nil {
-		p.work = config.Empty()
+// Pull sends requests to a peer through call until this store has the peer's version.
+// peerVersion is the version in the peer's last reply.
+func (s *Syncer) Pull(ctx context.Context, source string, call func(context.Context, Request) (Reply, error)) (peerVersion int64, err error) {
+	p := pull{store: s.Store, source: source, call: call, partial: s.Store.Current()}
+	if p.partial == nil {
+		p.partial = config.Empty()
 	}
-	for p.asks < maxAsks {
-		done, err := p.round(ctx)
+	for p.requests < maxRequests {
+		done, err := p.attempt(ctx)
 		if done || err != nil {
-			return p.told, err
+			return p.peerVersion, err
 		}
 	}
-	return p.told, errPeer
+	return p.peerVersion, errNoProgress
 }
 
 // pull is the state of one Pull.
@@ -126,47 +125,47 @@
 	store  *config.Store
 	source string
 	call   func(context.Context, Request) (Reply, error)
-	// work is the version as far as it came; groups in it stay when the peer
-	// moves on.
-	work *config.Snapshot
-	asks int
-	told int64
+	// partial is the version received so far. Its buckets are kept when the peer
+	// activates a newer version.
+	partial     *config.Snapshot
+	requests    int
+	peerVersion int64
 }
 
-func (p *pull) ask(ctx context.Context, ask Request) (Reply, error) {
-	p.asks++
-	reply, err := p.call(ctx, ask)
+func (p *pull) send(ctx context.Context, request Request) (Reply, error) {
+	p.requests++
+	reply, err := p.call(ctx, request)
 	if err == nil {
-		p.told = reply.Version
+		p.peerVersion = reply.Version
 	}
 	return reply, err
 }
 
-// round goes for the version that the peer has now; false when the peer moved
-// on before all of it came.
-func (p *pull) round(ctx context.Context) (bool, error) {
-	ask := Request{Version: p.store.Version()}
-	if now := p.store.Current(); now != nil {
-		ask.Sum = now.Sum
+// attempt pulls the peer's current version. It returns false if the peer's version
+// changed before it was complete.
+func (p *pull) attempt(ctx context.Context) (bool, error) {
+	request := Request{Version: p.store.Version()}
+	if current := p.store.Current(); current != nil {
+		request.Sum = current.Sum
 	}
-	reply, err := p.ask(ctx, ask)
+	reply, err := p.send(ctx, request)
 	if err != nil {
 		return false, err
 	}
-	if reply.Version <= ask.Version {
+	if reply.Version <= request.Version {
 		return true, nil
 	}
 	if len(reply.Deltas) > 0 {
-		return p.apply(reply.Deltas)
+		return p.applyDeltas(reply.Deltas)
 	}
 	if len(reply.BucketSums) != config.Buckets+1 {
-		return false, errPeer
+		return false, errNoProgress
 	}
-	whole, err := p.fetch(ctx, &reply)
+	whole, err := p.fetchBuckets(ctx, &reply)
 	if !whole || err != nil {
 		return false, err
 	}
-	next := p.work.WithVersion(reply.Version)
+	next := p.partial.WithVersion(reply.Version)
 	if next.Sum != reply.Sum {
 		return false, config.ErrChecksum
 	}
@@ -174,12 +173,12 @@
 	return true, ignoreOld(err)
 }
 
-// apply puts deltas in force one after the other.
-func (p *pull) apply(deltas []*config.Delta) (bool, error) {
+// applyDeltas applies deltas in order.
+func (p *pull) applyDeltas(deltas []*config.Delta) (bool, error) {
 	for _, d := range deltas {
 		err := ignoreOld(p.store.Apply(d, p.source))
 		if errors.Is(err, config.ErrGap) {
-			// The store moved meanwhile; ask again from where it is.
+			// The store changed meanwhile; ask again from its new version.
 			return false, nil
 		}
 		if err != nil {
@@ -196,32 +195,33 @@
 	return err
 }
 
-// fetch replaces the groups that differ; false when the peer moved on.
-func (p *pull) fetch(ctx context.Context, target *Reply) (bool, error) {
+// fetchBuckets replaces the buckets that differ. It returns false if the peer's version
+// changed.
+func (p *pull) fetchBuckets(ctx context.Context, target *Reply) (bool, error) {
 	for {
-		want := differ(p.work.BucketSums(), target.BucketSums)
+		want := differingBuckets(p.partial.BucketSums(), target.BucketSums)
 		if len(want) == 0 {
 			return true, nil
 		}
-		reply, err := p.ask(ctx, Request{Version: p.store.Version(), WantBuckets: want[:min(len(want), askGroups)]})
+		reply, err := p.send(ctx, Request{Version: p.store.Version(), WantBuckets: want[:min(len(want), maxRequestBuckets)]})
 		if err != nil {
 			return false, err
 		}
 		for _, g := range reply.Buckets {
 			if g.Index >= 0 && g.Index <= config.SmallListsBucket {
-				p.work = p.work.WithBucket(g.Index, &g.Records)
+				p.partial = p.partial.WithBucket(g.Index, &g.Records)
 			}
 		}
 		if reply.Version != target.Version {
 			return false, nil
 		}
-		if len(reply.Buckets) == 0 || p.asks >= maxAsks || len(differ(p.work.BucketSums(), target.BucketSums)) == len(want) {
-			return false, errPeer
+		if len(reply.Buckets) == 0 || p.requests >= maxRequests || len(differingBuckets(p.partial.BucketSums(), target.BucketSums)) == len(want) {
+			return false, errNoProgress
 		}
 	}
 }
 
-func differ(have, want []uint64) []int {
+func differingBuckets(have, want []uint64) []int {
 	var out []int
 	for i := range want {
 		if have[i] != want[i] {
--- a/magno/mend/mend_test.go
+++ b/magno/mend/mend_test.go
@@ -11,7 +11,7 @@
 	"magnoliastall.example/magno/config"
 )
 
-func sample(version int64, n int) *magno.Config {
+func testConfig(version int64, n int) *magno.Config {
 	cfg := &magno.Config{
 		Version:   version,
 		Customers: []magno.Customer{{Name: "delta", Weight: 1}},
@@ -26,13 +26,14 @@
 	return cfg
 }
 
-// through sends both sides as JSON, as the wire does.
-func through(m *Syncer) func(context.Context, Request) (Reply, error) {
-	return func(_ context.Context, ask Request) (Reply, error) {
+// callOver calls s directly, with the request and the reply encoded as JSON like on the
+// network.
+func callOver(s *Syncer) func(context.Context, Request) (Reply, error) {
+	return func(_ context.Context, request Request) (Reply, error) {
 		var in Request
-		text, _ := json.Marshal(ask)
+		text, _ := json.Marshal(request)
 		_ = json.Unmarshal(text, &in)
-		text, _ = json.Marshal(m.Serve(in))
+		text, _ = json.Marshal(s.Serve(in))
 		var out Reply
 		err := json.Unmarshal(text, &out)
 		return out, err
@@ -46,56 +47,55 @@
 	}
 }
 
-// A process starts with nothing beside peers that have it all, one that has an
-// old version, and one that only lacks the last changes.
+// A process with no version, an old version or the current version pulls from a peer.
 func TestPull(t *testing.T) {
 	peer := &config.Store{}
-	load(t, peer, sample(7, 6000))
+	load(t, peer, testConfig(7, 6000))
 	for _, have := range []int64{0, 3, 7} {
 		own := &config.Store{}
 		if have > 0 {
-			load(t, own, sample(have, 100))
+			load(t, own, testConfig(have, 100))
 		}
-		told, err := (&Syncer{Store: own}).Pull(context.Background(), "peer", through(&Syncer{Store: peer}))
-		if err != nil || told != 7 || own.Version() != 7 || (have < 7 && own.Current().Sum != peer.Current().Sum) {
-			t.Fatalf("from %d: told %d, have %d, %v", have, told, own.Version(), err)
+		peerVersion, err := (&Syncer{Store: own}).Pull(context.Background(), "peer", callOver(&Syncer{Store: peer}))
+		if err != nil || peerVersion != 7 || own.Version() != 7 || (have < 7 && own.Current().Sum != peer.Current().Sum) {
+			t.Fatalf("from %d: peer version %d, have %d, %v", have, peerVersion, own.Version(), err)
 		}
 	}
 }
 
-// Operators publish while a process fetches: the peer has another version at
-// each question. The pull must still end, and with a content that was published,
-// never with a mixture of two versions.
-func TestPeerMovesOn(t *testing.T) {
+// Operators publish while a process pulls, so the peer has another version at each
+// request. The pull must still complete, with a published content and never with a
+// mixture of two versions.
+func TestPeerPublishesDuringPull(t *testing.T) {
 	peer, own := &config.Store{}, &config.Store{}
-	load(t, peer, sample(1, 5000))
+	load(t, peer, testConfig(1, 5000))
 	sums := map[int64]uint64{1: peer.Current().Sum}
-	serve := through(&Syncer{Store: peer})
-	next := sample(1, 5000)
-	_, err := (&Syncer{Store: own}).Pull(context.Background(), "peer", func(ctx context.Context, ask Request) (Reply, error) {
+	serve := callOver(&Syncer{Store: peer})
+	next := testConfig(1, 5000)
+	_, err := (&Syncer{Store: own}).Pull(context.Background(), "peer", func(ctx context.Context, request Request) (Reply, error) {
 		if next.Version < 12 {
 			next.Version++
 			next.Adapters[next.Version].Versions = append(next.Adapters[next.Version].Versions, "more")
 			load(t, peer, next)
 			sums[next.Version] = peer.Current().Sum
 		}
-		return serve(ctx, ask)
+		return serve(ctx, request)
 	})
 	if err != nil || own.Current() == nil || sums[own.Version()] != own.Current().Sum {
 		t.Fatalf("version %d, %v", own.Version(), err)
 	}
 }
 
-// A peer answers with damaged records, or with an unsound version. Nothing of
-// it may come into force, and the pull must end.
+// A peer replies with corrupt records or with an invalid version. None of it may become
+// active, and the pull must end.
 func TestDamagedPeer(t *testing.T) {
 	peer := &config.Store{}
-	load(t, peer, sample(2, 300))
+	load(t, peer, testConfig(2, 300))
 	own := &config.Store{}
-	load(t, own, sample(1, 300))
-	serve := through(&Syncer{Store: peer})
-	_, err := (&Syncer{Store: own}).Pull(context.Background(), "peer", func(ctx context.Context, ask Request) (Reply, error) {
-		reply, err := serve(ctx, ask)
+	load(t, own, testConfig(1, 300))
+	serve := callOver(&Syncer{Store: peer})
+	_, err := (&Syncer{Store: own}).Pull(context.Background(), "peer", func(ctx context.Context, request Request) (Reply, error) {
+		reply, err := serve(ctx, request)
 		for i := range reply.Buckets {
 			reply.Buckets[i].Records.Profiles = nil
 		}
@@ -104,13 +104,13 @@
 	if err == nil || own.Version() != 1 {
 		t.Fatalf("version %d, %v", own.Version(), err)
 	}
-	bad := sample(3, 10)
+	bad := testConfig(3, 10)
 	bad.Profiles[0].Adapter = "none"
 	snap := config.NewSnapshot(bad)
-	_, err = (&Syncer{Store: own}).Pull(context.Background(), "peer", func(_ context.Context, ask Request) (Reply, error) {
+	_, err = (&Syncer{Store: own}).Pull(context.Background(), "peer", func(_ context.Context, request Request) (Reply, error) {
 		reply := Reply{Version: 3, Sum: snap.Sum, BucketSums: snap.BucketSums()}
-		if len(ask.WantBuckets) > 0 {
-			reply.Buckets = groups(snap, ask.WantBuckets)
+		if len(request.WantBuckets) > 0 {
+			reply.Buckets = bucketRecords(snap, request.WantBuckets)
 		}
 		return reply, nil
 	})
