--- a/magno/watch/http.go
+++ b/magno/watch/http.go
@@ -11,20 +11,21 @@
 	"magnoliastall.example/magno/fetch"
 )
 
-// maxWait bounds what a service may ask with Retry-After.
-const maxWait = 30 * magno.Second
+// maxRetryAfter limits the wait that the service can request with Retry-After.
+const maxRetryAfter = 30 * magno.Second
 
-// busyError means that the service is over its rate.
-type busyError struct {
-	after magno.Millis
+// rateLimitError means that the service answered 429.
+type rateLimitError struct {
+	wait magno.Millis
 }
 
-// Error tells how long to wait.
-func (e *busyError) Error() string {
-	return fmt.Sprintf("the service is over its rate; wait %d ms", e.after)
+// Error implements error.
+func (e *rateLimitError) Error() string {
+	return fmt.Sprintf("rate limit of the service exceeded; retry after %d ms", e.wait)
 }
 
-// get reads a path, with the service's revision where the answer has one.
+// get reads a path. It returns the body and the service's revision, which is zero if the
+// response has none.
 func (r *Reader) get(ctx context.Context, path string) ([]byte, int64, error) {
 	if err := r.limiter.Wait(ctx); err != nil {
 		return nil, 0, err
@@ -34,22 +35,22 @@
 	r.bytes.Add(len(answer.Body))
 	switch {
 	case answer.Status == http.StatusTooManyRequests:
-		return nil, 0, &busyError{after: retryAfter(answer.Header)}
+		return nil, 0, &rateLimitError{wait: parseRetryAfter(answer.Header)}
 	case err == nil && answer.Status != http.StatusOK:
 		return nil, 0, fmt.Errorf("GET %s: status %d", path, answer.Status)
 	case err != nil:
 		return nil, 0, err
 	}
-	// A shard over the limit goes on, for the check to refuse its version.
+	// An oversized shard is passed on, so that the check rejects its version.
 	revision, _ := strconv.ParseInt(answer.Header.Get("X-Revision"), 10, 64)
 	return answer.Body, revision, nil
 }
 
-// retryAfter returns what the service asks for, a second by default.
-func retryAfter(header http.Header) magno.Millis {
+// parseRetryAfter returns the wait requested by the service, one second by default.
+func parseRetryAfter(header http.Header) magno.Millis {
 	seconds, err := strconv.ParseInt(header.Get("Retry-After"), 10, 32)
 	if err != nil || seconds < 0 {
 		return magno.Second
 	}
-	return min(magno.Millis(seconds)*magno.Second, maxWait)
+	return min(magno.Millis(seconds)*magno.Second, maxRetryAfter)
 }
--- a/magno/watch/load.go
+++ b/magno/watch/load.go
@@ -11,64 +11,63 @@
 	"magnoliastall.example/magno/setup"
 )
 
-// shard is what a reader remembers of one value: its sum, and which records
-// it held, to tell what a change takes away.
+// shard holds what a reader remembers of one shard: its checksum, and the names of its
+// records, from which removed records are found.
 type shard struct {
 	sum     string
 	names   check.Removed
 	rosters []magno.Roster
 }
 
-// load is the making of one version from the one before.
-type load struct {
+// versionBuilder builds a version from the previous one and the changed shards.
+type versionBuilder struct {
 	reader *Reader
-	// old holds the names that the changed and dropped shards had, seen those
-	// that the changed ones have now.
-	old, seen names
-	// next is the version as far as it is made; pending goes in with the next
-	// flush.
-	next    *config.Snapshot
-	pending magno.Config
-	version int64
-	shards  map[string]shard
-	texts   []check.Shard
-	size    int
-	faults  []*setup.Fault
-}
-
-// names is a set for each list.
-type names struct {
+	// oldNames holds the names that the changed and removed shards had, currentNames
+	// those that the changed shards have now.
+	oldNames, currentNames nameSets
+	// next is the version built so far; pending is added to it on the next flush.
+	next       *config.Snapshot
+	pending    magno.Config
+	version    int64
+	shards     map[string]shard
+	shardTexts []check.Shard
+	textBytes  int
+	faults     []*setup.Fault
+}
+
+// nameSets holds a set of names for each list.
+type nameSets struct {
 	customers, pools, adapters, profiles, drained map[string]bool
 }
 
-func newNames() names {
-	return names{map[string]bool{}, map[string]bool{}, map[string]bool{}, map[string]bool{}, map[string]bool{}}
+func newNameSets() nameSets {
+	return nameSets{map[string]bool{}, map[string]bool{}, map[string]bool{}, map[string]bool{}, map[string]bool{}}
 }
 
-func (n names) add(g check.Removed) {
-	mark(n.customers, g.Customers)
-	mark(n.pools, g.Pools)
-	mark(n.adapters, g.Adapters)
-	mark(n.profiles, g.Profiles)
-	mark(n.drained, g.Drained)
+func (n nameSets) add(g check.Removed) {
+	addAll(n.customers, g.Customers)
+	addAll(n.pools, g.Pools)
+	addAll(n.adapters, g.Adapters)
+	addAll(n.profiles, g.Profiles)
+	addAll(n.drained, g.Drained)
 }
 
-func mark(set map[string]bool, list []string) {
+func addAll(set map[string]bool, list []string) {
 	for _, name := range list {
 		set[name] = true
 	}
 }
 
-// without lists what n has and other has not.
-func (n names) without(other names) check.Removed {
+// minus returns the names in n that are not in other.
+func (n nameSets) minus(other nameSets) check.Removed {
 	return check.Removed{
-		Customers: minus(n.customers, other.customers), Pools: minus(n.pools, other.pools),
-		Adapters: minus(n.adapters, other.adapters), Profiles: minus(n.profiles, other.profiles),
-		Drained: minus(n.drained, other.drained),
+		Customers: setDifference(n.customers, other.customers), Pools: setDifference(n.pools, other.pools),
+		Adapters: setDifference(n.adapters, other.adapters), Profiles: setDifference(n.profiles, other.profiles),
+		Drained: setDifference(n.drained, other.drained),
 	}
 }
 
-func minus(a, b map[string]bool) []string {
+func setDifference(a, b map[string]bool) []string {
 	var out []string
 	for name := range a {
 		if !b[name] {
@@ -78,89 +77,89 @@
 	return out
 }
 
-// load reads the shards of index that changed.
-func (r *Reader) load(ctx context.Context, index *pack.Index) (*load, error) {
-	l := &load{reader: r, old: newNames(), seen: newNames(), next: r.base, version: index.Version, shards: map[string]shard{}}
+// buildVersion reads the changed shards of the index and builds its version.
+func (r *Reader) buildVersion(ctx context.Context, index *pack.Index) (*versionBuilder, error) {
+	b := &versionBuilder{reader: r, oldNames: newNameSets(), currentNames: newNameSets(), next: r.base, version: index.Version, shards: map[string]shard{}}
 	var changed []pack.Shard
 	for _, s := range index.Shards {
 		if known, ok := r.shards[s.Name]; ok && known.sum == s.Sum {
-			l.shards[s.Name] = known
+			b.shards[s.Name] = known
 			continue
 		}
 		changed = append(changed, s)
 	}
 	for name, s := range r.shards {
-		if _, kept := l.shards[name]; !kept {
-			l.old.add(s.names)
+		if _, kept := b.shards[name]; !kept {
+			b.oldNames.add(s.names)
 		}
 	}
 	for len(changed) > 0 {
-		n := min(abreast, len(changed))
-		texts, err := r.fetch(ctx, changed[:n])
+		n := min(maxParallelReads, len(changed))
+		texts, err := r.fetchShards(ctx, changed[:n])
 		if err != nil {
 			return nil, err
 		}
 		for i, text := range texts {
-			l.add(changed[i], text)
+			b.addShard(changed[i], text)
 		}
 		changed = changed[n:]
 	}
-	l.finish(index)
-	return l, nil
+	b.finish(index)
+	return b, nil
 }
 
-// fetch reads a few shards at once and compares their sums.
-func (r *Reader) fetch(ctx context.Context, shards []pack.Shard) ([]check.Shard, error) {
+// fetchShards reads shards in parallel and verifies their checksums.
+func (r *Reader) fetchShards(ctx context.Context, shards []pack.Shard) ([]check.Shard, error) {
 	texts := make([]check.Shard, len(shards))
-	ends := make(chan error, len(shards))
+	errs := make(chan error, len(shards))
 	for i, s := range shards {
 		go func() {
 			var err error
-			texts[i], err = r.shard(ctx, s)
-			ends <- err
+			texts[i], err = r.fetchShard(ctx, s)
+			errs <- err
 		}()
 	}
 	var first error
 	for range shards {
-		if err := <-ends; err != nil && first == nil {
+		if err := <-errs; err != nil && first == nil {
 			first = err
 		}
 	}
 	return texts, first
 }
 
-func (r *Reader) shard(ctx context.Context, s pack.Shard) (check.Shard, error) {
+func (r *Reader) fetchShard(ctx context.Context, s pack.Shard) (check.Shard, error) {
 	data, _, err := r.get(ctx, "/v1/value/"+s.Key())
 	if err != nil {
 		return check.Shard{}, err
 	}
 	if sum := pack.Checksum(data); sum != s.Sum {
-		return check.Shard{}, fmt.Errorf("shard %s has sum %s, the index says %s", s.Name, sum, s.Sum)
+		return check.Shard{}, fmt.Errorf("shard %s has sum %s, the index has %s", s.Name, sum, s.Sum)
 	}
 	text, err := pack.Decompress(data, check.MaxShardBytes)
 	return check.Shard{Name: s.Name, Text: text}, err
 }
 
-// add takes the records of one changed shard.
-func (l *load) add(s pack.Shard, text check.Shard) {
-	cfg, fault := l.reader.Store.Parse(text)
+// addShard adds the records of a changed shard.
+func (b *versionBuilder) addShard(s pack.Shard, text check.Shard) {
+	cfg, fault := b.reader.Store.Parse(text)
 	if fault != nil {
-		l.faults = append(l.faults, fault)
+		b.faults = append(b.faults, fault)
 		return
 	}
-	l.size += len(text.Text)
-	l.texts = keep(l.texts, l.size, text)
-	had := namesOf(&cfg)
-	l.doubles(s.Name, had)
-	l.seen.add(had)
-	l.shards[s.Name] = shard{sum: s.Sum, names: had, rosters: cfg.Rosters}
-	l.news(&cfg)
-	if len(l.pending.Adapters)+len(l.pending.Profiles) > flushRecords {
-		l.flush()
+	b.textBytes += len(text.Text)
+	b.shardTexts = appendText(b.shardTexts, b.textBytes, text)
+	names := recordNames(&cfg)
+	b.findDuplicates(s.Name, names)
+	b.currentNames.add(names)
+	b.shards[s.Name] = shard{sum: s.Sum, names: names, rosters: cfg.Rosters}
+	b.addChanged(&cfg)
+	if len(b.pending.Adapters)+len(b.pending.Profiles) > flushRecords {
+		b.flush()
 	}
 }
 
-func namesOf(cfg *magno.Config) check.Removed {
+func recordNames(cfg *magno.Config) check.Removed {
 	var g check.Removed
 	for i := range cfg.Customers {
 		g.Customers = append(g.Customers, cfg.Customers[i].Name)
@@ -178,69 +177,69 @@
 	return g
 }
 
-// doubles finds names that another shard holds as well. Two records of one
-// name would give whichever was read last, other ones in other processes.
-func (l *load) doubles(file string, had check.Removed) {
-	base := l.reader.base
-	l.double(file, "customers", had.Customers, l.old.customers, l.seen.customers, func(n string) bool {
+// findDuplicates reports names that another shard holds as well. With two records of one
+// name, the one that was read last would win, which can differ between processes.
+func (b *versionBuilder) findDuplicates(file string, names check.Removed) {
+	base := b.reader.base
+	b.findDuplicatesIn(file, "customers", names.Customers, b.oldNames.customers, b.currentNames.customers, func(n string) bool {
 		_, ok := base.Customer(n)
 		return ok
 	})
-	l.double(file, "pools", had.Pools, l.old.pools, l.seen.pools, func(n string) bool {
+	b.findDuplicatesIn(file, "pools", names.Pools, b.oldNames.pools, b.currentNames.pools, func(n string) bool {
 		_, ok := base.Pool(n)
 		return ok
 	})
-	l.double(file, "adapters", had.Adapters, l.old.adapters, l.seen.adapters, func(n string) bool {
+	b.findDuplicatesIn(file, "adapters", names.Adapters, b.oldNames.adapters, b.currentNames.adapters, func(n string) bool {
 		_, ok := base.Adapter(n)
 		return ok
 	})
-	l.double(file, "profiles", had.Profiles, l.old.profiles, l.seen.profiles, func(n string) bool {
+	b.findDuplicatesIn(file, "profiles", names.Profiles, b.oldNames.profiles, b.currentNames.profiles, func(n string) bool {
 		_, ok := base.Profile(n)
 		return ok
 	})
-	l.double(file, "drained", had.Drained, l.old.drained, l.seen.drained, base.Drained)
+	b.findDuplicatesIn(file, "drained", names.Drained, b.oldNames.drained, b.currentNames.drained, base.Drained)
 }
 
-func (l *load) double(file, list string, had []string, old, seen map[string]bool, inBase func(string) bool) {
-	own := make(map[string]bool, len(had))
-	for _, name := range had {
-		if seen[name] || own[name] || (!old[name] && inBase(name)) {
-			l.faults = append(l.faults, &setup.Fault{File: file, Line: 1, Key: list + "[" + name + "].name",
-				What: "stands twice in the configuration"})
+func (b *versionBuilder) findDuplicatesIn(file, list string, names []string, oldNames, currentNames map[string]bool, inBase func(string) bool) {
+	inShard := make(map[string]bool, len(names))
+	for _, name := range names {
+		if currentNames[name] || inShard[name] || (!oldNames[name] && inBase(name)) {
+			b.faults = append(b.faults, &setup.Fault{File: file, Line: 1, Key: list + "[" + name + "].name",
+				What: "duplicate name in the configuration"})
 		}
-		own[name] = true
+		inShard[name] = true
 	}
 }
 
-// news puts the records that differ from the version before into pending.
-func (l *load) news(cfg *magno.Config) {
-	base := l.reader.base
-	l.pending.Customers = append(l.pending.Customers, cfg.Customers...)
-	l.pending.Pools = append(l.pending.Pools, cfg.Pools...)
-	l.pending.Drained = append(l.pending.Drained, cfg.Drained...)
+// addChanged adds the records that differ from the previous version to pending.
+func (b *versionBuilder) addChanged(cfg *magno.Config) {
+	base := b.reader.base
+	b.pending.Customers = append(b.pending.Customers, cfg.Customers...)
+	b.pending.Pools = append(b.pending.Pools, cfg.Pools...)
+	b.pending.Drained = append(b.pending.Drained, cfg.Drained...)
 	for i := range cfg.Adapters {
 		if !base.HasAdapter(&cfg.Adapters[i]) {
-			l.pending.Adapters = append(l.pending.Adapters, cfg.Adapters[i])
+			b.pending.Adapters = append(b.pending.Adapters, cfg.Adapters[i])
 		}
 	}
 	for i := range cfg.Profiles {
 		if !base.HasProfile(&cfg.Profiles[i]) {
-			l.pending.Profiles = append(l.pending.Profiles, cfg.Profiles[i])
+			b.pending.Profiles = append(b.pending.Profiles, cfg.Profiles[i])
 		}
 	}
 }
 
-func (l *load) flush() {
-	l.next = l.next.WithChanges(l.version, &l.pending, check.Removed{})
-	l.pending = magno.Config{}
+func (b *versionBuilder) flush() {
+	b.next = b.next.WithChanges(b.version, &b.pending, check.Removed{})
+	b.pending = magno.Config{}
 }
 
-// finish takes away what no shard holds any more.
-func (l *load) finish(index *pack.Index) {
-	gone := l.old.without(l.seen)
+// finish removes the records that no shard holds any more.
+func (b *versionBuilder) finish(index *pack.Index) {
+	removed := b.oldNames.minus(b.currentNames)
 	for _, s := range index.Shards {
-		l.pending.Rosters = append(l.pending.Rosters, l.shards[s.Name].rosters...)
+		b.pending.Rosters = append(b.pending.Rosters, b.shards[s.Name].rosters...)
 	}
-	gone.Rosters = len(l.pending.Rosters) == 0
-	l.next = l.next.WithChanges(l.version, &l.pending, gone)
+	removed.Rosters = len(b.pending.Rosters) == 0
+	b.next = b.next.WithChanges(b.version, &b.pending, removed)
 }
--- a/magno/watch/reader.go
+++ b/magno/watch/reader.go
@@ -2,14 +2,13 @@
 //
 //	watch --change--> index --changed shards--> next version --> store
 //
-// The load is 54,000 changes a day over some thousand shards: a reader waits
-// in one long call, then reads the index and only the shards whose sums
-// changed. Without that, 44 readers that polled a thousand shards each second
-// would use the service's 2,000 reads a second twenty times over.
+// With 54,000 changes a day over some thousand shards, a reader waits in one long poll,
+// then reads the index and only the shards whose checksums changed. If 44 readers polled
+// a thousand shards each second instead, they would need twenty times the service's limit
+// of 2,000 reads a second.
 //
-// The service may be down, over its rate or stale for long. Each failure
-// doubles a wait with jitter; an older index is dropped; what is in force stays
-// in force.
+// The service may be down, rate limited or stale for long. Retries use exponential
+// backoff with jitter, an older index is ignored, and the current version stays active.
 package watch
 
 import (
@@ -32,63 +31,61 @@
 	"magnoliastall.example/magno/pack"
 )
 
-// Figures of a reader.
 const (
-	// waitLimit is how long one watch waits; then the index is read anyhow,
-	// so that a lost wake-up costs half a minute at most.
-	waitLimit = 30 * magno.Second
-	// firstPause and lastPause bound the wait after failures. The last one
-	// keeps a reader within seconds of a service that came back.
-	firstPause = 100 * magno.Millis(1)
-	lastPause  = 5 * magno.Second
-	// spinPause is the least time between two watches that brought nothing.
-	spinPause = 200 * magno.Millis(1)
-	// readRate and readBurst bound one reader: 44 of them together stay
-	// within five times the service's rate even in the first second, and its
-	// 429 slows them from there.
-	readRate  = 200
-	readBurst = 50
-	// abreast is how many shards are read at once.
-	abreast = 8
-	// loadPercent is GOGC while a whole version is read.
-	loadPercent = 50
-	// keepTexts is how many bytes of shards are kept to place faults.
-	keepTexts = 8 << 20
-	// flushRecords is how many records are gathered before they are put into
-	// the next version; it bounds memory while a whole version is read.
+	// watchTimeout is how long one watch waits. The index is then read anyway,
+	// so a lost notification delays a change by half a minute at most.
+	watchTimeout = 30 * magno.Second
+	// minBackoff and maxBackoff limit the wait after failures. The maximum lets a reader
+	// notice within seconds that the service has recovered.
+	minBackoff = 100 * magno.Millis(1)
+	maxBackoff = 5 * magno.Second
+	// minWatchInterval is the shortest time between two watches that returned no change.
+	minWatchInterval = 200 * magno.Millis(1)
+	// maxReadsPerSecond and readBurst limit one reader. 44 readers together stay within
+	// five times the service's rate limit even in the first second; after that its 429
+	// responses slow them down.
+	maxReadsPerSecond = 200
+	readBurst         = 50
+	maxParallelReads  = 8
+	// loadGCPercent is the GOGC setting while a full version is read.
+	loadGCPercent = 50
+	// maxKeptTextBytes limits the shard texts kept to locate faults in them.
+	maxKeptTextBytes = 8 << 20
+	// flushRecords is the number of adapters and profiles collected before they are added
+	// to the next version. It limits the memory used while a full version is read.
 	flushRecords = 8192
 )
 
-// Reader reads versions into a store. Fields are set before Run.
+// Reader reads versions into a store. Exported fields are set before Run.
 type Reader struct {
-	// URL is the service, up to its path.
+	// URL is the base URL of the service, without a path.
 	URL   string
 	Store *config.Store
-	// Client may be nil; its timeout must be over waitLimit.
+	// Client may be nil; its timeout must be longer than watchTimeout.
 	Client *http.Client
 	Clock  *magno.Clock
 	Log    *slog.Logger
 	// Metrics may be nil.
 	Metrics *metrics.Set
 
-	once    sync.Once
-	limiter *rate.Limiter
-	reads   *metrics.Counter
-	bytes   *metrics.Counter
-	fails   *metrics.Counter
-	stale   *metrics.Counter
+	once         sync.Once
+	limiter      *rate.Limiter
+	reads        *metrics.Counter
+	bytes        *metrics.Counter
+	failures     *metrics.Counter
+	staleIndexes *metrics.Counter
 
-	// The fields below belong to Run.
+	// The fields below are used only by Run.
 
-	// revision is what the next watch is after; negative means that the index
-	// is to be read first.
+	// revision is the revision after which the next watch waits for changes; if negative,
+	// the index is read first.
 	revision int64
-	// base is the last version that was read whole; shards says what it was
-	// made of.
+	// base is the last version that was read completely, and shards holds its shards by
+	// name.
 	base   *config.Snapshot
 	shards map[string]shard
-	// bad is the last version that was refused.
-	bad int64
+	// rejectedVersion is the last version that was rejected.
+	rejectedVersion int64
 
 	mu     sync.Mutex
 	status Status
@@ -96,16 +93,16 @@
 
 // Status describes the reader for operators.
 type Status struct {
-	// Reachable is false while calls to the service fail.
+	// Reachable is false while requests to the service fail.
 	Reachable bool `json:"reachable"`
-	// Last is when the service last answered.
+	// LastSuccess is when the service last answered successfully.
 	LastSuccess magno.Millis `json:"last"`
-	// Version is the newest that the service showed.
+	// Version is the version of the last index that was read.
 	Version int64  `json:"version"`
 	Error   string `json:"error,omitempty"`
 }
 
-// Name returns the duty's name.
+// Name returns the name of the duty.
 func (r *Reader) Name() string { return "reader" }
 
 func (r *Reader) init() {
@@ -114,127 +111,127 @@
 			r.Log = slog.New(slog.DiscardHandler)
 		}
 		if r.Client == nil {
-			r.Client = &http.Client{Timeout: (waitLimit + 5*magno.Second).Span()}
+			r.Client = &http.Client{Timeout: (watchTimeout + 5*magno.Second).Span()}
 		}
 		if r.Metrics == nil {
 			r.Metrics = metrics.NewSet()
 		}
-		r.limiter = rate.NewLimiter(readRate, readBurst)
+		r.limiter = rate.NewLimiter(maxReadsPerSecond, readBurst)
 		r.reads = r.Metrics.GetOrCreateCounter("watch_reads_total")
 		r.bytes = r.Metrics.GetOrCreateCounter("watch_bytes_total")
-		r.fails = r.Metrics.GetOrCreateCounter("watch_failures_total")
-		r.stale = r.Metrics.GetOrCreateCounter("watch_stale_total")
+		r.failures = r.Metrics.GetOrCreateCounter("watch_failures_total")
+		r.staleIndexes = r.Metrics.GetOrCreateCounter("watch_stale_total")
 		r.base = config.Empty()
 	})
 }
 
-// Run reads until ctx ends. It may be run again later and goes on from what it
-// knew, so that a process can take the role up and lay it down.
+// Run reads until ctx ends. It may be called again later and continues from the known
+// state, so a process can take over and give up the role of reader.
 func (r *Reader) Run(ctx context.Context) error {
 	r.init()
 	r.revision = -1
-	pause := firstPause
+	backoff := minBackoff
 	for ctx.Err() == nil {
-		err := r.round(ctx)
-		r.note(ctx, err)
+		err := r.poll(ctx)
+		r.recordResult(ctx, err)
 		if err == nil {
-			pause = firstPause
+			backoff = minBackoff
 			continue
 		}
-		// Readers that failed together must not come back together.
-		wait := pause/2 + magno.Millis(rand.Int64N(int64(pause/2)+1)) //nolint:gosec // jitter
-		var busy *busyError
+		// The jitter keeps readers that failed at the same time from retrying at the same
+		// time.
+		wait := backoff/2 + magno.Millis(rand.Int64N(int64(backoff/2)+1)) //nolint:gosec // jitter
+		var busy *rateLimitError
 		if errors.As(err, &busy) {
-			wait = max(wait, busy.after)
+			wait = max(wait, busy.wait)
 		}
 		magno.Pause(ctx, wait)
-		pause = min(2*pause, lastPause)
+		backoff = min(2*backoff, maxBackoff)
 	}
 	return nil
 }
 
-// Status describes the reader.
+// Status returns the state of the reader.
 func (r *Reader) Status() Status {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.status
 }
 
-// note keeps the outcome of a round for status, log and metric.
-func (r *Reader) note(ctx context.Context, err error) {
+// recordResult records the result of a poll in status, log and metrics.
+func (r *Reader) recordResult(ctx context.Context, err error) {
 	if ctx.Err() != nil {
 		return
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	was := r.status.Reachable
+	wasReachable := r.status.Reachable
 	r.status.Reachable = err == nil
 	if err == nil {
 		r.status.LastSuccess, r.status.Error = r.Clock.Now(), ""
-		if !was {
+		if !wasReachable {
 			r.Log.Info("platform reachable", "service", "configuration")
 		}
 		return
 	}
-	r.fails.Inc()
+	r.failures.Inc()
 	r.status.Error = err.Error()
-	if was || r.status.LastSuccess == 0 {
+	if wasReachable || r.status.LastSuccess == 0 {
 		r.Log.Warn("platform unreachable", "service", "configuration", "error", err)
 	}
 }
 
-// news is the answer of a watch.
-type news struct {
+// watchResponse is the response to a watch.
+type watchResponse struct {
 	Revision int64    `json:"revision"`
 	Keys     []string `json:"keys"`
 }
 
-// round waits for a change and reads the index when there is one. The first
-// round reads it at once.
-func (r *Reader) round(ctx context.Context) error {
+// poll waits for a change and then reads the index. The first poll reads it at once.
+func (r *Reader) poll(ctx context.Context) error {
 	if r.revision >= 0 {
-		changed, err := r.watch(ctx)
+		changed, err := r.waitForChange(ctx)
 		if err != nil || !changed {
 			return err
 		}
 	}
-	return r.index(ctx)
+	return r.readIndex(ctx)
 }
 
-// watch returns true when the index is to be read.
-func (r *Reader) watch(ctx context.Context) (bool, error) {
-	began := r.Clock.Now()
-	query := "/v1/watch?after=" + strconv.FormatInt(r.revision, 10) + "&wait=" + strconv.FormatInt(int64(waitLimit), 10)
+// waitForChange reports whether the index has to be read.
+func (r *Reader) waitForChange(ctx context.Context) (bool, error) {
+	startedAt := r.Clock.Now()
+	query := "/v1/watch?after=" + strconv.FormatInt(r.revision, 10) + "&wait=" + strconv.FormatInt(int64(watchTimeout), 10)
 	data, _, err := r.get(ctx, query)
 	if err != nil {
 		return false, err
 	}
-	var n news
-	if err := json.Unmarshal(data, &n); err != nil {
+	var response watchResponse
+	if err := json.Unmarshal(data, &response); err != nil {
 		return false, errors.Wrap(err, "watch")
 	}
-	if n.Revision < r.revision {
-		// A replica that lags, or a service that began anew. The index tells;
-		// meanwhile its watch may answer at once, again and again.
-		magno.Pause(ctx, spinPause)
-		r.revision = n.Revision
+	if response.Revision < r.revision {
+		// The service answered from a lagging replica or was reset. The index shows
+		// which; until then its watch may return at once, again and again.
+		magno.Pause(ctx, minWatchInterval)
+		r.revision = response.Revision
 		return true, nil
 	}
-	r.revision = n.Revision
-	for _, k := range n.Keys {
+	r.revision = response.Revision
+	for _, k := range response.Keys {
 		if k == pack.IndexKey {
 			return true, nil
 		}
 	}
-	if len(n.Keys) == 0 && r.Clock.Now()-began < spinPause {
-		magno.Pause(ctx, spinPause)
+	if len(response.Keys) == 0 && r.Clock.Now()-startedAt < minWatchInterval {
+		magno.Pause(ctx, minWatchInterval)
 	}
-	return len(n.Keys) == 0, nil
+	return len(response.Keys) == 0, nil
 }
 
-// index reads the index and takes the version that it names.
-func (r *Reader) index(ctx context.Context) error {
-	began := r.Clock.Now()
+// readIndex reads the index and loads its version.
+func (r *Reader) readIndex(ctx context.Context) error {
+	startedAt := r.Clock.Now()
 	data, revision, err := r.get(ctx, "/v1/value/"+pack.IndexKey)
 	if err != nil {
 		return err
@@ -252,48 +249,49 @@
 	r.mu.Lock()
 	r.status.Version = index.Version
 	r.mu.Unlock()
-	force := r.Store.Version()
+	current := r.Store.Version()
 	switch {
-	case index.Version < max(force, r.base.Version):
-		r.stale.Inc()
-		r.Log.Warn("older index dropped", "version", index.Version, "kept", force)
+	case index.Version < max(current, r.base.Version):
+		r.staleIndexes.Inc()
+		r.Log.Warn("older index ignored", "version", index.Version, "kept", current)
 		return nil
-	case index.Version == r.base.Version || index.Version == r.bad:
-		r.Store.Confirm(index.Version, began)
+	case index.Version == r.base.Version || index.Version == r.rejectedVersion:
+		r.Store.Confirm(index.Version, startedAt)
 		return nil
 	}
-	return r.take(ctx, &index, began)
+	return r.loadVersion(ctx, &index, startedAt)
 }
 
-// take reads what changed and offers the next version to the store.
-func (r *Reader) take(ctx context.Context, index *pack.Index, began magno.Millis) error {
+// loadVersion reads the changed shards and installs the version in the store.
+func (r *Reader) loadVersion(ctx context.Context, index *pack.Index, startedAt magno.Millis) error {
 	if r.base.Records == 0 {
-		// All shards come at once. With the usual setting a reader of 130,000
-		// adapters would have a heap of 140 MB for some seconds.
-		defer debug.SetGCPercent(debug.SetGCPercent(loadPercent))
+		// The first load reads all shards at once. With the default GOGC, a reader of
+		// 130,000 adapters would have a heap of 140 MB for some seconds.
+		defer debug.SetGCPercent(debug.SetGCPercent(loadGCPercent))
 	}
-	l, err := r.load(ctx, index)
+	b, err := r.buildVersion(ctx, index)
 	if err != nil {
 		return err
 	}
-	if len(l.faults) > 0 {
-		r.bad = index.Version
-		_ = r.Store.Reject(index.Version, r.Name(), l.faults) // logged and shown by the store
+	if len(b.faults) > 0 {
+		r.rejectedVersion = index.Version
+		_ = r.Store.Reject(index.Version, r.Name(), b.faults) // the store logs and reports it
 		return nil
 	}
-	err = r.Store.Install(l.next, l.texts, r.Name())
+	err = r.Store.Install(b.next, b.shardTexts, r.Name())
 	if err != nil && !errors.Is(err, config.ErrOld) {
-		r.bad = index.Version
+		r.rejectedVersion = index.Version
 		return nil
 	}
-	r.base, r.shards = l.next, l.shards
-	r.Store.Confirm(index.Version, began)
+	r.base, r.shards = b.next, b.shards
+	r.Store.Confirm(index.Version, startedAt)
 	return nil
 }
 
-// texts of shards that are small enough together, to place faults.
-func keep(texts []check.Shard, size int, s check.Shard) []check.Shard {
-	if size > keepTexts {
+// appendText adds the text of a shard, or drops all texts if they are larger than
+// maxKeptTextBytes together.
+func appendText(texts []check.Shard, size int, s check.Shard) []check.Shard {
+	if size > maxKeptTextBytes {
 		return nil
 	}
 	return append(texts, s)
--- a/magno/watch/reader_test.go
+++ b/magno/watch/reader_test.go
@@ -18,36 +18,36 @@
 	"magnoliastall.example/magno/pack"
 )
 
-// service is a small fake of the platform's.
-type service struct {
+// fakeService imitates the platform's configuration service.
+type fakeService struct {
 	mu       sync.Mutex
 	values   map[string][]byte
 	revision int64
 	changed  chan struct{}
-	// down answers 503, busy 429.
-	down, busy bool
-	// frozen answers with the index it had when it froze.
-	frozen []byte
-	reads  map[string]int
+	// down makes it answer 503, rateLimited 429.
+	down, rateLimited bool
+	// frozenIndex, if set, is returned in place of the current index.
+	frozenIndex []byte
+	reads       map[string]int
 }
 
-func newService(t *testing.T) (*service, string) {
-	s := &service{values: map[string][]byte{}, changed: make(chan struct{}), reads: map[string]int{}}
+func newService(t *testing.T) (*fakeService, string) {
+	s := &fakeService{values: map[string][]byte{}, changed: make(chan struct{}), reads: map[string]int{}}
 	server := httptest.NewServer(s)
 	t.Cleanup(server.Close)
 	return s, server.URL
 }
 
-func (s *service) ServeHTTP(w http.ResponseWriter, req *http.Request) {
+func (s *fakeService) ServeHTTP(w http.ResponseWriter, req *http.Request) {
 	s.mu.Lock()
 	changed, after := s.changed, s.revision
 	s.reads[strings.Split(req.URL.Path, "/")[2]]++
-	down, busy := s.down, s.busy
+	down, rateLimited := s.down, s.rateLimited
 	s.mu.Unlock()
 	switch {
 	case down:
 		w.WriteHeader(http.StatusServiceUnavailable)
-	case busy:
+	case rateLimited:
 		w.Header().Set("Retry-After", "0")
 		w.WriteHeader(http.StatusTooManyRequests)
 	case req.URL.Path == "/v1/watch":
@@ -60,15 +60,15 @@
 		}
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		_ = json.NewEncoder(w).Encode(news{Revision: s.revision, Keys: []string{pack.IndexKey}})
+		_ = json.NewEncoder(w).Encode(watchResponse{Revision: s.revision, Keys: []string{pack.IndexKey}})
 	default:
 		key := strings.TrimPrefix(req.URL.Path, "/v1/value/")
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		w.Header().Set("X-Revision", strconv.FormatInt(s.revision, 10))
 		value, ok := s.values[key]
-		if key == pack.IndexKey && s.frozen != nil {
-			value, ok = s.frozen, true
+		if key == pack.IndexKey && s.frozenIndex != nil {
+			value, ok = s.frozenIndex, true
 		}
 		if !ok {
 			w.WriteHeader(http.StatusNotFound)
@@ -78,7 +78,7 @@
 	}
 }
 
-func (s *service) publish(t *testing.T, cfg *magno.Config) {
+func (s *fakeService) publish(t *testing.T, cfg *magno.Config) {
 	t.Helper()
 	values, err := pack.Pack(*cfg)
 	if err != nil {
@@ -91,7 +91,7 @@
 	})
 }
 
-func (s *service) set(change func()) {
+func (s *fakeService) set(change func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	change()
@@ -100,7 +100,7 @@
 	s.changed = make(chan struct{})
 }
 
-func sample(version int64, n int) *magno.Config {
+func testConfig(version int64, n int) *magno.Config {
 	cfg := &magno.Config{
 		Version:   version,
 		Customers: []magno.Customer{{Name: "delta", Weight: 1}},
@@ -115,8 +115,8 @@
 	return cfg
 }
 
-// read starts a reader until the test ends.
-func read(t *testing.T, url string) (*config.Store, *Reader) {
+// startReader runs a reader until the test ends.
+func startReader(t *testing.T, url string) (*config.Store, *Reader) {
 	store := &config.Store{}
 	r := &Reader{URL: url, Store: store}
 	ctx, cancel := context.WithCancel(context.Background())
@@ -131,35 +131,35 @@
 	return store, r
 }
 
-func until(t *testing.T, what string, ok func() bool) {
+func waitFor(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(time.Minute); !ok(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("waited in vain for " + what)
+			t.Fatal("timeout while waiting for " + what)
 		}
 	}
 }
 
-// Each change must reach the store with the content that was published, and
-// cost no more reads than the shards it touches.
+// Each change must reach the store with the published content, and must cost no more
+// reads than it has shards.
 func TestFollowsChanges(t *testing.T) {
 	s, url := newService(t)
-	s.publish(t, sample(1, 1000))
-	store, _ := read(t, url)
-	until(t, "version 1", func() bool { return store.Version() == 1 })
-	if got, want := store.Current().Sum, config.NewSnapshot(sample(1, 1000)).Sum; got != want {
+	s.publish(t, testConfig(1, 1000))
+	store, _ := startReader(t, url)
+	waitFor(t, "version 1", func() bool { return store.Version() == 1 })
+	if got, want := store.Current().Sum, config.NewSnapshot(testConfig(1, 1000)).Sum; got != want {
 		t.Fatal("other content than published")
 	}
 	s.mu.Lock()
 	first := s.reads["value"]
 	s.mu.Unlock()
-	cfg := sample(2, 1000)
+	cfg := testConfig(2, 1000)
 	cfg.Profiles[7].Version = "v2"
 	cfg.Customers[0].Weight = 3
 	rosters := []magno.Roster{{Since: 1, Until: 2, Members: []string{"m"}}}
 	cfg.Rosters = rosters
 	s.publish(t, cfg)
-	until(t, "version 2", func() bool { return store.Version() == 2 })
+	waitFor(t, "version 2", func() bool { return store.Version() == 2 })
 	if store.Current().Sum != config.NewSnapshot(cfg).Sum {
 		t.Fatal("other content than published")
 	}
@@ -169,78 +169,77 @@
 	if more > 3 {
 		t.Fatalf("a change of two shards cost %d reads", more)
 	}
-	cfg = sample(3, 500)
+	cfg = testConfig(3, 500)
 	cfg.Rosters = rosters
 	s.publish(t, cfg)
-	until(t, "version 3", func() bool { return store.Version() == 3 })
+	waitFor(t, "version 3", func() bool { return store.Version() == 3 })
 	if store.Current().Sum != config.NewSnapshot(cfg).Sum || store.Current().Records != 1000 {
 		t.Fatalf("other content than published, %d records", store.Current().Records)
 	}
 }
 
-// The service is down, then over its rate, then back. The last version stays
-// in force meanwhile, and the next one comes without a restart.
+// The service is down, then rate limited, then available again. The last version must
+// stay active, and the next one must be loaded without a restart.
 func TestOutage(t *testing.T) {
 	s, url := newService(t)
-	s.publish(t, sample(1, 3))
-	store, r := read(t, url)
-	until(t, "version 1", func() bool { return store.Version() == 1 })
+	s.publish(t, testConfig(1, 3))
+	store, r := startReader(t, url)
+	waitFor(t, "version 1", func() bool { return store.Version() == 1 })
 	s.set(func() { s.down = true })
-	until(t, "notice of the outage", func() bool { return !r.Status().Reachable })
-	s.set(func() { s.down, s.busy = false, true })
-	s.publish(t, sample(2, 3))
+	waitFor(t, "notice of the outage", func() bool { return !r.Status().Reachable })
+	s.set(func() { s.down, s.rateLimited = false, true })
+	s.publish(t, testConfig(2, 3))
 	if store.Version() != 1 {
 		t.Fatalf("version %d", store.Version())
 	}
-	s.set(func() { s.busy = false })
-	until(t, "version 2", func() bool { return store.Version() == 2 })
+	s.set(func() { s.rateLimited = false })
+	waitFor(t, "version 2", func() bool { return store.Version() == 2 })
 }
 
-// A replica of the service goes back to an old state and tells it to all who
-// ask. Nobody may return to the old version, or a retired adapter version would
-// be served again.
+// A replica of the service returns to an old state and sends it to all readers. No reader
+// may go back to the old version, or a retired adapter version would be served again.
 func TestStaleIndexIsDropped(t *testing.T) {
 	s, url := newService(t)
-	s.publish(t, sample(1, 3))
-	store, r := read(t, url)
-	until(t, "version 1", func() bool { return store.Version() == 1 })
+	s.publish(t, testConfig(1, 3))
+	store, r := startReader(t, url)
+	waitFor(t, "version 1", func() bool { return store.Version() == 1 })
 	s.mu.Lock()
 	old := s.values[pack.IndexKey]
 	s.mu.Unlock()
-	s.publish(t, sample(2, 4))
-	until(t, "version 2", func() bool { return store.Version() == 2 })
-	s.set(func() { s.frozen = old })
-	until(t, "the old index", func() bool { return r.Status().Version == 1 })
+	s.publish(t, testConfig(2, 4))
+	waitFor(t, "version 2", func() bool { return store.Version() == 2 })
+	s.set(func() { s.frozenIndex = old })
+	waitFor(t, "the old index", func() bool { return r.Status().Version == 1 })
 	if store.Version() != 2 {
-		t.Fatalf("went back to %d", store.Version())
+		t.Fatalf("went back to version %d", store.Version())
 	}
-	s.set(func() { s.frozen = nil })
-	s.publish(t, sample(3, 4))
-	until(t, "version 3", func() bool { return store.Version() == 3 })
+	s.set(func() { s.frozenIndex = nil })
+	s.publish(t, testConfig(3, 4))
+	waitFor(t, "version 3", func() bool { return store.Version() == 3 })
 }
 
-// An operator publishes a version with a fault: two shards that hold the same
-// name, a profile without its adapter, a damaged shard. The last good version
-// stays, the reason is shown, and the mended version is taken.
-func TestBadVersionIsRefused(t *testing.T) {
+// An operator publishes invalid versions: a profile without its adapter, and two shards
+// with the same name in them. The last valid version must stay active, the reason must be
+// reported, and the corrected version must be loaded.
+func TestInvalidVersionIsRejected(t *testing.T) {
 	s, url := newService(t)
-	s.publish(t, sample(1, 300))
-	store, _ := read(t, url)
-	until(t, "version 1", func() bool { return store.Version() == 1 })
+	s.publish(t, testConfig(1, 300))
+	store, _ := startReader(t, url)
+	waitFor(t, "version 1", func() bool { return store.Version() == 1 })
 
-	bad := sample(2, 300)
+	bad := testConfig(2, 300)
 	bad.Profiles[5].Adapter = "none"
 	s.publish(t, bad)
-	until(t, "refusal", func() bool { return store.Status().Refused != nil })
+	waitFor(t, "refusal", func() bool { return store.Status().Refused != nil })
 	if got := store.Status().Refused; got.Version != 2 || !strings.Contains(got.Reason, `there is no adapter "none"`) {
 		t.Fatalf("got %+v", got)
 	}
 
-	values, _ := pack.Pack(*sample(3, 300))
+	values, _ := pack.Pack(*testConfig(3, 300))
 	var index pack.Index
 	plain, err := pack.Decompress(values[len(values)-1].Data, 1<<20)
 	if err != nil || json.Unmarshal(plain, &index) != nil {
-		t.Fatal("the index can't be read")
+		t.Fatal("the index can't be decoded")
 	}
 	double := []byte(`{"customers": [{"name": "delta", "weight": 9}]}`)
 	index.Shards = append(index.Shards, pack.Shard{Name: "more", Sum: pack.Checksum(double)})
@@ -252,30 +251,30 @@
 		s.values[index.Shards[len(index.Shards)-1].Key()] = double
 		s.values[pack.IndexKey] = text
 	})
-	until(t, "refusal", func() bool { return store.Status().Refused.Version == 3 })
-	if store.Version() != 1 || store.Current().Sum != config.NewSnapshot(sample(1, 300)).Sum {
-		t.Fatalf("version %d in force", store.Version())
+	waitFor(t, "refusal", func() bool { return store.Status().Refused.Version == 3 })
+	if store.Version() != 1 || store.Current().Sum != config.NewSnapshot(testConfig(1, 300)).Sum {
+		t.Fatalf("version %d is active", store.Version())
 	}
-	s.publish(t, sample(4, 300))
-	until(t, "version 4", func() bool { return store.Version() == 4 })
+	s.publish(t, testConfig(4, 300))
+	waitFor(t, "version 4", func() bool { return store.Version() == 4 })
 	if store.Status().Refused != nil {
-		t.Fatal("the refusal is still shown")
+		t.Fatal("the rejection is still reported")
 	}
 }
 
-// A shard comes with other bytes than the index says: a replica mixed two
-// publications. Its records may be sound each by itself, but nobody published
-// them together; they must not come into force, and the right ones must.
+// A shard has other bytes than the index says, because a replica mixed two publications.
+// The mixture must not become active, even if its records are valid, and the published
+// version must.
 func TestMixedShard(t *testing.T) {
 	s, url := newService(t)
-	s.publish(t, sample(1, 30))
-	store, r := read(t, url)
-	until(t, "version 1", func() bool { return store.Version() == 1 })
-	values, err := pack.Pack(*sample(2, 40))
+	s.publish(t, testConfig(1, 30))
+	store, r := startReader(t, url)
+	waitFor(t, "version 1", func() bool { return store.Version() == 1 })
+	values, err := pack.Pack(*testConfig(2, 40))
 	if err != nil {
 		t.Fatal(err)
 	}
-	old, err := pack.Pack(*sample(2, 35))
+	old, err := pack.Pack(*testConfig(2, 35))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -287,34 +286,34 @@
 			}
 		}
 	})
-	until(t, "notice of the wrong sum", func() bool { return strings.Contains(r.Status().Error, "sum") })
+	waitFor(t, "notice of the wrong sum", func() bool { return strings.Contains(r.Status().Error, "sum") })
 	if store.Version() != 1 {
-		t.Fatalf("version %d in force", store.Version())
+		t.Fatalf("version %d is active", store.Version())
 	}
-	s.publish(t, sample(2, 40))
-	until(t, "version 2", func() bool { return store.Version() == 2 })
-	if store.Current().Sum != config.NewSnapshot(sample(2, 40)).Sum {
+	s.publish(t, testConfig(2, 40))
+	waitFor(t, "version 2", func() bool { return store.Version() == 2 })
+	if store.Current().Sum != config.NewSnapshot(testConfig(2, 40)).Sum {
 		t.Fatal("other content than published")
 	}
 }
 
-// Peers brought a newer version before the service shows it; the reader must
-// neither go back nor lose its place.
+// Peers deliver a newer version before the service has it. The reader must neither go
+// back nor miss the following version.
 func TestPeersAhead(t *testing.T) {
 	s, url := newService(t)
-	s.publish(t, sample(1, 30))
-	store, _ := read(t, url)
-	until(t, "version 1", func() bool { return store.Version() == 1 })
-	if err := store.Load(sample(2, 31), nil, "peer"); err != nil {
+	s.publish(t, testConfig(1, 30))
+	store, _ := startReader(t, url)
+	waitFor(t, "version 1", func() bool { return store.Version() == 1 })
+	if err := store.Load(testConfig(2, 31), nil, "peer"); err != nil {
 		t.Fatal(err)
 	}
-	s.publish(t, sample(2, 31))
-	s.publish(t, sample(3, 32))
-	until(t, "version 3", func() bool { return store.Version() == 3 })
-	if store.Current().Sum != config.NewSnapshot(sample(3, 32)).Sum {
+	s.publish(t, testConfig(2, 31))
+	s.publish(t, testConfig(3, 32))
+	waitFor(t, "version 3", func() bool { return store.Version() == 3 })
+	if store.Current().Sum != config.NewSnapshot(testConfig(3, 32)).Sum {
 		t.Fatal("other content than published")
 	}
-	if err := store.Load(sample(2, 31), nil, "peer"); !errors.Is(err, config.ErrOld) {
+	if err := store.Load(testConfig(2, 31), nil, "peer"); !errors.Is(err, config.ErrOld) {
 		t.Fatalf("got %v", err)
 	}
 }
