--- a/magno/view/news.go
+++ b/magno/view/news.go
@@ -2,35 +2,37 @@
 
 import "magnoliastall.example/magno"
 
-// News are the changes of the list after Since and up to Revision, as one
-// process tells them to another.
-type News struct {
+// Update holds the changes of the list after Since and up to Revision, as sent between
+// processes.
+type Update struct {
 	Changes  []magno.Change `json:"changes"`
 	Since    int64          `json:"since"`
 	Revision int64          `json:"rev"`
-	// Age is how long ago Revision was the list's newest.
+	// Age is the time since Revision was known to be the newest revision of the list.
 	Age magno.Millis `json:"age"`
-	// All is true when Changes is all that the list had at Revision. What it
-	// lacks is gone, though no change tells so; Since then says nothing.
-	All bool `json:"all,omitempty"`
-	// Blind is where whoever tells this may not know of deletions; whoever
-	// hears it doesn't either.
-	Blind Span `json:"blind,omitzero"`
+	// Full means that Changes holds the whole list at Revision: an item that it doesn't
+	// hold was deleted, and Since has no meaning.
+	Full bool `json:"all,omitempty"`
+	// UnknownDeletions is the range of revisions in which the sender may have missed
+	// deletions. The receiver may then have missed them too.
+	UnknownDeletions RevisionRange `json:"blind,omitzero"`
 }
 
-// Span is the revisions after one and before another; Before is zero where there
-// are none.
-type Span struct {
+// RevisionRange holds the revisions between After and Before, both exclusive. Before is
+// zero if the range is empty.
+type RevisionRange struct {
 	After  int64 `json:"after,omitempty"`
 	Before int64 `json:"before,omitempty"`
 }
 
-func (s Span) holds(revision int64) bool { return s.After < revision && revision < s.Before }
+func (r RevisionRange) contains(revision int64) bool {
+	return r.After < revision && revision < r.Before
+}
 
-// add widens a span, or begins it.
-func (s *Span) add(after, before int64) {
-	if s.Before == 0 || after < s.After {
-		s.After = after
+// extend widens the range to include the given one.
+func (r *RevisionRange) extend(after, before int64) {
+	if r.Before == 0 || after < r.After {
+		r.After = after
 	}
-	s.Before = max(s.Before, before)
+	r.Before = max(r.Before, before)
 }
