--- a/entry/daemon/daemon.go
+++ b/entry/daemon/daemon.go
@@ -76,7 +76,7 @@
 	e.lease.Open()
 	e.front = &front.Front{
 		Listen: opts.Listen, Clock: e.Clock, Catalogue: &catalogue{store: e.Store}, Settled: e.Node.Synced, Sender: sender, Quotas: e.lease,
-		Events: e.Events, Log: log, Body: opts.Body, Deadline: magno.Millis(opts.Deadline),
+		Events: e.Events, Log: log, MaxBody: opts.Body, DefaultDeadline: magno.Millis(opts.Deadline),
 		Grace: magno.Millis(opts.Grace), Drain: magno.Millis(opts.Drain),
 		Bound: func(addr string) { log.Info("listening", "addr", addr, "dc", opts.DataCentre) },
 	}
--- a/entry/daemon/status.go
+++ b/entry/daemon/status.go
@@ -124,7 +124,7 @@
 func (c *catalogue) Retired(ref magno.Ref) bool { return c.store.Retired(ref) }
 
 // Names implements front.Catalogue.
-func (c *catalogue) Names(customer string) []string {
+func (c *catalogue) ProfileNames(customer string) []string {
 	names := []string{}
 	if now := c.store.Current(); now != nil {
 		now.EachProfile(func(p magno.Profile) bool {
--- a/entry/front/answer.go
+++ b/entry/front/answer.go
@@ -183,13 +183,13 @@
 }
 
 type answer struct {
-	ID      string   `json:"id"`
-	Object  string   `json:"object"`
-	Created int64    `json:"created"`
-	Model   string   `json:"model"`
-	Print   string   `json:"system_fingerprint"`
-	Choices []choice `json:"choices"`
-	Usage   *usage   `json:"usage,omitempty"`
+	ID          string   `json:"id"`
+	Object      string   `json:"object"`
+	Created     int64    `json:"created"`
+	Model       string   `json:"model"`
+	Fingerprint string   `json:"system_fingerprint"`
+	Choices     []choice `json:"choices"`
+	Usage       *usage   `json:"usage,omitempty"`
 }
 
 func (f form) base(r send.Request, streamed bool) answer {
@@ -202,7 +202,7 @@
 	}
 	return answer{
 		ID: r.Work.Job.ID, Object: object, Created: int64(r.Work.Job.Arrived / magno.Second),
-		Model: r.Work.Job.Profile, Print: r.Work.Job.Ref.String(),
+		Model: r.Work.Job.Profile, Fingerprint: r.Work.Job.Ref.String(),
 	}
 }
 
--- a/entry/front/front.go
+++ b/entry/front/front.go
@@ -51,7 +51,7 @@
 	// there is none. Keyed is false where callers need no keys.
 	Owner(authorization string) (owner *magno.Customer, keyed bool)
 	// Names lists the profiles in order, of one customer unless that is empty.
-	Names(customer string) []string
+	ProfileNames(customer string) []string
 }
 
 // Front serves callers. Its fields are set before Run; it implements
@@ -66,9 +66,9 @@
 	Events *event.Ring
 	Log    *slog.Logger
 	// Body is the most bytes of a request.
-	Body int64
+	MaxBody int64
 	// Deadline holds where caller and profile state none.
-	Deadline magno.Millis
+	DefaultDeadline magno.Millis
 	// Grace is the time between not being ready and taking no new
 	// connection, so that the balancer notices first.
 	Grace magno.Millis
--- a/entry/front/parse.go
+++ b/entry/front/parse.go
@@ -95,14 +95,14 @@
 // body is a request for a completion or a chat. Fields that clients send
 // besides, such as temperature, are taken and not used.
 type body struct {
-	Model     string  `json:"model"`
-	Prompt    *prompt `json:"prompt"`
-	Messages  []turn  `json:"messages"`
-	MaxTokens *int    `json:"max_tokens"`
-	MaxNew    *int    `json:"max_completion_tokens"`
-	N         *int    `json:"n"`
-	Stream    bool    `json:"stream"`
-	User      string  `json:"user"`
+	Model               string  `json:"model"`
+	Prompt              *prompt `json:"prompt"`
+	Messages            []turn  `json:"messages"`
+	MaxTokens           *int    `json:"max_tokens"`
+	MaxCompletionTokens *int    `json:"max_completion_tokens"`
+	N                   *int    `json:"n"`
+	Stream              bool    `json:"stream"`
+	User                string  `json:"user"`
 }
 
 type turn struct {
@@ -141,8 +141,8 @@
 	if b.MaxTokens != nil {
 		n = *b.MaxTokens
 	}
-	if b.MaxNew != nil {
-		n, field = *b.MaxNew, "max_completion_tokens"
+	if b.MaxCompletionTokens != nil {
+		n, field = *b.MaxCompletionTokens, "max_completion_tokens"
 	}
 	if n < 1 || n > tokensLimit {
 		return 0, magno.Refuse(magno.KindMalformed, "%d is out of range 1 to %d", n, tokensLimit).At(field)
@@ -152,10 +152,10 @@
 
 // read takes the body up to the limit.
 func (f *Front) read(c echo.Context) ([]byte, *magno.Refusal) {
-	data, err := io.ReadAll(http.MaxBytesReader(c.Response(), c.Request().Body, f.Body))
+	data, err := io.ReadAll(http.MaxBytesReader(c.Response(), c.Request().Body, f.MaxBody))
 	var large *http.MaxBytesError
 	if errors.As(err, &large) {
-		return nil, magno.Refuse(magno.KindTooLarge, "the body is over %d bytes", f.Body).At("body")
+		return nil, magno.Refuse(magno.KindTooLarge, "the body is over %d bytes", f.MaxBody).At("body")
 	}
 	if err != nil {
 		return nil, magno.Refuse(magno.KindMalformed, "the body can't be read: %v", err).At("body")
@@ -184,7 +184,7 @@
 
 // request makes what the sender takes from a profile and a call.
 func (f *Front) request(c echo.Context, p magno.Profile, user string, w magno.Work) (send.Request, *magno.Refusal) {
-	r := send.Request{Work: w, Pool: p.Pool, Config: f.Catalogue.Version()}
+	r := send.Request{Work: w, Pool: p.Pool, ConfigVersion: f.Catalogue.Version()}
 	left, refusal := f.left(c, p)
 	if refusal != nil {
 		return r, refusal
@@ -222,7 +222,7 @@
 		if p.Deadline > 0 {
 			return p.Deadline, nil
 		}
-		return f.Deadline, nil
+		return f.DefaultDeadline, nil
 	}
 	n, err := strconv.ParseInt(text, 10, 64)
 	if err != nil {
--- a/entry/front/parse_test.go
+++ b/entry/front/parse_test.go
@@ -40,7 +40,7 @@
 // A caller sends what can't be served. Each gets a status, a kind and the
 // field, before any upstream is asked.
 func TestRefusals(t *testing.T) {
-	front := &Front{Body: 64, Settled: func() bool { return false }, Log: slog.New(slog.DiscardHandler)}
+	front := &Front{MaxBody: 64, Settled: func() bool { return false }, Log: slog.New(slog.DiscardHandler)}
 	tests := []struct {
 		path, body string
 		status     int
--- a/entry/front/route.go
+++ b/entry/front/route.go
@@ -130,7 +130,7 @@
 	if keyed {
 		customer = owner.Name
 	}
-	names := f.Catalogue.Names(customer)
+	names := f.Catalogue.ProfileNames(customer)
 	rows := make([]row, 0, len(names))
 	for _, name := range names {
 		rows = append(rows, row{ID: name, Object: "model"})
--- a/entry/hop/hop.go
+++ b/entry/hop/hop.go
@@ -178,7 +178,7 @@
 }
 
 // Forget closes the idle connections to all but the upstreams of keep.
-func (p *Pool) Forget(keep func(key string) bool) {
+func (p *Pool) Prune(keep func(key string) bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.Clock.Now()
--- a/entry/peers/calls.go
+++ b/entry/peers/calls.go
@@ -17,13 +17,13 @@
 		return nil, magno.Refuse(magno.KindMalformed, "%v", err)
 	}
 	p.heard(&h)
-	reply := p.self(h.Crowd, h.Known)
+	reply := p.self(h.MemberHash, h.KnownCount)
 	reply.Proof = p.prove(stamped{stamp: h.Stamp, came: came})
 	return reply, nil
 }
 
 func (p *Peers) onNews(_ context.Context, _ *wire.Peer, params json.RawMessage) (any, error) {
-	var n News
+	var n Update
 	if err := json.Unmarshal(params, &n); err != nil {
 		p.Log.Warn("news", "error", err)
 		return nil, err
@@ -47,5 +47,5 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "items")
 	}
-	return News{Told: told, Proof: proof}, nil
+	return Update{Payload: told, Proof: proof}, nil
 }
--- a/entry/peers/message.go
+++ b/entry/peers/message.go
@@ -9,9 +9,9 @@
 
 // Methods between entries.
 const (
-	MethodHello = "hello" // Hello, answered by one
-	MethodNews  = "news"  // News, a notification
-	MethodItems = "items" // Since, answered by News
+	MethodHello  = "hello" // Hello, answered by one
+	MethodUpdate = "news"  // News, a notification
+	MethodItems  = "items" // Since, answered by News
 )
 
 // Hello is what an entry tells of itself.
@@ -23,20 +23,20 @@
 	Revision int64        `json:"rev"`
 	Age      magno.Millis `json:"age"`
 	// Able is true while the platform's list answers it.
-	Able bool `json:"able"`
+	ListReachable bool `json:"able"`
 	// Leaving is true once it is to stop.
 	Leaving bool `json:"leaving,omitempty"`
 	// DataCentre is where it runs.
 	DataCentre string `json:"dc,omitempty"`
 	// Link is its machine's bandwidth in megabits a second.
-	Link float64 `json:"link,omitempty"`
+	LinkMbps float64 `json:"link,omitempty"`
 	// Known counts the addresses of other entries that it knows.
-	Known int `json:"known,omitempty"`
+	KnownCount int `json:"known,omitempty"`
 	// Crowd stands for the addresses of all entries that are alive to it, its
 	// own included. Peers are those, or some of them, unless the other's Crowd is
 	// the same: with a hundred entries the addresses would be most of what they tell.
-	Crowd uint64   `json:"crowd"`
-	Peers []string `json:"peers,omitempty"`
+	MemberHash uint64   `json:"crowd"`
+	Peers      []string `json:"peers,omitempty"`
 	// Suspects are requests that crashed upstreams, as far as they are news.
 	Suspects []crash.Record `json:"suspects,omitempty"`
 	// Stamp is its time. Proof is for whom this is sent to, and may be nil.
@@ -45,10 +45,10 @@
 }
 
 // News are what a process tells of the list, and its address.
-type News struct {
+type Update struct {
 	// Told is a view.News, encoded: the same for all who are told, where Proof isn't.
-	Told json.RawMessage `json:"told"`
-	From string          `json:"from,omitempty"`
+	Payload json.RawMessage `json:"told"`
+	From    string          `json:"from,omitempty"`
 	// Proof is for whom this is sent to, and may be nil.
 	Proof *Proof `json:"proof,omitempty"`
 }
--- a/entry/peers/model_test.go
+++ b/entry/peers/model_test.go
@@ -166,7 +166,7 @@
 	if rapid.Bool().Draw(t, "nothing new") {
 		news.Since, news.Changes = news.Revision, nil
 	}
-	n := News{Told: encoded(t, news), From: p.Addr}
+	n := Update{Payload: encoded(t, news), From: p.Addr}
 	if k := p.known[addr(to)]; k != nil {
 		n.Proof = p.prove(k.stamped)
 	}
@@ -181,7 +181,7 @@
 	f.fly(func() {
 		q := f.peers[to]
 		proof := q.prove(stamped{stamp: since.Stamp, came: q.Book.Clock.Now()})
-		n := News{Told: encoded(t, q.Book.Since(since.Revision)), Proof: proof}
+		n := Update{Payload: encoded(t, q.Book.Since(since.Revision)), Proof: proof}
 		f.fly(func() {
 			if f.peers[from] == p {
 				p.take(&n, q.Addr)
--- a/entry/peers/news.go
+++ b/entry/peers/news.go
@@ -37,7 +37,7 @@
 	limit := p.pullLimit()
 	ctx, cancel := context.WithTimeout(context.Background(), limit.Span())
 	defer cancel()
-	var n News
+	var n Update
 	err := p.Mesh.Call(ctx, addr, MethodItems, Since{Revision: since, Stamp: p.stamp()}, &n)
 	p.mu.Lock()
 	p.pulling = false
@@ -57,9 +57,9 @@
 
 // take brings what a peer told into the book, and returns up to which revision that was.
 // What can't be used is fetched later.
-func (p *Peers) take(n *News, from string) (revision int64) {
+func (p *Peers) take(n *Update, from string) (revision int64) {
 	var told view.Update
-	if err := json.Unmarshal(n.Told, &told); err != nil {
+	if err := json.Unmarshal(n.Payload, &told); err != nil {
 		p.Log.Warn("news", "from", from, "error", err)
 		return 0
 	}
@@ -79,7 +79,7 @@
 }
 
 // Push tells all peers what was read.
-func (p *Peers) Push(n view.Update) {
+func (p *Peers) Broadcast(n view.Update) {
 	select {
 	case p.news <- n:
 	default: // they see the higher revision in the next hello, and ask
@@ -100,8 +100,8 @@
 		return
 	}
 	stamps := p.alive()
-	p.Mesh.NotifyAll(ctx, slices.Collect(maps.Keys(stamps)), MethodNews, newsTime,
-		func(addr string) any { return News{Told: told, From: p.Addr, Proof: p.prove(stamps[addr])} },
+	p.Mesh.NotifyAll(ctx, slices.Collect(maps.Keys(stamps)), MethodUpdate, newsTime,
+		func(addr string) any { return Update{Payload: told, From: p.Addr, Proof: p.prove(stamps[addr])} },
 		func(addr string, err error) { p.Log.Info("news", "addr", addr, "rev", n.Revision, "error", err) })
 }
 
--- a/entry/peers/peers.go
+++ b/entry/peers/peers.go
@@ -89,7 +89,7 @@
 	// Self and Addr are this entry's name and address, Link the bandwidth of its
 	// machine in megabits a second.
 	Self, Addr string
-	Link       float64
+	LinkMbps   float64
 	DataCentre string
 	Seeds      []string
 	Mesh       *wire.Mesh
@@ -149,7 +149,7 @@
 	p.learned = make(chan struct{}, 1)
 	p.learn(p.Seeds)
 	p.Mesh.Handle(MethodHello, p.onHello)
-	p.Mesh.Handle(MethodNews, p.onNews)
+	p.Mesh.Handle(MethodUpdate, p.onNews)
 	p.Mesh.Handle(MethodItems, p.onItems)
 }
 
@@ -295,7 +295,7 @@
 	ctx, cancel := context.WithTimeout(ctx, helloTime.Span())
 	defer cancel()
 	p.mu.Lock()
-	crowd, known, last := k.hello.Crowd, k.hello.Known, k.stamped
+	crowd, known, last := k.hello.MemberHash, k.hello.KnownCount, k.stamped
 	if k.seen == 0 {
 		known = len(p.known) // whoever knows fewer is told all by those that it asks
 	}
@@ -324,23 +324,23 @@
 func (p *Peers) self(crowd uint64, known int) Hello {
 	snap := p.Book.Current()
 	h := Hello{
-		Name: p.Self, Addr: p.Addr, Link: p.Link, DataCentre: p.DataCentre, Revision: snap.Revision, Age: p.Book.Age(),
+		Name: p.Self, Addr: p.Addr, LinkMbps: p.LinkMbps, DataCentre: p.DataCentre, Revision: snap.Revision, Age: p.Book.Age(),
 		Suspects: p.Suspects.UpdatedSince(p.Suspects.Clock.Now()-suspectsFor, mostSuspects),
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	h.Able, h.Leaving = p.able, p.leaving()
+	h.ListReachable, h.Leaving = p.able, p.leaving()
 	h.Stamp = p.stamp()
-	h.Known = len(p.known)
-	h.Crowd = xxhash.Sum64String(p.Addr)
+	h.KnownCount = len(p.known)
+	h.MemberHash = xxhash.Sum64String(p.Addr)
 	alive := 0
 	for addr, k := range p.known {
 		if k.alive {
-			h.Crowd ^= xxhash.Sum64String(addr)
+			h.MemberHash ^= xxhash.Sum64String(addr)
 			alive++
 		}
 	}
-	if h.Crowd != crowd {
+	if h.MemberHash != crowd {
 		h.Peers = p.names(alive, known)
 	}
 	return h
--- a/entry/peers/peers_test.go
+++ b/entry/peers/peers_test.go
@@ -35,7 +35,7 @@
 	}
 	clock := magno.NewSteady()
 	n := &node{ends: make(chan error, 2), Peers: &Peers{
-		Self: name, Addr: mesh.Addr(), Link: link, Seeds: seeds, Mesh: mesh, Book: &view.Store{Clock: clock},
+		Self: name, Addr: mesh.Addr(), LinkMbps: link, Seeds: seeds, Mesh: mesh, Book: &view.Store{Clock: clock},
 		Suspects: &crash.Suspects{Clock: &magno.Clock{}}, Clock: clock, Log: slog.New(slog.DiscardHandler),
 	}}
 	n.Open()
@@ -84,7 +84,7 @@
 		until(t, "all peers", func() bool { return n.Processes() == len(nodes) })
 	}
 	first := nodes[3]
-	first.Push(first.Book.ApplyRead([]magno.Change{plan(7, 5)}, 5, true))
+	first.Broadcast(first.Book.ApplyRead([]magno.Change{plan(7, 5)}, 5, true))
 	for _, n := range nodes {
 		until(t, "the configuration", func() bool { p := n.Book.Current().Plan; return p != nil && p.Version == 7 })
 	}
@@ -131,9 +131,9 @@
 	for _, n := range nodes {
 		until(t, "all peers", func() bool { return n.Processes() == len(nodes) })
 	}
-	crowd := seed.self(0, 0).Crowd
+	crowd := seed.self(0, 0).MemberHash
 	for _, n := range nodes {
-		until(t, "the same crowd", func() bool { return n.self(0, 0).Crowd == crowd })
+		until(t, "the same crowd", func() bool { return n.self(0, 0).MemberHash == crowd })
 		if got := n.self(crowd, 0).Peers; len(got) != 0 {
 			t.Errorf("%s names %v to one that knows them", n.Self, got)
 		}
@@ -256,7 +256,7 @@
 			t.Errorf("of %d entries, %d are asked at once", n, got)
 		}
 		for i, a := range addrs {
-			p.heard(&Hello{Name: fmt.Sprint(i), Addr: a, Known: n})
+			p.heard(&Hello{Name: fmt.Sprint(i), Addr: a, KnownCount: n})
 		}
 		if got := len(p.self(1, n).Peers); got > mostNamed {
 			t.Errorf("of %d entries, a hello names %d to one that knows them", n, got)
--- a/entry/peers/proof.go
+++ b/entry/peers/proof.go
@@ -7,8 +7,8 @@
 // Stamp is a process's own time, which another one sends back to it.
 type Stamp struct {
 	// Life is drawn anew at each start: a time of an earlier one says nothing.
-	Life uint64       `json:"life"`
-	At   magno.Millis `json:"at"`
+	Incarnation uint64       `json:"life"`
+	At          magno.Millis `json:"at"`
 }
 
 // Proof states a time at which the list held nothing newer than Revision, on the clock of
@@ -20,7 +20,7 @@
 type Proof struct {
 	Stamp Stamp `json:"stamp"`
 	// Lead may be negative.
-	Lead magno.Millis `json:"lead"`
+	Offset magno.Millis `json:"lead"`
 	// Revision is at least the list's newest at that time.
 	Revision int64 `json:"rev"`
 }
@@ -32,21 +32,21 @@
 }
 
 // stamp is this process's own, now.
-func (p *Peers) stamp() Stamp { return Stamp{Life: p.life, At: p.Book.Clock.Now()} }
+func (p *Peers) stamp() Stamp { return Stamp{Incarnation: p.life, At: p.Book.Clock.Now()} }
 
 // prove tells a process up to when what this one knows was the newest. It is nil where
 // nothing vouches for that, or no stamp came from there.
 func (p *Peers) prove(s stamped) *Proof {
 	vouched, revision := p.Book.FreshAt()
-	if s.stamp.Life == 0 || vouched == 0 {
+	if s.stamp.Incarnation == 0 || vouched == 0 {
 		return nil
 	}
-	return &Proof{Stamp: s.stamp, Lead: vouched - s.came, Revision: revision}
+	return &Proof{Stamp: s.stamp, Offset: vouched - s.came, Revision: revision}
 }
 
 // vouch takes the proof of a message, after what else it brings.
 func (p *Peers) vouch(proof *Proof) {
-	if proof != nil && proof.Stamp.Life == p.life {
-		p.Book.RecordFreshness(proof.Revision, proof.Stamp.At+proof.Lead)
+	if proof != nil && proof.Stamp.Incarnation == p.life {
+		p.Book.RecordFreshness(proof.Revision, proof.Stamp.At+proof.Offset)
 	}
 }
--- a/entry/peers/role.go
+++ b/entry/peers/role.go
@@ -11,7 +11,7 @@
 )
 
 // Able notes whether the list answers this process.
-func (p *Peers) Able(able bool) {
+func (p *Peers) SetListReachable(able bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.able && !able {
@@ -32,14 +32,14 @@
 // the later ones ask it less often, so that few find out at once that it is back. And when
 // a fleet starts, each entry knows nobody who is to read rather than it: but for the seeds,
 // none follows the list until it had time to meet the others.
-func (p *Peers) Mine() bool {
+func (p *Peers) ShouldRead() bool {
 	if p.Book.Current().Plan == nil {
 		return true
 	}
 	age, now := p.Book.Age(), p.Clock.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	before := p.before(func(h *Hello) bool { return h.Able })
+	before := p.before(func(h *Hello) bool { return h.ListReachable })
 	stale := age > staleAge+min(stepIn*magno.Millis(max(before-Readers, 0)), stepMost)
 	if p.able {
 		young := now-p.since < meetTime && len(p.Seeds) > 0 && !slices.Contains(p.Seeds, p.Addr)
@@ -97,12 +97,12 @@
 }
 
 func (h *Hello) standing() standing {
-	return standing{addr: h.Addr, name: h.Name, hash: xxhash.Sum64String(h.Name), link: h.Link, leaving: h.Leaving}
+	return standing{addr: h.Addr, name: h.Name, hash: xxhash.Sum64String(h.Name), link: h.LinkMbps, leaving: h.Leaving}
 }
 
 // standing is this entry's own.
 func (p *Peers) standing() standing {
-	h := Hello{Name: p.Self, Addr: p.Addr, Link: p.Link, Leaving: p.leaving()}
+	h := Hello{Name: p.Self, Addr: p.Addr, LinkMbps: p.LinkMbps, Leaving: p.leaving()}
 	return h.standing()
 }
 
@@ -129,7 +129,7 @@
 
 // Mates lists the addresses of the entries of this data centre that are alive, this one's
 // among them, in the order of readers.
-func (p *Peers) Mates() []string {
+func (p *Peers) DataCentreEntries() []string {
 	return p.ordered(func(h *Hello) bool { return h.DataCentre == p.DataCentre })
 }
 
--- a/entry/peers/role_test.go
+++ b/entry/peers/role_test.go
@@ -32,7 +32,7 @@
 	readers := func() (list []*node) {
 		confirm()
 		for _, n := range nodes {
-			if n.Mine() {
+			if n.ShouldRead() {
 				list = append(list, n)
 			}
 		}
@@ -40,7 +40,7 @@
 	}
 	until(t, "two readers", func() bool { return len(readers()) == Readers })
 	refused := readers()[0]
-	refused.Able(false)
+	refused.SetListReachable(false)
 	until(t, "another reader", func() bool {
 		now := readers()
 		return len(now) == Readers && now[0] != refused && now[1] != refused
@@ -84,7 +84,7 @@
 	for _, n := range nodes {
 		until(t, "its role", func() bool {
 			n.Book.ApplyRead(nil, 1, false)
-			return n.Mine() == (n.Link == 200)
+			return n.ShouldRead() == (n.LinkMbps == 200)
 		})
 	}
 }
@@ -97,14 +97,14 @@
 	clock := magno.NewClock(magno.Hour)
 	place := func(before int) *Peers {
 		p := &Peers{
-			Self: "self", Addr: "10.0.0.1:7", Link: 20, Mesh: &wire.Mesh{}, Book: &view.Store{Clock: clock},
+			Self: "self", Addr: "10.0.0.1:7", LinkMbps: 20, Mesh: &wire.Mesh{}, Book: &view.Store{Clock: clock},
 			Suspects: &crash.Suspects{Clock: clock}, Clock: clock, Log: slog.New(slog.DiscardHandler),
 		}
 		p.Open()
 		for i := range before {
 			addr := fmt.Sprintf("10.0.1.%d:7", i)
 			p.learn([]string{addr})
-			p.heard(&Hello{Name: addr, Addr: addr, Able: true, Link: 200})
+			p.heard(&Hello{Name: addr, Addr: addr, ListReachable: true, LinkMbps: 200})
 		}
 		return p
 	}
@@ -115,11 +115,11 @@
 		p := place(c.before)
 		p.Book.ApplyRead([]magno.Change{plan(1, 1)}, 1, false)
 		clock.Advance(c.after)
-		if first := c.before < Readers; p.Mine() != first {
+		if first := c.before < Readers; p.ShouldRead() != first {
 			t.Errorf("with %d before it, it reads after %d ms", c.before, c.after)
 		}
 		clock.Advance(1)
-		if !p.Mine() {
+		if !p.ShouldRead() {
 			t.Errorf("with %d before it, it doesn't read after %d ms", c.before, c.after+1)
 		}
 	}
@@ -128,13 +128,13 @@
 // ranked is an entry with others that are to read the list rather than it.
 func ranked(clock *magno.Clock, before int, others Hello) *Peers {
 	p := &Peers{
-		Self: "self", Addr: "10.0.0.1:7", Link: 20, Mesh: &wire.Mesh{}, Book: &view.Store{Clock: clock},
+		Self: "self", Addr: "10.0.0.1:7", LinkMbps: 20, Mesh: &wire.Mesh{}, Book: &view.Store{Clock: clock},
 		Suspects: &crash.Suspects{Clock: clock}, Clock: clock, Log: slog.New(slog.DiscardHandler),
 	}
 	p.Open()
 	for i := range before {
 		h := others
-		h.Name, h.Addr, h.Link = "other", fmt.Sprintf("10.0.1.%d:7", i), 200
+		h.Name, h.Addr, h.LinkMbps = "other", fmt.Sprintf("10.0.1.%d:7", i), 200
 		p.learn([]string{h.Addr})
 		p.heard(&h)
 	}
@@ -147,9 +147,9 @@
 	polls := func(before int) (n int) {
 		clock := magno.NewClock(magno.Hour)
 		p := ranked(clock, before, Hello{})
-		p.Able(false)
+		p.SetListReachable(false)
 		for end := clock.Now() + 10*magno.Second; clock.Now() < end; clock.Advance(100) {
-			if p.Mine() {
+			if p.ShouldRead() {
 				n++
 			}
 		}
@@ -173,7 +173,7 @@
 			t.Errorf("with %d before it: held back for %d ms, want %d", c.before, hold, c.hold)
 		}
 	}
-	p := ranked(clock, 5, Hello{Able: true})
+	p := ranked(clock, 5, Hello{ListReachable: true})
 	if p.toldBy(7) {
 		t.Error("told by nobody")
 	}
@@ -189,13 +189,13 @@
 // machine whose callers' requests then go unanswered.
 func TestEntriesThatStopAreTheLastToRead(t *testing.T) {
 	clock := magno.NewClock(magno.Hour)
-	p := ranked(clock, 3, Hello{Able: true, Leaving: true})
-	if !p.Mine() {
+	p := ranked(clock, 3, Hello{ListReachable: true, Leaving: true})
+	if !p.ShouldRead() {
 		t.Error("it waits for entries that stop")
 	}
-	p = ranked(clock, 3, Hello{Able: true})
-	p.Link, p.Leaving = 1000, func() bool { return true }
-	if p.Mine() {
+	p = ranked(clock, 3, Hello{ListReachable: true})
+	p.LinkMbps, p.Leaving = 1000, func() bool { return true }
+	if p.ShouldRead() {
 		t.Error("an entry that stops reads for others")
 	}
 }
@@ -248,15 +248,15 @@
 			Suspects: &crash.Suspects{Clock: clock}, Clock: clock, Log: slog.New(slog.DiscardHandler),
 		}
 		p.Open()
-		if !p.Mine() {
+		if !p.ShouldRead() {
 			t.Errorf("%s doesn't read what it knows nothing of", c.name)
 		}
 		p.Book.ApplyRead([]magno.Change{plan(1, 1)}, 1, false)
-		if got := p.Mine(); got != c.first {
+		if got := p.ShouldRead(); got != c.first {
 			t.Errorf("%s follows the list at once: %v", c.name, got)
 		}
 		clock.Advance(meetTime)
-		if got := p.Mine(); got != c.later {
+		if got := p.ShouldRead(); got != c.later {
 			t.Errorf("%s follows the list later: %v", c.name, got)
 		}
 	}
--- a/entry/reads/reads.go
+++ b/entry/reads/reads.go
@@ -45,19 +45,19 @@
 )
 
 // Reads is the duty. Fields are set before Run.
-type Reads struct {
+type Reader struct {
 	List magno.Lister
 	Book *view.Store
 	// Mine tells whether this process is to read now.
-	Mine func() bool
+	ShouldRead func() bool
 	// Push tells the other entries what was read. It must not block.
-	Push func(n view.Update)
+	Broadcast func(n view.Update)
 	// Able is told whether the list answers this process.
-	Able func(bool)
+	ReportReachable func(bool)
 	// Fresh is true where the first reading must vouch for what it brings. It costs
 	// the platform more.
-	Fresh bool
-	Log   *slog.Logger
+	FreshFirst bool
+	Log        *slog.Logger
 
 	failed int
 	back   magno.Millis
@@ -69,20 +69,20 @@
 }
 
 // Name implements magno.Duty.
-func (r *Reads) Name() string { return "reads" }
+func (r *Reader) Name() string { return "reads" }
 
 // Run reads until ctx ends.
-func (r *Reads) Run(ctx context.Context) error {
+func (r *Reader) Run(ctx context.Context) error {
 	r.calls = metrics.GetOrCreateCounter("list_calls_total")
 	r.fails = metrics.GetOrCreateCounter("list_failures_total")
-	r.whole, r.fresh = true, r.Fresh
+	r.whole, r.fresh = true, r.FreshFirst
 	for ctx.Err() == nil {
 		r.Book.Tick()
-		if !r.whole && !r.Mine() {
+		if !r.whole && !r.ShouldRead() {
 			magno.Pause(ctx, look)
 			continue
 		}
-		if r.whole && !r.Mine() && r.Book.Current().Plan != nil {
+		if r.whole && !r.ShouldRead() && r.Book.Current().Plan != nil {
 			r.whole = false // a peer told everything
 			continue
 		}
@@ -92,7 +92,7 @@
 }
 
 // round makes one call and returns the pause until the next.
-func (r *Reads) round(ctx context.Context) magno.Millis {
+func (r *Reader) round(ctx context.Context) magno.Millis {
 	r.calls.Inc()
 	before, asked := r.Book.Current().Revision, r.Book.Clock.Now()
 	var changes []magno.Change
@@ -127,7 +127,7 @@
 	if !whole {
 		// After a loss of all power every process reads the whole list. If each
 		// then called all others to fetch it, small machines would do nothing else.
-		r.Push(news)
+		r.Broadcast(news)
 	}
 	if len(changes) == 0 || whole {
 		return 0
@@ -136,29 +136,29 @@
 }
 
 // wait is how long the next watch waits.
-func (r *Reads) wait() magno.Millis {
+func (r *Reader) wait() magno.Millis {
 	if r.Book.Staleness() > unsure {
 		return soon
 	}
 	return waitFor
 }
 
-func (r *Reads) miss(err error) magno.Millis {
+func (r *Reader) miss(err error) magno.Millis {
 	r.fails.Inc()
 	r.Book.RecordFailure()
 	r.failed++
 	r.back = min(max(r.back*2, firstBack), lastBack)
 	if r.failed == tired {
 		r.Log.Warn("list lost", "error", err, "age", r.Book.Age(), "revision", r.Book.Current().Revision)
-		r.Able(false)
+		r.ReportReachable(false)
 	}
 	return r.back
 }
 
-func (r *Reads) hit() {
+func (r *Reader) hit() {
 	if r.failed >= tired {
 		r.Log.Info("list back", "failed", r.failed, "age", r.Book.Age())
 	}
 	r.failed, r.back = 0, 0
-	r.Able(true)
+	r.ReportReachable(true)
 }
--- a/entry/reads/reads_test.go
+++ b/entry/reads/reads_test.go
@@ -74,12 +74,12 @@
 	return a.is
 }
 
-func run(t *testing.T, l *list) (*Reads, *able) {
+func run(t *testing.T, l *list) (*Reader, *able) {
 	t.Helper()
 	a := &able{is: true}
-	r := &Reads{
-		List: l, Book: &view.Store{Clock: magno.NewSteady()}, Mine: func() bool { return true },
-		Push: func(view.Update) {}, Able: a.set, Log: slog.New(slog.DiscardHandler),
+	r := &Reader{
+		List: l, Book: &view.Store{Clock: magno.NewSteady()}, ShouldRead: func() bool { return true },
+		Broadcast: func(view.Update) {}, ReportReachable: a.set, Log: slog.New(slog.DiscardHandler),
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	end := make(chan error, 1)
--- a/entry/send/send.go
+++ b/entry/send/send.go
@@ -39,7 +39,7 @@
 	// Key is empty when the work may be repeated without harm.
 	Key string
 	// Config is the version it was decided by.
-	Config int64
+	ConfigVersion int64
 	// Deadline is a point in time of this process's clock.
 	Deadline magno.Millis
 	Stream   bool
@@ -249,7 +249,7 @@
 	id := r.Work.Job.ID
 	call := magno.RunCall{
 		Call: fmt.Sprintf("%s/%d", id, n), Key: r.Key, Work: r.Work, Stream: r.Stream,
-		Config: r.Config, Left: r.Deadline - s.Clock.Now(), Crashes: s.Suspects.CrashCount(r.Work.Job.Print),
+		Config: r.ConfigVersion, Left: r.Deadline - s.Clock.Now(), Crashes: s.Suspects.CrashCount(r.Work.Job.Print),
 	}
 	call.Work.Job.ID = fmt.Sprintf("%s.%d", id, n)
 	if call.Left <= 0 {
--- a/entry/site/site.go
+++ b/entry/site/site.go
@@ -61,7 +61,7 @@
 	hops  *hop.Pool
 	peers *peers.Peers
 	pools *pools
-	reads *reads.Reads
+	reads *reads.Reader
 	desk  *desk.Client
 	lease *lease.Manager
 	front *front
@@ -76,16 +76,16 @@
 	e.hops = &hop.Pool{Clock: clock}
 	suspects := &crash.Suspects{Clock: &magno.Clock{}}
 	e.peers = &peers.Peers{
-		Self: set.Name, Addr: set.Peers, Link: set.Link, DataCentre: set.DataCentre, Seeds: set.Seeds, Mesh: e.mesh, Book: e.book, Suspects: suspects, Clock: clock, Log: log,
+		Self: set.Name, Addr: set.Peers, LinkMbps: set.Link, DataCentre: set.DataCentre, Seeds: set.Seeds, Mesh: e.mesh, Book: e.book, Suspects: suspects, Clock: clock, Log: log,
 	}
 	e.peers.Open()
 	e.pools = &pools{clock: clock, book: e.book, peers: e.peers, set: set, since: clock.Now()}
-	e.reads = &reads.Reads{
-		List: site.Lister(set.List), Book: e.book, Mine: e.peers.Mine, Push: e.peers.Push, Able: e.peers.Able, Fresh: set.Revoke > 0, Log: log,
+	e.reads = &reads.Reader{
+		List: site.Lister(set.List), Book: e.book, ShouldRead: e.peers.ShouldRead, Broadcast: e.peers.Broadcast, ReportReachable: e.peers.SetListReachable, FreshFirst: set.Revoke > 0, Log: log,
 	}
 	e.desk = &desk.Client{
 		Self: set.Name, Mesh: e.mesh, Book: e.book, Clock: clock, Log: log, AgentPort: set.Inner, OnBacklog: e.pools.report,
-		Addr: set.Peers, Entries: e.peers.Mates,
+		Addr: set.Peers, Entries: e.peers.DataCentreEntries,
 	}
 	e.desk.Open()
 	e.lease = &lease.Manager{
@@ -197,7 +197,7 @@
 		for _, r := range f.book.Current().Replicas {
 			keys[r.Key()] = true
 		}
-		f.hops.Forget(func(key string) bool { return keys[key] })
+		f.hops.Prune(func(key string) bool { return keys[key] })
 		select {
 		case <-ctx.Done():
 			return nil
