--- a/entry/peers/calls.go
+++ b/entry/peers/calls.go
@@ -11,41 +11,41 @@
 )
 
 func (p *Peers) onHello(_ context.Context, _ *wire.Peer, params json.RawMessage) (any, error) {
-	came := p.Book.Clock.Now()
+	receivedAt := p.Book.Clock.Now()
 	var h Hello
 	if err := json.Unmarshal(params, &h); err != nil {
 		return nil, magno.Refuse(magno.KindMalformed, "%v", err)
 	}
-	p.heard(&h)
-	reply := p.self(h.MemberHash, h.KnownCount)
-	reply.Proof = p.prove(stamped{stamp: h.Stamp, came: came})
+	p.applyHello(&h)
+	reply := p.newHello(h.MemberHash, h.KnownCount)
+	reply.Proof = p.freshnessProof(receivedStamp{stamp: h.Stamp, receivedAt: receivedAt})
 	return reply, nil
 }
 
-func (p *Peers) onNews(_ context.Context, _ *wire.Peer, params json.RawMessage) (any, error) {
-	var n Update
-	if err := json.Unmarshal(params, &n); err != nil {
-		p.Log.Warn("news", "error", err)
+func (p *Peers) onUpdate(_ context.Context, _ *wire.Peer, params json.RawMessage) (any, error) {
+	var u Update
+	if err := json.Unmarshal(params, &u); err != nil {
+		p.Log.Warn("malformed update", "error", err)
 		return nil, err
 	}
-	revision := p.take(&n, n.From)
+	revision := p.receive(&u, u.From)
 	p.mu.Lock()
-	p.told = max(p.told, revision)
+	p.receivedRevision = max(p.receivedRevision, revision)
 	p.mu.Unlock()
-	p.follow(n.From, revision) // where news before these were lost
+	p.fetchIfNewer(u.From, revision) // earlier updates may have been lost
 	return nil, nil
 }
 
 func (p *Peers) onItems(_ context.Context, _ *wire.Peer, params json.RawMessage) (any, error) {
-	came := p.Book.Clock.Now()
-	var s Since
-	if err := json.Unmarshal(params, &s); err != nil {
+	receivedAt := p.Book.Clock.Now()
+	var req Since
+	if err := json.Unmarshal(params, &req); err != nil {
 		return nil, magno.Refuse(magno.KindMalformed, "%v", err)
 	}
-	proof := p.prove(stamped{stamp: s.Stamp, came: came})
-	told, err := json.Marshal(p.Book.Since(s.Revision))
+	proof := p.freshnessProof(receivedStamp{stamp: req.Stamp, receivedAt: receivedAt})
+	payload, err := json.Marshal(p.Book.Since(req.Revision))
 	if err != nil {
-		return nil, errors.Wrap(err, "items")
+		return nil, errors.Wrap(err, "encode changes")
 	}
-	return Update{Payload: told, Proof: proof}, nil
+	return Update{Payload: payload, Proof: proof}, nil
 }
--- a/entry/peers/message.go
+++ b/entry/peers/message.go
@@ -7,53 +7,53 @@
 	"magnoliastall.example/magno/crash"
 )
 
-// Methods between entries.
+// RPC methods between entries.
 const (
-	MethodHello  = "hello" // Hello, answered by one
-	MethodUpdate = "news"  // News, a notification
-	MethodItems  = "items" // Since, answered by News
+	MethodHello  = "hello" // Hello, answered with a Hello
+	MethodUpdate = "news"  // Update, a notification
+	MethodItems  = "items" // Since, answered with an Update
 )
 
-// Hello is what an entry tells of itself.
+// Hello describes an entry to another one.
 type Hello struct {
 	Name string `json:"name"`
 	Addr string `json:"addr"`
-	// Revision is the newest that it knows, Age how long ago that was the
+	// Revision is the newest that it has, Age the time since that was known to be the
 	// list's newest.
 	Revision int64        `json:"rev"`
 	Age      magno.Millis `json:"age"`
-	// Able is true while the platform's list answers it.
+	// ListReachable is true while the platform's list answers it.
 	ListReachable bool `json:"able"`
-	// Leaving is true once it is to stop.
+	// Leaving is true while it is shutting down.
 	Leaving bool `json:"leaving,omitempty"`
-	// DataCentre is where it runs.
+	// DataCentre is the data centre that it runs in.
 	DataCentre string `json:"dc,omitempty"`
-	// Link is its machine's bandwidth in megabits a second.
+	// LinkMbps is its machine's bandwidth in Mbit/s.
 	LinkMbps float64 `json:"link,omitempty"`
-	// Known counts the addresses of other entries that it knows.
+	// KnownCount is the number of addresses of other entries that it knows.
 	KnownCount int `json:"known,omitempty"`
-	// Crowd stands for the addresses of all entries that are alive to it, its
-	// own included. Peers are those, or some of them, unless the other's Crowd is
-	// the same: with a hundred entries the addresses would be most of what they tell.
+	// MemberHash is a hash of the addresses of all entries that are alive to it, its own
+	// included. Peers lists those, or some of them. It is left out if both hashes are
+	// equal: with a hundred entries, the addresses would be most of the message.
 	MemberHash uint64   `json:"crowd"`
 	Peers      []string `json:"peers,omitempty"`
-	// Suspects are requests that crashed upstreams, as far as they are news.
+	// Suspects are requests that crashed upstreams, as far as they are recent.
 	Suspects []crash.Record `json:"suspects,omitempty"`
-	// Stamp is its time. Proof is for whom this is sent to, and may be nil.
+	// Stamp is the sender's time. Proof is addressed to the receiver and may be nil.
 	Stamp Stamp  `json:"stamp"`
 	Proof *Proof `json:"proof,omitempty"`
 }
 
-// News are what a process tells of the list, and its address.
+// Update carries changes of the list, or confirms that there are none.
 type Update struct {
-	// Told is a view.News, encoded: the same for all who are told, where Proof isn't.
+	// Payload holds the encoded changes, which are the same for all receivers; Proof isn't.
 	Payload json.RawMessage `json:"told"`
 	From    string          `json:"from,omitempty"`
-	// Proof is for whom this is sent to, and may be nil.
+	// Proof is addressed to the receiver and may be nil.
 	Proof *Proof `json:"proof,omitempty"`
 }
 
-// Since asks for the changes after a revision.
+// Since requests the changes after a revision.
 type Since struct {
 	Revision int64 `json:"rev"`
 	Stamp    Stamp `json:"stamp"`
--- a/entry/peers/model_test.go
+++ b/entry/peers/model_test.go
@@ -15,24 +15,25 @@
 )
 
 const (
-	// processes tell each other of one list.
+	// processes is the number of processes that share one list.
 	processes = 4
-	// watchWait and deafFor are how long a watch waits, and for how long at most the list
-	// may keep changes from watches before it ends them.
-	watchWait = 100 * magno.Millis(1)
-	deafFor   = 1100 * magno.Millis(1)
+	// watchWait is the length of a watch, maxWatchLag the time for which the list may
+	// withhold changes from a watch before it ends it.
+	watchWait   = 100 * magno.Millis(1)
+	maxWatchLag = 1100 * magno.Millis(1)
 )
 
-// fleet is a list, the processes that know it, and what is under way between them.
+// fleet models a list, the processes that read it, and the messages between them.
 type fleet struct {
-	// now is the true time. Each process has a clock of its own, which nobody compares.
+	// now is the true time. Each process has a clock of its own; clocks are never
+	// compared.
 	now    magno.Millis
 	clocks []*magno.Clock
 	peers  []*Peers
-	// written is when the list got each revision; the first is 1.
-	written []magno.Millis
-	// flying are messages and answers of the list that haven't arrived.
-	flying []func()
+	// writtenAt holds the time of each revision of the list; the first is 1.
+	writtenAt []magno.Millis
+	// inFlight are messages and responses of the list that haven't arrived.
+	inFlight []func()
 }
 
 func newFleet(t *rapid.T) *fleet {
@@ -48,7 +49,7 @@
 
 func addr(i int) string { return fmt.Sprintf("10.0.0.%d:7", i) }
 
-// start has a process begin, or begin anew with nothing known.
+// start starts a process, or restarts it with empty state.
 func (f *fleet) start(i int) {
 	p := &Peers{
 		Self: fmt.Sprint(i), Addr: addr(i), Mesh: &wire.Mesh{}, Book: &view.Store{Clock: f.clocks[i]},
@@ -58,93 +59,94 @@
 		p.Seeds = append(p.Seeds, addr(j))
 	}
 	p.Open()
-	p.pulling = true // the test fetches by itself
+	p.fetching = true // the test does the fetches
 	f.peers[i] = p
 }
 
-// power has a process begin anew on a machine that lost power, and whose clock did too.
-func (f *fleet) power(t *rapid.T) {
+// restartWithNewClock restarts a process on a machine whose clock was reset by a loss of
+// power.
+func (f *fleet) restartWithNewClock(t *rapid.T) {
 	i := rapid.IntRange(0, processes-1).Draw(t, "who")
 	f.clocks[i] = magno.NewClock(magno.Hour + magno.Millis(rapid.IntRange(0, 20_000).Draw(t, "clock")))
 	f.start(i)
 }
 
-func (f *fleet) write() { f.written = append(f.written, f.now) }
+func (f *fleet) write() { f.writtenAt = append(f.writtenAt, f.now) }
 
-// asOf is the list's newest revision at a time.
+// asOf returns the list's newest revision at a time.
 func (f *fleet) asOf(at magno.Millis) int64 {
 	n := 0
-	for n < len(f.written) && f.written[n] <= at {
+	for n < len(f.writtenAt) && f.writtenAt[n] <= at {
 		n++
 	}
 	return int64(n)
 }
 
-// item is the configuration of a revision.
+// item returns the configuration of a revision.
 func item(revision int64) magno.Change { return plan(revision, revision) }
 
-// ask has a process call the list. What comes back is what the list held at some time
-// while the call was under way; a stale answer is older, and a watch may be deaf.
-func (f *fleet) ask(t *rapid.T, i int) {
+// callList makes a process call the list. The response is what the list held at some time
+// during the call. A stale read may be older, and a watch may miss recent changes.
+func (f *fleet) callList(t *rapid.T, i int) {
 	p, asked, began := f.peers[i], f.clocks[i].Now(), f.now
-	how := rapid.SampledFrom([]string{"fresh", "stale", "watch"}).Draw(t, "call")
+	kind := rapid.SampledFrom([]string{"fresh", "stale", "watch"}).Draw(t, "call")
 	since := p.Book.Current().Revision
-	f.fly(func() {
+	f.send(func() {
 		if f.peers[i] != p {
-			return // it was started anew
+			return // the process was restarted
 		}
-		early := began
-		switch how {
+		earliest := began
+		switch kind {
 		case "stale":
-			early -= 3 * magno.Second
+			earliest -= 3 * magno.Second
 		case "watch":
-			early -= deafFor - watchWait
+			earliest -= maxWatchLag - watchWait
 		}
-		at := early + magno.Millis(rapid.Int64Range(0, int64(f.now-early)).Draw(t, "as of"))
+		at := earliest + magno.Millis(rapid.Int64Range(0, int64(f.now-earliest)).Draw(t, "as of"))
 		revision := f.asOf(at)
 		if revision == 0 {
 			return
 		}
 		changes := []magno.Change{item(revision)}
-		if how == "watch" && revision <= since {
+		if kind == "watch" && revision <= since {
 			changes, revision = nil, since
 		}
-		p.Book.ApplyRead(changes, revision, how != "watch")
-		switch how {
+		p.Book.ApplyRead(changes, revision, kind != "watch")
+		switch kind {
 		case "fresh":
 			p.Book.RecordFreshness(revision, asked)
 		case "watch":
-			p.Book.RecordFreshness(revision, asked-(deafFor-watchWait))
+			p.Book.RecordFreshness(revision, asked-(maxWatchLag-watchWait))
 		}
 	})
 }
 
-func (f *fleet) fly(arrive func()) { f.flying = append(f.flying, arrive) }
+func (f *fleet) send(arrive func()) { f.inFlight = append(f.inFlight, arrive) }
 
-// pair draws two processes.
+// pair draws two different processes.
 func (f *fleet) pair(t *rapid.T) (from, to int) {
 	from = rapid.IntRange(0, processes-1).Draw(t, "from")
 	to = (from + rapid.IntRange(1, processes-1).Draw(t, "to")) % processes
 	return from, to
 }
 
-// hello has a process say hello to another, which answers.
+// hello makes a process exchange hellos with another one.
 func (f *fleet) hello(t *rapid.T) {
 	from, to := f.pair(t)
 	p := f.peers[from]
-	h := p.self(0, 0)
+	h := p.newHello(0, 0)
 	if k := p.known[addr(to)]; k != nil {
-		h.Proof = p.prove(k.stamped)
+		h.Proof = p.freshnessProof(k.lastStamp)
 	}
-	f.fly(func() {
+	f.send(func() {
 		q := f.peers[to]
-		came := q.Book.Clock.Now()
-		q.heard(&h)
-		reply := q.self(0, 0)
-		reply.Proof = q.prove(stamped{stamp: h.Stamp, came: came})
-		f.fly(func() {
+		receivedAt := q.Book.Clock.Now()
+		q.applyHello(&h)
+		reply := q.newHello(0, 0)
+		reply.Proof = q.freshnessProof(receivedStamp{stamp: h.Stamp, receivedAt: receivedAt})
+		f.send(func() {
 			if f.peers[from] == p {
-				p.heard(&reply)
+				p.applyHello(&reply)
 			}
 		})
 	})
@@ -158,52 +160,53 @@
 	return data
 }
 
-// push has a process tell another what it knows, or only that it is still so.
-func (f *fleet) push(t *rapid.T) {
+// pushUpdate makes a process send another one its configuration, or a confirmation that it
+// is unchanged.
+func (f *fleet) pushUpdate(t *rapid.T) {
 	from, to := f.pair(t)
 	p := f.peers[from]
-	news := p.Book.Since(0)
+	update := p.Book.Since(0)
 	if rapid.Bool().Draw(t, "nothing new") {
-		news.Since, news.Changes = news.Revision, nil
+		update.Since, update.Changes = update.Revision, nil
 	}
-	n := Update{Payload: encoded(t, news), From: p.Addr}
+	u := Update{Payload: encoded(t, update), From: p.Addr}
 	if k := p.known[addr(to)]; k != nil {
-		n.Proof = p.prove(k.stamped)
+		u.Proof = p.freshnessProof(k.lastStamp)
 	}
-	f.fly(func() { f.peers[to].take(&n, n.From) })
+	f.send(func() { f.peers[to].receive(&u, u.From) })
 }
 
-// fetch has a process ask another for what it lacks.
+// fetch makes a process request from another one the changes that it lacks.
 func (f *fleet) fetch(t *rapid.T) {
 	from, to := f.pair(t)
 	p := f.peers[from]
-	since := Since{Revision: p.Book.Current().Revision, Stamp: p.stamp()}
-	f.fly(func() {
+	req := Since{Revision: p.Book.Current().Revision, Stamp: p.stamp()}
+	f.send(func() {
 		q := f.peers[to]
-		proof := q.prove(stamped{stamp: since.Stamp, came: q.Book.Clock.Now()})
-		n := Update{Payload: encoded(t, q.Book.Since(since.Revision)), Proof: proof}
-		f.fly(func() {
+		proof := q.freshnessProof(receivedStamp{stamp: req.Stamp, receivedAt: q.Book.Clock.Now()})
+		u := Update{Payload: encoded(t, q.Book.Since(req.Revision)), Proof: proof}
+		f.send(func() {
 			if f.peers[from] == p {
-				p.take(&n, q.Addr)
+				p.receive(&u, q.Addr)
 			}
 		})
 	})
 }
 
-// arrive has something arrive that is under way, in any order, or be lost.
-func (f *fleet) arrive(t *rapid.T) {
-	if len(f.flying) == 0 {
+// deliver delivers or drops one of the messages in flight, in any order.
+func (f *fleet) deliver(t *rapid.T) {
+	if len(f.inFlight) == 0 {
 		return
 	}
-	i := rapid.IntRange(0, len(f.flying)-1).Draw(t, "which")
-	arrive := f.flying[i]
-	f.flying = append(f.flying[:i], f.flying[i+1:]...)
+	i := rapid.IntRange(0, len(f.inFlight)-1).Draw(t, "which")
+	arrive := f.inFlight[i]
+	f.inFlight = append(f.inFlight[:i], f.inFlight[i+1:]...)
 	if rapid.IntRange(0, 4).Draw(t, "lost") > 0 {
 		arrive()
 	}
 }
 
-func (f *fleet) pass(t *rapid.T) {
+func (f *fleet) advance(t *rapid.T) {
 	d := magno.Millis(rapid.IntRange(1, 3000).Draw(t, "time"))
 	f.now += d
 	for _, c := range f.clocks {
@@ -211,38 +214,38 @@
 	}
 }
 
-// check holds what each process takes its configuration's age to be against the truth.
+// check compares the freshness that each process assumes with the true one.
 func (f *fleet) check(t *rapid.T) {
 	for i, p := range f.peers {
 		at, _ := p.Book.FreshAt()
 		if at == 0 {
 			continue
 		}
-		sure := f.now - p.Book.Staleness()
-		if known, newest := p.Book.Current().Revision, f.asOf(sure-1); known < newest {
-			t.Fatalf("process %d is sure to know what the list held %d ms ago, revision %d, and knows %d",
+		freshAt := f.now - p.Book.Staleness()
+		if known, newest := p.Book.Current().Revision, f.asOf(freshAt-1); known < newest {
+			t.Fatalf("process %d assumes that it has what the list held %d ms ago, revision %d, but has revision %d",
 				i, p.Book.Staleness(), newest, known)
 		}
 	}
 }
 
-// Guards against a process that goes on using keys withdrawn too long ago: messages and
-// the list's answers come late, in any order or never, processes start anew, and nobody
-// compares clocks. What a process is sure of was so.
-func TestNobodyIsSurerThanItMayBe(t *testing.T) {
+// Guards against a process that goes on using keys revoked too long ago. Messages and
+// responses of the list are delayed, reordered or lost, processes restart, and clocks are
+// never compared; no process may assume a configuration fresher than the one it has.
+func TestFreshnessIsNeverOverstated(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFleet(t)
 		t.Repeat(map[string]func(*rapid.T){
 			"write":  func(*rapid.T) { f.write() },
-			"ask":    func(t *rapid.T) { f.ask(t, rapid.IntRange(0, processes-1).Draw(t, "who")) },
+			"ask":    func(t *rapid.T) { f.callList(t, rapid.IntRange(0, processes-1).Draw(t, "who")) },
 			"hello":  f.hello,
-			"push":   f.push,
+			"push":   f.pushUpdate,
 			"fetch":  f.fetch,
-			"arrive": f.arrive,
-			"more":   f.arrive,
-			"pass":   f.pass,
+			"arrive": f.deliver,
+			"more":   f.deliver,
+			"pass":   f.advance,
 			"start":  func(t *rapid.T) { f.start(rapid.IntRange(0, processes-1).Draw(t, "who")) },
-			"power":  f.power,
+			"power":  f.restartWithNewClock,
 			"":       f.check,
 		})
 	})
--- a/entry/peers/news.go
+++ b/entry/peers/news.go
@@ -12,107 +12,111 @@
 	"magnoliastall.example/magno/view"
 )
 
-// follow fetches what a peer knows and this process doesn't, one fetch at a
+// fetchIfNewer fetches the changes that a peer has and this process lacks, one fetch at a
 // time.
-func (p *Peers) follow(addr string, revision int64) {
+func (p *Peers) fetchIfNewer(addr string, revision int64) {
 	p.mu.Lock()
 	mine := p.Book.Current().Revision
-	pull := revision > mine && !p.pulling
-	p.pulling = p.pulling || pull
+	needed := revision > mine && !p.fetching
+	p.fetching = p.fetching || needed
 	p.mu.Unlock()
-	if pull {
-		go p.pull(addr, mine)
+	if needed {
+		go p.fetch(addr, mine)
 	}
 }
 
-// pullLimit bounds the next fetch.
-func (p *Peers) pullLimit() magno.Millis {
+// fetchTimeout returns the timeout of the next fetch.
+func (p *Peers) fetchTimeout() magno.Millis {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return min(pullTime<<p.pulls, pullMost)
+	return min(minFetchTimeout<<p.slowFetches, maxFetchTimeout)
 }
 
-// pull fetches the changes that a peer has and this process hasn't.
-func (p *Peers) pull(addr string, since int64) {
-	limit := p.pullLimit()
-	ctx, cancel := context.WithTimeout(context.Background(), limit.Span())
+// fetch requests the changes after a revision from a peer.
+func (p *Peers) fetch(addr string, since int64) {
+	timeout := p.fetchTimeout()
+	ctx, cancel := context.WithTimeout(context.Background(), timeout.Span())
 	defer cancel()
-	var n Update
-	err := p.Mesh.Call(ctx, addr, MethodItems, Since{Revision: since, Stamp: p.stamp()}, &n)
+	var u Update
+	err := p.Mesh.Call(ctx, addr, MethodItems, Since{Revision: since, Stamp: p.stamp()}, &u)
 	p.mu.Lock()
-	p.pulling = false
+	p.fetching = false
 	switch {
 	case !errors.Is(err, context.DeadlineExceeded):
-		p.pulls = 0
-	case limit < pullMost:
-		p.pulls++
+		p.slowFetches = 0
+	case timeout < maxFetchTimeout:
+		p.slowFetches++
 	}
 	p.mu.Unlock()
 	if err != nil {
-		p.Log.Info("pull", "addr", addr, "since", since, "error", err)
+		p.Log.Info("fetching changes failed", "addr", addr, "since", since, "error", err)
 		return
 	}
-	p.take(&n, addr)
+	p.receive(&u, addr)
 }
 
-// take brings what a peer told into the book, and returns up to which revision that was.
-// What can't be used is fetched later.
-func (p *Peers) take(n *Update, from string) (revision int64) {
-	var told view.Update
-	if err := json.Unmarshal(n.Payload, &told); err != nil {
-		p.Log.Warn("news", "from", from, "error", err)
+// receive applies an update from a peer and returns its revision. What can't be applied is
+// fetched later.
+func (p *Peers) receive(u *Update, from string) (revision int64) {
+	var update view.Update
+	if err := json.Unmarshal(u.Payload, &update); err != nil {
+		p.Log.Warn("malformed update", "from", from, "error", err)
 		return 0
 	}
-	if p.heed(told, from) {
-		p.vouch(n.Proof)
+	if p.apply(update, from) {
+		p.acceptProof(u.Proof)
 	}
-	return told.Revision
+	return update.Revision
 }
 
-// heed is take for decoded news; false when they can't be used.
-func (p *Peers) heed(told view.Update, from string) bool {
-	err := p.Book.ApplyUpdate(told)
+// apply applies decoded changes to the book; it returns false if that fails.
+func (p *Peers) apply(update view.Update, from string) bool {
+	err := p.Book.ApplyUpdate(update)
 	if err != nil {
-		p.Log.Info("news left", "from", from, "rev", told.Revision, "error", err)
+		p.Log.Info("news left", "from", from, "rev", update.Revision, "error", err)
 	}
 	return err == nil
 }
 
-// Push tells all peers what was read.
-func (p *Peers) Broadcast(n view.Update) {
+// Broadcast queues what was read from the list, to be sent to all peers.
+func (p *Peers) Broadcast(u view.Update) {
 	select {
-	case p.news <- n:
-	default: // they see the higher revision in the next hello, and ask
-		p.Log.Warn("news dropped", "changes", len(n.Changes), "rev", n.Revision)
+	case p.updates <- u:
+	default: // peers see the higher revision in the next hello and fetch the changes
+		p.Log.Warn("update queue full; update dropped", "changes", len(u.Changes), "rev", u.Revision)
 	}
 }
 
-// spread tells all peers what was read, unless another process did meanwhile.
-func (p *Peers) spread(ctx context.Context, n view.Update) {
-	if hold := p.holdBack(); hold > 0 {
-		if !magno.Pause(ctx, hold) || p.toldBy(n.Revision) {
+// sendToAll sends what was read to all peers, unless another process did meanwhile.
+func (p *Peers) sendToAll(ctx context.Context, u view.Update) {
+	if delay := p.broadcastDelay(); delay > 0 {
+		if !magno.Pause(ctx, delay) || p.received(u.Revision) {
 			return
 		}
 	}
-	told, err := json.Marshal(n) // once for all
+	payload, err := json.Marshal(u) // encoded once for all peers
 	if err != nil {
-		p.Log.Error("news", "rev", n.Revision, "error", err)
+		p.Log.Error("encoding update failed", "rev", u.Revision, "error", err)
 		return
 	}
-	stamps := p.alive()
-	p.Mesh.NotifyAll(ctx, slices.Collect(maps.Keys(stamps)), MethodUpdate, newsTime,
-		func(addr string) any { return Update{Payload: told, From: p.Addr, Proof: p.prove(stamps[addr])} },
-		func(addr string, err error) { p.Log.Info("news", "addr", addr, "rev", n.Revision, "error", err) })
+	stamps := p.aliveStamps()
+	p.Mesh.NotifyAll(ctx, slices.Collect(maps.Keys(stamps)), MethodUpdate, updateTimeout,
+		func(addr string) any {
+			return Update{Payload: payload, From: p.Addr, Proof: p.freshnessProof(stamps[addr])}
+		},
+		func(addr string, err error) {
+			p.Log.Info("sending update failed", "addr", addr, "rev", u.Revision, "error", err)
+		})
 }
 
-// alive maps the addresses of the other entries that answer to their last stamps.
-func (p *Peers) alive() map[string]stamped {
+// aliveStamps maps the addresses of the other live entries to their last stamps.
+func (p *Peers) aliveStamps() map[string]receivedStamp {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	list := make(map[string]stamped, len(p.known))
+	list := make(map[string]receivedStamp, len(p.known))
 	for addr, k := range p.known {
 		if k.alive {
-			list[addr] = k.stamped
+			list[addr] = k.lastStamp
 		}
 	}
 	return list
--- a/entry/peers/peers.go
+++ b/entry/peers/peers.go
@@ -1,12 +1,12 @@
-// Package peers lets the entries know each other, and passes on what one of
-// them read of the platform's list.
+// Package peers maintains the membership of the entries and distributes the changes that
+// one of them read from the platform's list.
 //
-//	seeds --hello--> peers --hello, each 400 ms--> all others
-//	reads --Push--> news --> all others' Book
-//	a higher revision in a hello --> items --> Book
+//	seeds <--hello--> peers <--hello, every 400 ms--> all other entries
+//	reads --Broadcast--> update --> Book of every other entry
+//	higher revision in a hello --> items request --> Book
 //
-// The platform doesn't list the system's own processes. A process starts from
-// the seeds in its settings and learns the rest from whom it meets.
+// The platform doesn't list the system's own processes: a process starts from the seeds
+// in its settings and learns of further entries from their hellos.
 package peers
 
 import (
@@ -28,66 +28,68 @@
 )
 
 const (
-	// helloEvery is how often each peer is asked; helloTime bounds its answer.
-	// With more than helloScale peers the pause grows with their number, so that
-	// the hellos of one entry don't.
-	helloEvery = 400 * magno.Millis(1)
-	helloTime  = 350 * magno.Millis(1)
-	helloScale = 6
-	// goneAfter is how many hellos in a row must fail until a peer counts as
-	// gone, and forgetAfter until it is no longer asked.
-	goneAfter   = 2
-	forgetAfter = 150
-	// Readers is how many entries read the list: with one, its loss would hold
-	// up a change for the second that it takes the others to notice.
+	// helloInterval is the time between two hellos to a peer; helloTimeout bounds its
+	// answer. Above helloScaleFrom peers the interval grows with their number, which
+	// keeps the rate of hellos that an entry sends constant.
+	helloInterval  = 400 * magno.Millis(1)
+	helloTimeout   = 350 * magno.Millis(1)
+	helloScaleFrom = 6
+	// lostAfterMisses is the number of consecutive failed hellos after which a peer is
+	// considered lost, forgetAfterMisses that after which it is no longer contacted.
+	lostAfterMisses   = 2
+	forgetAfterMisses = 150
+	// Readers is the number of entries that read the list. With a single reader, its loss
+	// would delay a change by the second that the others need to detect it.
 	Readers = 2
-	// mostHomes is how many entries count the allowances of all customers.
-	mostHomes = 4
-	// staleAge is the age from which a process reads by itself, whoever should.
+	// maxHomes is the number of entries that keep the quotas of all customers.
+	maxHomes = 4
+	// staleAge is the age of the configuration from which a process reads the list itself,
+	// whatever its rank.
 	staleAge = 2500 * magno.Millis(1)
-	// stepIn is how much later each next one does, in the order of readers: about the
-	// time to read and to tell all others. stepMost bounds it.
-	stepIn   = 40 * magno.Millis(1)
-	stepMost = magno.Second
-	// mostMeeting bounds the hellos under way to entries that aren't alive. An entry
-	// that starts in a large fleet hears of all others at once, and its machine has no
-	// room for as many hellos.
-	mostMeeting = 32
-	// mostNamed bounds the entries that a hello names to one that knows most of them.
-	mostNamed = 16
-	// seenFor is how long a peer that was alive still counts among those that
-	// share the retry allowance: it may only be cut off from here.
-	seenFor = 30 * magno.Second
-	// meetTime is how long an entry that met nobody counts unmet entries. It asks for
-	// others each meetEvery.
-	meetTime  = 2 * magno.Second
-	meetEvery = 100 * magno.Millis(1)
-	unmet     = 16
-	// suspectsFor is how long word of a suspect is repeated in hellos: more than the
-	// pause between two in a large fleet. mostSuspects bounds them in one: a crash
-	// makes suspects of all that ran there, and with the whole list in each hello a
-	// few crashes fill the links of small machines.
-	suspectsFor  = 10 * magno.Second
-	mostSuspects = 64
-	// tryEvery is how often an entry that the list refuses tries again while
-	// others read for it. While nobody can, it tries later by tryStep for each entry
-	// that is to read rather than it.
-	tryEvery = 3 * magno.Second
-	tryStep  = 100 * magno.Millis(1)
-	// pullTime bounds the fetching of items. It doubles with each fetch that took
-	// longer, up to pullMost: all items may take seconds over a narrow link.
-	pullTime = magno.Second
-	pullMost = 8 * magno.Second
-	// newsTime bounds the handing over of news to one peer.
-	newsTime = 500 * magno.Millis(1)
-	// newsRoom bounds news that wait to be sent.
-	newsRoom = 64
+	// takeoverStep is the additional delay per rank before an entry takes over reading:
+	// about the time to read the list and update all others. maxTakeoverDelay bounds the
+	// sum.
+	takeoverStep     = 40 * magno.Millis(1)
+	maxTakeoverDelay = magno.Second
+	// maxProbes bounds the concurrent hellos to entries that aren't known to be alive. An
+	// entry that joins a large fleet learns of all others at once, and a small machine
+	// can't send that many hellos at a time.
+	maxProbes = 32
+	// maxSampledPeers bounds the entries listed in a hello to one that knows most of them.
+	maxSampledPeers = 16
+	// memberTTL is how long a peer that was alive still counts among those that share the
+	// retry budget: it may be unreachable from here only.
+	memberTTL = 30 * magno.Second
+	// discoveryTime is how long an entry that has met no other assumes that assumedEntries
+	// exist. Until it meets one it looks for peers every discoveryInterval.
+	discoveryTime     = 2 * magno.Second
+	discoveryInterval = 100 * magno.Millis(1)
+	assumedEntries    = 16
+	// suspectMaxAge is how long a suspect is repeated in hellos: longer than the interval
+	// between two hellos in a large fleet. maxSuspects bounds the suspects in one hello: a
+	// crash makes every request that ran there a suspect, and sending the whole list in
+	// each hello would saturate the links of small machines after a few crashes.
+	suspectMaxAge = 10 * magno.Second
+	maxSuspects   = 64
+	// listRetryInterval is how often an entry that can't reach the list retries while
+	// others read it. While none of them can, it retries after listRetryStep for each
+	// entry that ranks ahead of it.
+	listRetryInterval = 3 * magno.Second
+	listRetryStep     = 100 * magno.Millis(1)
+	// minFetchTimeout bounds a fetch of items. It doubles with each fetch that timed out,
+	// up to maxFetchTimeout: all items may take seconds over a narrow link.
+	minFetchTimeout = magno.Second
+	maxFetchTimeout = 8 * magno.Second
+	// updateTimeout bounds the delivery of an update to one peer.
+	updateTimeout = 500 * magno.Millis(1)
+	// updateQueueLen bounds the updates that wait to be sent.
+	updateQueueLen = 64
 )
 
-// Peers is the duty. Fields are set before Open.
+// Peers is the membership service of an entry. Fields are set before Open.
 type Peers struct {
-	// Self and Addr are this entry's name and address, Link the bandwidth of its
-	// machine in megabits a second.
+	// Self and Addr are this entry's name and address, LinkMbps is the bandwidth of its
+	// machine in Mbit/s.
 	Self, Addr string
 	LinkMbps   float64
 	DataCentre string
@@ -95,241 +97,246 @@
 	Mesh       *wire.Mesh
 	Book       *view.Store
 	Suspects   *crash.Suspects
-	// Leaving tells whether this entry is to stop; nil for never.
+	// Leaving reports whether this entry is shutting down. May be nil, for never.
 	Leaving func() bool
 	Clock   *magno.Clock
 	Log     *slog.Logger
 
-	// since is when this process started.
-	since magno.Millis
-	// life tells this process's stamps from those of an earlier one.
-	life uint64
+	// startedAt is the start time of this process.
+	startedAt magno.Millis
+	// incarnation distinguishes this process's stamps from those of an earlier one.
+	incarnation uint64
 
 	mu    sync.Mutex
 	known map[string]*peer
-	// able tells whether the list answers this process, tried when it was last asked
-	// while it doesn't.
-	able  bool
-	tried magno.Millis
-	// learned has one while new addresses wait to be asked.
-	learned chan struct{}
-	// told is the newest revision that others told.
-	told int64
-	news chan view.Update
-	// pulling is true while a fetch of items is under way; pulls doubles pullTime.
-	pulling bool
-	pulls   int
+	// listReachable is true while the list answers this process. While it doesn't,
+	// listTriedAt is the time of the last attempt.
+	listReachable bool
+	listTriedAt   magno.Millis
+	// wakeup holds a token while there are peers to be contacted at once.
+	wakeup chan struct{}
+	// receivedRevision is the newest revision received in an update from another entry.
+	receivedRevision int64
+	updates          chan view.Update
+	// fetching is true while a fetch of items is in progress. slowFetches is the number
+	// of times that minFetchTimeout is doubled.
+	fetching    bool
+	slowFetches int
 }
 
 type peer struct {
 	hello Hello
-	// standing is hello's.
-	standing standing
-	misses   int
-	alive    bool
-	// mine is true when this entry is the one of the pair that says hello.
-	mine bool
-	// ended is true when its machine refuses connections: nothing runs there.
-	ended  bool
-	seen   magno.Millis
-	asking bool
-	// asked is when it was asked last, learned when its address was heard of.
-	asked, learned magno.Millis
-	// stamped is the last stamp that came from it.
-	stamped stamped
+	// rank is derived from hello.
+	rank   rank
+	misses int
+	alive  bool
+	// initiator is true if this entry is the one of the pair that sends hellos.
+	initiator bool
+	// refused is true if its machine refuses connections, so no process runs there.
+	refused bool
+	seenAt  magno.Millis
+	pending bool
+	// askedAt is the time of the last hello to it, learnedAt that at which its address
+	// became known.
+	askedAt, learnedAt magno.Millis
+	// lastStamp is the last stamp received from it.
+	lastStamp receivedStamp
 }
 
-// Open takes the methods on the mesh, before either runs.
+// Open registers the RPC handlers on the mesh. It is called before the mesh or Peers
+// runs.
 func (p *Peers) Open() {
 	p.known = map[string]*peer{}
-	p.since = p.Clock.Now()
-	p.life = rand.Uint64() | 1
-	p.able = true
-	p.news = make(chan view.Update, newsRoom)
-	p.learned = make(chan struct{}, 1)
-	p.learn(p.Seeds)
+	p.startedAt = p.Clock.Now()
+	p.incarnation = rand.Uint64() | 1
+	p.listReachable = true
+	p.updates = make(chan view.Update, updateQueueLen)
+	p.wakeup = make(chan struct{}, 1)
+	p.addAddrs(p.Seeds)
 	p.Mesh.Handle(MethodHello, p.onHello)
-	p.Mesh.Handle(MethodUpdate, p.onNews)
+	p.Mesh.Handle(MethodUpdate, p.onUpdate)
 	p.Mesh.Handle(MethodItems, p.onItems)
 }
 
 // Name implements magno.Duty.
 func (p *Peers) Name() string { return "peers" }
 
-// Run asks peers until ctx ends.
+// Run sends hellos and updates until ctx ends.
 func (p *Peers) Run(ctx context.Context) error {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
-	var working sync.WaitGroup
-	defer working.Wait()
+	var pending sync.WaitGroup
+	defer pending.Wait()
 	for {
-		for addr, known := range p.due() {
-			working.Add(1)
+		for addr, k := range p.due() {
+			pending.Add(1)
 			go func() {
-				defer working.Done()
-				p.ask(ctx, addr, known)
+				defer pending.Done()
+				p.sendHello(ctx, addr, k)
 			}()
 		}
-		timer.Reset(p.pause().Span())
+		timer.Reset(p.pollInterval().Span())
 		select {
 		case <-ctx.Done():
 			return nil
 		case <-timer.C:
-		case <-p.learned:
-		case n := <-p.news:
-			working.Add(1)
+		case <-p.wakeup:
+		case u := <-p.updates:
+			pending.Add(1)
 			go func() {
-				defer working.Done()
-				p.spread(ctx, n)
+				defer pending.Done()
+				p.sendToAll(ctx, u)
 			}()
 		}
 	}
 }
 
-// pause is how long until peers are looked at again.
-func (p *Peers) pause() magno.Millis {
+// pollInterval returns the time until due is called again.
+func (p *Peers) pollInterval() magno.Millis {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.met() || p.Clock.Now()-p.since > meetTime {
-		return helloEvery
+	if p.hasMet() || p.Clock.Now()-p.startedAt > discoveryTime {
+		return helloInterval
 	}
-	return meetEvery
+	return discoveryInterval
 }
 
-// met tells whether another entry was ever heard, or none is expected. The caller holds
-// mu.
-func (p *Peers) met() bool {
+// hasMet reports whether a hello of another entry was ever received, or none is expected.
+// The caller holds mu.
+func (p *Peers) hasMet() bool {
 	if !slices.ContainsFunc(p.Seeds, func(addr string) bool { return addr != p.Addr }) {
 		return true
 	}
 	for _, k := range p.known {
-		if k.seen > 0 {
+		if k.seenAt > 0 {
 			return true
 		}
 	}
 	return false
 }
 
-// learn notes addresses that are new, and has them asked at once.
-func (p *Peers) learn(addrs []string) {
+// addAddrs adds new addresses, to be contacted at once.
+func (p *Peers) addAddrs(addrs []string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, addr := range addrs {
 		if addr == "" || addr == p.Addr || p.known[addr] != nil {
 			continue
 		}
-		p.known[addr] = &peer{hello: Hello{Addr: addr}, mine: p.asks(addr), learned: p.Clock.Now()}
+		p.known[addr] = &peer{hello: Hello{Addr: addr}, initiator: p.initiates(addr), learnedAt: p.Clock.Now()}
 		p.wake()
 	}
 }
 
-// wake has peers looked at now.
+// wake makes Run contact the peers that are due now.
 func (p *Peers) wake() {
 	select {
-	case p.learned <- struct{}{}:
-	default: // they are about to be
+	case p.wakeup <- struct{}{}:
+	default: // a wakeup is pending
 	}
 }
 
-// due lists whom to ask now. Those that are gone are asked a few at a time, and
-// given up after a minute, unless they are seeds.
+// due returns the peers to send a hello to now. Only maxProbes of those that aren't alive
+// are contacted at a time, and they are removed after forgetAfterMisses, unless they are
+// seeds.
 func (p *Peers) due() map[string]*peer {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	list := map[string]*peer{}
 	now := p.Clock.Now()
-	pause := helloEvery * magno.Millis(max(len(p.known), helloScale)) / helloScale
-	meeting := 0
+	interval := helloInterval * magno.Millis(max(len(p.known), helloScaleFrom)) / helloScaleFrom
+	probing := 0
 	for _, k := range p.known {
-		if k.asking && !k.alive {
-			meeting++
+		if k.pending && !k.alive {
+			probing++
 		}
 	}
-	met := p.met()
+	hasMet := p.hasMet()
 	for addr, k := range p.known {
-		if k.misses > forgetAfter && !slices.Contains(p.Seeds, addr) {
+		if k.misses > forgetAfterMisses && !slices.Contains(p.Seeds, addr) {
 			delete(p.known, addr)
 			continue
 		}
-		if !k.due(now, pause, met) {
+		if !k.due(now, interval, hasMet) {
 			continue
 		}
 		if !k.alive {
-			if meeting >= mostMeeting {
+			if probing >= maxProbes {
 				continue
 			}
-			meeting++
+			probing++
 		}
-		k.asking, k.asked = true, now
+		k.pending, k.askedAt = true, now
 		list[addr] = k
 	}
 	return list
 }
 
-// due tells whether an entry is to be asked, given the usual pause between two hellos.
-// met is false for an entry that met nobody yet.
-func (k *peer) due(now, pause magno.Millis, met bool) bool {
+// due reports whether the peer is to be sent a hello, given the usual interval between two
+// of them. hasMet is false for an entry that has met no other yet.
+func (k *peer) due(now, interval magno.Millis, hasMet bool) bool {
 	switch {
-	case k.asking:
+	case k.pending:
 		return false
 	case k.misses > 0:
 		return true
-	case k.seen == 0:
-		// Where both of a pair start at the same time, the other one says hello.
-		return k.mine || !met || k.asked > 0 || now-k.learned >= helloEvery
-	case !k.mine:
-		pause += helloEvery
+	case k.seenAt == 0:
+		// If both of a pair start at the same time, only the initiator sends a hello.
+		return k.initiator || !hasMet || k.askedAt > 0 || now-k.learnedAt >= helloInterval
+	case !k.initiator:
+		interval += helloInterval
 	}
-	return now-max(k.asked, k.seen) >= pause-helloEvery/2
+	return now-max(k.askedAt, k.seenAt) >= interval-helloInterval/2
 }
 
-// asks tells whether this entry is the one of a pair that says hello; the other is
-// told as much by it, and says hello itself only when none came for longer. Else a
-// fleet of entries would keep two connections for each pair.
-func (p *Peers) asks(addr string) bool {
+// initiates reports whether this entry is the initiator of a pair. The other one gets the
+// same information from the initiator's hellos, and sends its own only if none came for
+// longer than the interval. Otherwise a fleet would keep two connections per pair.
+func (p *Peers) initiates(addr string) bool {
 	mine, theirs := xxhash.Sum64String(p.Addr+addr), xxhash.Sum64String(addr+p.Addr)
 	return mine > theirs || (mine == theirs && p.Addr > addr)
 }
 
-func (p *Peers) ask(ctx context.Context, addr string, k *peer) {
-	ctx, cancel := context.WithTimeout(ctx, helloTime.Span())
+func (p *Peers) sendHello(ctx context.Context, addr string, k *peer) {
+	ctx, cancel := context.WithTimeout(ctx, helloTimeout.Span())
 	defer cancel()
 	p.mu.Lock()
-	crowd, known, last := k.hello.MemberHash, k.hello.KnownCount, k.stamped
-	if k.seen == 0 {
-		known = len(p.known) // whoever knows fewer is told all by those that it asks
+	memberHash, knownCount, last := k.hello.MemberHash, k.hello.KnownCount, k.lastStamp
+	if k.seenAt == 0 {
+		knownCount = len(p.known) // a peer that knows fewer learns all of them from those that it contacts
 	}
 	p.mu.Unlock()
 	var reply Hello
-	h := p.self(crowd, known)
-	h.Proof = p.prove(last)
+	h := p.newHello(memberHash, knownCount)
+	h.Proof = p.freshnessProof(last)
 	err := p.Mesh.Call(ctx, addr, MethodHello, h, &reply)
 	p.mu.Lock()
-	k.asking = false
+	k.pending = false
 	if err != nil {
 		k.misses++
-		k.ended = errors.Is(err, syscall.ECONNREFUSED)
-		if k.alive && k.misses >= goneAfter {
+		k.refused = errors.Is(err, syscall.ECONNREFUSED)
+		if k.alive && k.misses >= lostAfterMisses {
 			k.alive = false
 			p.Log.Info("entry lost", "peer", k.hello.Name, "addr", addr, "error", err)
 		}
 	}
 	p.mu.Unlock()
 	if err == nil {
-		p.heard(&reply)
+		p.applyHello(&reply)
 	}
 }
 
-// self is what this entry tells one with such a crowd that knows so many addresses.
-func (p *Peers) self(crowd uint64, known int) Hello {
+// newHello returns the hello to a peer with the given member hash that knows knownCount
+// addresses.
+func (p *Peers) newHello(memberHash uint64, knownCount int) Hello {
 	snap := p.Book.Current()
 	h := Hello{
 		Name: p.Self, Addr: p.Addr, LinkMbps: p.LinkMbps, DataCentre: p.DataCentre, Revision: snap.Revision, Age: p.Book.Age(),
-		Suspects: p.Suspects.UpdatedSince(p.Suspects.Clock.Now()-suspectsFor, mostSuspects),
+		Suspects: p.Suspects.UpdatedSince(p.Suspects.Clock.Now()-suspectMaxAge, maxSuspects),
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	h.ListReachable, h.Leaving = p.able, p.leaving()
+	h.ListReachable, h.Leaving = p.listReachable, p.leaving()
 	h.Stamp = p.stamp()
 	h.KnownCount = len(p.known)
 	h.MemberHash = xxhash.Sum64String(p.Addr)
@@ -340,27 +347,27 @@
 			alive++
 		}
 	}
-	if h.MemberHash != crowd {
-		h.Peers = p.names(alive, known)
+	if h.MemberHash != memberHash {
+		h.Peers = p.peerSample(alive, knownCount)
 	}
 	return h
 }
 
-// names lists entries that are alive, to one that knows so many addresses: all of them,
-// or a few of many where it knows most.
+// peerSample returns the addresses of live entries for a peer that knows knownCount
+// addresses: all of them, or a random sample if it knows most. The caller holds mu.
 //
-// Load pattern: entries start and stop all the time in a large fleet, so crowds differ
-// most of the time. An entry that starts says hello to all by itself; naming everybody in
-// each hello, weak machines would do nothing else. A few at random are enough for two
-// parts of a fleet that were cut off from each other to meet again. The caller holds mu.
-func (p *Peers) names(alive, known int) []string {
-	most := alive
-	if 2*known >= alive {
-		most = min(alive, mostNamed)
+// Load pattern: in a large fleet entries start and stop all the time, so member hashes
+// differ most of the time. An entry that starts sends a hello to all others anyway; listing
+// every entry in each hello would overload small machines. A small random sample is enough
+// for two parts of a fleet to find each other again after a partition.
+func (p *Peers) peerSample(alive, knownCount int) []string {
+	limit := alive
+	if 2*knownCount >= alive {
+		limit = min(alive, maxSampledPeers)
 	}
-	list := make([]string, 0, most)
+	list := make([]string, 0, limit)
 	for addr, k := range p.known { // in random order
-		if len(list) == most {
+		if len(list) == limit {
 			break
 		}
 		if k.alive {
@@ -370,9 +377,9 @@
 	return list
 }
 
-// heard takes what a peer told of itself.
-func (p *Peers) heard(h *Hello) {
-	p.learn(append(h.Peers, h.Addr))
+// applyHello updates the state of a peer from its hello.
+func (p *Peers) applyHello(h *Hello) {
+	p.addAddrs(append(h.Peers, h.Addr))
 	p.Suspects.Merge(h.Suspects)
 	p.mu.Lock()
 	k := p.known[h.Addr]
@@ -384,13 +391,13 @@
 		p.Log.Info("entry found", "peer", h.Name, "addr", h.Addr, "rev", h.Revision)
 		p.wake()
 	}
-	k.hello, k.standing = *h, h.standing()
-	k.misses, k.alive, k.ended, k.seen = 0, true, false, p.Clock.Now()
-	k.stamped = stamped{stamp: h.Stamp, came: p.Book.Clock.Now()}
+	k.hello, k.rank = *h, h.rank()
+	k.misses, k.alive, k.refused, k.seenAt = 0, true, false, p.Clock.Now()
+	k.lastStamp = receivedStamp{stamp: h.Stamp, receivedAt: p.Book.Clock.Now()}
 	p.mu.Unlock()
 	if mine := p.Book.Current().Revision; h.Revision == mine && h.Revision > 0 {
-		p.heed(view.Update{Since: mine, Revision: h.Revision, Age: h.Age}, h.Addr)
+		p.apply(view.Update{Since: mine, Revision: h.Revision, Age: h.Age}, h.Addr)
 	}
-	p.vouch(h.Proof)
-	p.follow(h.Addr, h.Revision)
+	p.acceptProof(h.Proof)
+	p.fetchIfNewer(h.Addr, h.Revision)
 }
--- a/entry/peers/peers_test.go
+++ b/entry/peers/peers_test.go
@@ -14,34 +14,34 @@
 	"magnoliastall.example/magno/wire"
 )
 
-// node is an entry's peers on a port of its own.
+// node runs the Peers of an entry on a port of its own.
 type node struct {
 	*Peers
 	stop context.CancelFunc
-	ends chan error
+	done chan error
 }
 
 func start(t *testing.T, name string, seeds ...string) *node {
 	t.Helper()
-	return linked(t, name, 0, seeds...)
+	return startWithLink(t, name, 0, seeds...)
 }
 
-// linked starts a node on a machine with so many megabits a second.
-func linked(t *testing.T, name string, link float64, seeds ...string) *node {
+// startWithLink starts a node whose machine has a link of the given Mbit/s.
+func startWithLink(t *testing.T, name string, link float64, seeds ...string) *node {
 	t.Helper()
 	mesh := &wire.Mesh{Listen: "127.0.0.1:0"}
 	if err := mesh.Open(); err != nil {
 		t.Fatal(err)
 	}
 	clock := magno.NewSteady()
-	n := &node{ends: make(chan error, 2), Peers: &Peers{
+	n := &node{done: make(chan error, 2), Peers: &Peers{
 		Self: name, Addr: mesh.Addr(), LinkMbps: link, Seeds: seeds, Mesh: mesh, Book: &view.Store{Clock: clock},
 		Suspects: &crash.Suspects{Clock: &magno.Clock{}}, Clock: clock, Log: slog.New(slog.DiscardHandler),
 	}}
 	n.Open()
 	ctx, cancel := context.WithCancel(context.Background())
-	go func() { n.ends <- mesh.Run(ctx) }()
-	go func() { n.ends <- n.Run(ctx) }()
+	go func() { n.done <- mesh.Run(ctx) }()
+	go func() { n.done <- n.Run(ctx) }()
 	stopped := false
 	n.stop = func() {
 		if stopped {
@@ -50,7 +50,7 @@
 		stopped = true
 		cancel()
 		for range 2 {
-			if err := <-n.ends; err != nil {
+			if err := <-n.done; err != nil {
 				t.Error(err)
 			}
 		}
@@ -59,11 +59,11 @@
 	return n
 }
 
-func until(t *testing.T, what string, ok func() bool) {
+func waitFor(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(time.Minute); !ok(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("waited in vain for " + what)
+			t.Fatal("timed out waiting for " + what)
 		}
 	}
 }
@@ -72,81 +72,79 @@
 	return magno.Change{Key: "plan", Revision: rev, Plan: &magno.Plan{Version: version}}
 }
 
-// Processes know only a seed at their start. All of them learn of all, one
-// reads a change, and all have it.
-func TestNewsReachesAllThroughASeed(t *testing.T) {
+// Processes know only a seed at their start. All of them must discover each other, and a
+// change that one reads must reach all.
+func TestUpdateReachesAllThroughASeed(t *testing.T) {
 	seed := start(t, "seed")
 	nodes := []*node{seed}
 	for i := range 3 {
 		nodes = append(nodes, start(t, fmt.Sprint("n", i), seed.Addr))
 	}
 	for _, n := range nodes {
-		until(t, "all peers", func() bool { return n.Processes() == len(nodes) })
+		waitFor(t, "all peers", func() bool { return n.Processes() == len(nodes) })
 	}
 	first := nodes[3]
 	first.Broadcast(first.Book.ApplyRead([]magno.Change{plan(7, 5)}, 5, true))
 	for _, n := range nodes {
-		until(t, "the configuration", func() bool { p := n.Book.Current().Plan; return p != nil && p.Version == 7 })
+		waitFor(t, "the configuration", func() bool { p := n.Book.Current().Plan; return p != nil && p.Version == 7 })
 	}
 }
 
-// The word of a change is lost on the way to one process. It sees the higher
-// revision in the next exchange, and fetches what it missed.
-func TestLostNewsIsFetched(t *testing.T) {
+// An update to one process is lost. It must detect the higher revision in the next hello
+// and fetch the changes.
+func TestLostUpdateIsFetched(t *testing.T) {
 	a := start(t, "a")
 	a.Book.ApplyRead([]magno.Change{plan(3, 4)}, 4, true)
 	b := start(t, "b", a.Addr)
-	until(t, "the configuration", func() bool { p := b.Book.Current().Plan; return p != nil && p.Version == 3 })
+	waitFor(t, "the configuration", func() bool { p := b.Book.Current().Plan; return p != nil && p.Version == 3 })
 }
 
-// A request that crashed upstreams is sent again through another entry, which
-// must know it.
+// A request that crashed upstreams is retried through another entry, which must refuse it.
 func TestSuspectsAreShared(t *testing.T) {
 	a := start(t, "a")
 	b := start(t, "b", a.Addr)
 	a.Suspects.RecordFailure(77)
 	a.Suspects.RecordFailure(77)
-	until(t, "the suspect", func() bool { return b.Suspects.MustRefuse(77) })
+	waitFor(t, "the suspect", func() bool { return b.Suspects.MustRefuse(77) })
 }
 
-// Upstreams crash one after the other, and all that ran there becomes suspect.
-// What entries tell each other stays small: with every suspect in every hello,
-// small machines had no room for callers' answers.
+// Upstreams crash one after the other, and all requests that ran there become suspects.
+// With every suspect in every hello, the links of small machines had no capacity left for
+// responses to callers.
 func TestHelloStaysSmallAfterManyCrashes(t *testing.T) {
 	a := start(t, "a")
 	for i := range 3000 {
 		a.Suspects.RecordFailure(uint64(i + 1))
 	}
-	if n := len(a.self(0, 0).Suspects); n != mostSuspects {
-		t.Errorf("a hello has %d suspects, want %d", n, mostSuspects)
+	if n := len(a.newHello(0, 0).Suspects); n != maxSuspects {
+		t.Errorf("a hello has %d suspects, want %d", n, maxSuspects)
 	}
 }
 
-// Entries say hello several times a second. Where both know the same entries
-// they don't name them again: of a hundred, that was more than all else they
-// tell, on machines that have little room. One that knows others is told of all.
-func TestHelloNamesNobodyWhomTheOtherKnows(t *testing.T) {
+// Entries exchange hellos several times a second. With a hundred entries, listing all
+// addresses each time took more of a narrow link than everything else in them. They must
+// be listed only to a peer whose member hash differs.
+func TestHelloOmitsPeersThatBothKnow(t *testing.T) {
 	seed := start(t, "seed")
 	nodes := []*node{seed, start(t, "a", seed.Addr), start(t, "b", seed.Addr)}
 	for _, n := range nodes {
-		until(t, "all peers", func() bool { return n.Processes() == len(nodes) })
+		waitFor(t, "all peers", func() bool { return n.Processes() == len(nodes) })
 	}
-	crowd := seed.self(0, 0).MemberHash
+	memberHash := seed.newHello(0, 0).MemberHash
 	for _, n := range nodes {
-		until(t, "the same crowd", func() bool { return n.self(0, 0).MemberHash == crowd })
-		if got := n.self(crowd, 0).Peers; len(got) != 0 {
-			t.Errorf("%s names %v to one that knows them", n.Self, got)
+		waitFor(t, "the same member hash", func() bool { return n.newHello(0, 0).MemberHash == memberHash })
+		if got := n.newHello(memberHash, 0).Peers; len(got) != 0 {
+			t.Errorf("%s lists %v to a peer that knows them", n.Self, got)
 		}
-		if got := n.self(crowd+1, 0).Peers; len(got) != 2 {
-			t.Errorf("%s names %v to one that knows others, want both", n.Self, got)
+		if got := n.newHello(memberHash+1, 0).Peers; len(got) != 2 {
+			t.Errorf("%s lists %v to a peer with another member hash, want both", n.Self, got)
 		}
 	}
 }
 
-// Each entry of a large fleet says hello to each other one. Were both of a pair to do
-// so, weak machines would keep twice the connections and answer twice the hellos, and
-// callers wait behind them. One of each pair asks, and goes on when the other is
-// silent.
+// If both of each pair of entries sent hellos, a large fleet would keep twice the
+// connections and answer twice the hellos, and callers would wait behind them on small
+// machines. Only the initiator sends them; the other one takes over when they cease.
 func TestOneOfEachPairSaysHello(t *testing.T) {
 	clock := magno.NewClock(magno.Hour)
 	pair := func(self, other string) *Peers {
@@ -158,38 +156,38 @@
 		return p
 	}
 	a, b := pair("10.0.0.1:7", "10.0.0.2:7"), pair("10.0.0.2:7", "10.0.0.1:7")
-	if a.asks(b.Addr) == b.asks(a.Addr) {
-		t.Fatal("both of the pair ask, or neither does")
+	if a.initiates(b.Addr) == b.initiates(a.Addr) {
+		t.Fatal("want exactly one initiator per pair")
 	}
-	if b.asks(a.Addr) {
+	if b.initiates(a.Addr) {
 		a, b = b, a
 	}
 	meet := func() {
-		hello, reply := a.self(0, 0), b.self(0, 0)
-		b.heard(&hello)
-		a.heard(&reply)
+		hello, reply := a.newHello(0, 0), b.newHello(0, 0)
+		b.applyHello(&hello)
+		a.applyHello(&reply)
 	}
 	meet()
 	for range 20 {
-		clock.Advance(helloEvery)
+		clock.Advance(helloInterval)
 		if len(b.due()) > 0 {
-			t.Fatal("the one that is asked says hello as well")
+			t.Fatal("the peer that receives hellos sends them as well")
 		}
 		if len(a.due()) == 0 {
-			t.Fatal("nobody says hello")
+			t.Fatal("no hello is due")
 		}
-		a.known[b.Addr].asking = false
+		a.known[b.Addr].pending = false
 		meet()
 	}
-	clock.Advance(2 * helloEvery)
+	clock.Advance(2 * helloInterval)
 	if len(b.due()) == 0 {
-		t.Error("the other one is silent, and nobody asks it")
+		t.Error("the initiator is silent, and no hello to it is due")
 	}
 }
 
-// Guards against a fetch over a narrow link that never ends in time, and is begun anew.
+// Guards against a fetch over a narrow link that times out and is restarted forever.
 func TestSlowFetchGetsMoreTime(t *testing.T) {
-	p := ranked(magno.NewClock(magno.Hour), 0, Hello{})
+	p := newRanked(magno.NewClock(magno.Hour), 0, Hello{})
 	mesh := &wire.Mesh{Listen: "127.0.0.1:0"}
 	if err := mesh.Open(); err != nil {
 		t.Fatal(err)
@@ -202,8 +200,8 @@
 	})
 	go func() { ended <- mesh.Run(ctx) }()
 	for _, want := range []magno.Millis{2 * magno.Second, 4 * magno.Second} {
-		if p.pull(mesh.Addr(), 1); p.pullLimit() != want {
-			t.Errorf("the next fetch gets %d ms, want %d", p.pullLimit(), want)
+		if p.fetch(mesh.Addr(), 1); p.fetchTimeout() != want {
+			t.Errorf("the next fetch has a timeout of %d ms, want %d ms", p.fetchTimeout(), want)
 		}
 	}
 	cancel()
@@ -212,92 +210,92 @@
 	}
 }
 
-// Guards against entries that start at the same time and take a second and more to meet:
-// until then each has a small part of every customer's limit.
-func TestOneThatMetNobodyAsksSooner(t *testing.T) {
+// Guards against entries that start at the same time and need more than a second to meet:
+// until then each of them has a small share of every customer's limit.
+func TestDiscoveryIntervalBeforeFirstContact(t *testing.T) {
 	clock := magno.NewClock(magno.Hour)
 	p := &Peers{
 		Self: "self", Addr: "10.0.0.1:7", Seeds: []string{"10.0.0.1:7", "10.0.0.2:7"}, Mesh: &wire.Mesh{},
 		Book: &view.Store{Clock: clock}, Suspects: &crash.Suspects{Clock: clock}, Clock: clock, Log: slog.New(slog.DiscardHandler),
 	}
 	p.Open()
-	<-p.learned // its seeds
-	if got := p.pause(); got != meetEvery {
-		t.Errorf("looks again after %d ms, want %d", got, meetEvery)
+	<-p.wakeup // for the seeds
+	if got := p.pollInterval(); got != discoveryInterval {
+		t.Errorf("next poll after %d ms, want %d ms", got, discoveryInterval)
 	}
-	p.heard(&Hello{Name: "b", Addr: "10.0.0.2:7", Peers: []string{"10.0.0.3:7"}})
-	if got := p.pause(); got != helloEvery {
-		t.Errorf("looks again after %d ms once it met another, want %d", got, helloEvery)
+	p.applyHello(&Hello{Name: "b", Addr: "10.0.0.2:7", Peers: []string{"10.0.0.3:7"}})
+	if got := p.pollInterval(); got != helloInterval {
+		t.Errorf("next poll after %d ms once it met another entry, want %d ms", got, helloInterval)
 	}
 	select {
-	case <-p.learned:
+	case <-p.wakeup:
 	default:
-		t.Error("an address that it just heard of isn't asked at once")
+		t.Error("a new address isn't contacted at once")
 	}
 }
 
-// others are the addresses of n entries besides ranked's own.
-func others(n int) (addrs []string) {
+// otherAddrs returns the addresses of n entries other than that of newRanked.
+func otherAddrs(n int) (addrs []string) {
 	for i := range n {
 		addrs = append(addrs, addr(i+2))
 	}
 	return addrs
 }
 
-// Guards against an entry that starts in a large fleet and says hello to all others at
-// once, and against hellos that name everybody while entries come and go.
+// Guards against an entry that joins a large fleet and sends hellos to all others at once,
+// and against hellos that list every address while entries come and go.
 func TestHellosStaySmallInALargeFleet(t *testing.T) {
 	for _, n := range []int{30, 100, 300, 1000} {
 		clock := magno.NewClock(magno.Hour)
-		p := ranked(clock, 0, Hello{})
-		addrs := others(n)
-		p.learn(addrs)
-		if got := len(p.due()); got > mostMeeting {
-			t.Errorf("of %d entries, %d are asked at once", n, got)
+		p := newRanked(clock, 0, Hello{})
+		addrs := otherAddrs(n)
+		p.addAddrs(addrs)
+		if got := len(p.due()); got > maxProbes {
+			t.Errorf("of %d entries, %d are contacted at once", n, got)
 		}
 		for i, a := range addrs {
-			p.heard(&Hello{Name: fmt.Sprint(i), Addr: a, KnownCount: n})
+			p.applyHello(&Hello{Name: fmt.Sprint(i), Addr: a, KnownCount: n})
 		}
-		if got := len(p.self(1, n).Peers); got > mostNamed {
-			t.Errorf("of %d entries, a hello names %d to one that knows them", n, got)
+		if got := len(p.newHello(1, n).Peers); got > maxSampledPeers {
+			t.Errorf("of %d entries, a hello lists %d to a peer that knows them", n, got)
 		}
-		if got := len(p.self(1, 0).Peers); got != n {
-			t.Errorf("of %d entries, %d are named to one that just started", n, got)
+		if got := len(p.newHello(1, 0).Peers); got != n {
+			t.Errorf("of %d entries, %d are listed to one that just started", n, got)
 		}
-		clock.Advance(helloEvery * magno.Millis(n))
+		clock.Advance(helloInterval * magno.Millis(n))
 		for _, k := range p.known {
-			k.asking, k.alive, k.misses = false, false, goneAfter
+			k.pending, k.alive, k.misses = false, false, lostAfterMisses
 		}
-		if got := len(p.due()); got > mostMeeting {
-			t.Errorf("of %d entries that are lost, %d are asked at once", n, got)
+		if got := len(p.due()); got > maxProbes {
+			t.Errorf("of %d lost entries, %d are contacted at once", n, got)
 		}
 	}
 }
 
-// Guards against entries that start together and of which both of each pair say hello:
-// twice the connections and hellos at the moment at which a small machine has most to do.
+// Guards against pairs of entries that start together and both send hellos: twice the
+// connections and hellos at the time of the highest load on a small machine.
 func TestOneOfAPairThatMeetsSaysHello(t *testing.T) {
 	const n = 200
 	clock := magno.NewClock(magno.Hour)
-	p := ranked(clock, 1, Hello{})
-	p.learn(others(n))
+	p := newRanked(clock, 1, Hello{})
+	p.addAddrs(otherAddrs(n))
 	asked := 0
 	meet := func() {
 		for list := p.due(); len(list) > 0; list = p.due() {
 			for addr, k := range list {
 				asked++
-				k.asking = false
-				p.heard(&Hello{Name: addr, Addr: addr})
+				k.pending = false
+				p.applyHello(&Hello{Name: addr, Addr: addr})
 			}
 		}
 	}
 	meet()
 	if asked < n/4 || asked > n*3/4 {
-		t.Errorf("%d of %d are asked at once, want about half", asked, n)
+		t.Errorf("%d of %d are contacted at once, want about half", asked, n)
 	}
-	clock.Advance(helloEvery)
+	clock.Advance(helloInterval)
 	meet()
 	if asked < n {
-		t.Errorf("%d of %d are asked after a while, want all", asked, n)
+		t.Errorf("%d of %d are contacted after helloInterval, want all", asked, n)
 	}
 }
--- a/entry/peers/role.go
+++ b/entry/peers/role.go
@@ -10,28 +10,28 @@
 	"magnoliastall.example/magno/grant"
 )
 
-// Able notes whether the list answers this process.
-func (p *Peers) SetListReachable(able bool) {
+// SetListReachable records whether the list answers this process.
+func (p *Peers) SetListReachable(reachable bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.able && !able {
-		p.tried = p.Clock.Now()
+	if p.listReachable && !reachable {
+		p.listTriedAt = p.Clock.Now()
 	}
-	p.able = able
+	p.listReachable = reachable
 }
 
-// Mine tells whether this process is to read the list: it is among the first
-// in an order that all compute alike, of those that the list answers, or nobody
-// has told it anything for too long.
+// ShouldRead reports whether this process is to read the list: it is among the first
+// Readers of those that can reach it, in an order that all entries compute alike, or it
+// has received nothing for too long.
 //
-// Load pattern: the readers are lost, or the list turns them away, and all others
-// notice within the same tenth of a second. Were all of them to read and to tell all
-// others, a fleet of n entries would send n times n times the configuration, and fill
-// the links of small machines while callers' requests wait behind it. So they step in
-// one after the other, and the first tells the rest. While the list is away for all,
-// the later ones ask it less often, so that few find out at once that it is back. And when
-// a fleet starts, each entry knows nobody who is to read rather than it: but for the seeds,
-// none follows the list until it had time to meet the others.
+// Load pattern: when the readers fail, or the list refuses them, all other entries notice
+// within 100 ms. If all of them then read and updated all others, a fleet of n entries
+// would send the configuration n² times and saturate the links of small machines while
+// callers' requests are queued behind it. So they take over one after the other, and the
+// first updates the rest. During an outage of the list, entries of lower rank poll it less
+// often, so that few detect at once that it is back. And when a fleet starts, no entry
+// knows yet which others rank ahead of it: except for the seeds, none follows the list
+// before discoveryTime has passed.
 func (p *Peers) ShouldRead() bool {
 	if p.Book.Current().Plan == nil {
 		return true
@@ -39,46 +39,46 @@
 	age, now := p.Book.Age(), p.Clock.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	before := p.before(func(h *Hello) bool { return h.ListReachable })
-	stale := age > staleAge+min(stepIn*magno.Millis(max(before-Readers, 0)), stepMost)
-	if p.able {
-		young := now-p.since < meetTime && len(p.Seeds) > 0 && !slices.Contains(p.Seeds, p.Addr)
-		return stale || (before < Readers && !young)
+	ahead := p.countAhead(func(h *Hello) bool { return h.ListReachable })
+	stale := age > staleAge+min(takeoverStep*magno.Millis(max(ahead-Readers, 0)), maxTakeoverDelay)
+	if p.listReachable {
+		discovering := now-p.startedAt < discoveryTime && len(p.Seeds) > 0 && !slices.Contains(p.Seeds, p.Addr)
+		return stale || (ahead < Readers && !discovering)
 	}
-	pause := tryEvery // somebody else reads
+	retryAfter := listRetryInterval // another entry reads
 	if stale {
-		pause = min(tryStep*magno.Millis(p.before(anyone)), tryEvery)
+		retryAfter = min(listRetryStep*magno.Millis(p.countAhead(anyEntry)), listRetryInterval)
 	}
-	if now-p.tried < pause {
+	if now-p.listTriedAt < retryAfter {
 		return false
 	}
-	p.tried = now
+	p.listTriedAt = now
 	return true
 }
 
-// holdBack is how long this process waits before it tells others what it read: one
-// that reads only because it heard nothing leaves that to those before it.
-func (p *Peers) holdBack() magno.Millis {
+// broadcastDelay returns how long this process waits before it sends what it read to the
+// others: one that reads only because it received nothing leaves that to those ahead of it.
+func (p *Peers) broadcastDelay() magno.Millis {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return min(stepIn*magno.Millis(max(p.before(anyone)-Readers+1, 0)), stepMost)
+	return min(takeoverStep*magno.Millis(max(p.countAhead(anyEntry)-Readers+1, 0)), maxTakeoverDelay)
 }
 
-// toldBy tells whether another process told the changes up to a revision.
-func (p *Peers) toldBy(revision int64) bool {
+// received reports whether another entry sent the changes up to a revision.
+func (p *Peers) received(revision int64) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.told >= revision
+	return p.receivedRevision >= revision
 }
 
-func anyone(*Hello) bool { return true }
+func anyEntry(*Hello) bool { return true }
 
-// before counts the entries that are to read the list rather than this one, of those
-// that count. The caller holds mu.
-func (p *Peers) before(counts func(*Hello) bool) int {
-	n, mine := 0, p.standing()
+// countAhead counts the live eligible entries that rank ahead of this one as readers. The
+// caller holds mu.
+func (p *Peers) countAhead(eligible func(*Hello) bool) int {
+	n, mine := 0, p.rank()
 	for _, k := range p.known {
-		if k.alive && counts(&k.hello) && compare(k.standing, mine) < 0 {
+		if k.alive && eligible(&k.hello) && compareRanks(k.rank, mine) < 0 {
 			n++
 		}
 	}
@@ -87,64 +87,64 @@
 
 func (p *Peers) leaving() bool { return p.Leaving != nil && p.Leaving() }
 
-// standing is what an entry's place among the others hangs on.
-type standing struct {
+// rank holds what determines an entry's position in the order of readers.
+type rank struct {
 	addr, name string
-	// hash is the name's.
-	hash    uint64
-	link    float64
-	leaving bool
+	// hash is that of the name.
+	hash     uint64
+	linkMbps float64
+	leaving  bool
 }
 
-func (h *Hello) standing() standing {
-	return standing{addr: h.Addr, name: h.Name, hash: xxhash.Sum64String(h.Name), link: h.LinkMbps, leaving: h.Leaving}
+func (h *Hello) rank() rank {
+	return rank{addr: h.Addr, name: h.Name, hash: xxhash.Sum64String(h.Name), linkMbps: h.LinkMbps, leaving: h.Leaving}
 }
 
-// standing is this entry's own.
-func (p *Peers) standing() standing {
+// rank returns this entry's own rank.
+func (p *Peers) rank() rank {
 	h := Hello{Name: p.Self, Addr: p.Addr, LinkMbps: p.LinkMbps, Leaving: p.leaving()}
-	return h.standing()
+	return h.rank()
 }
 
-// compare orders entries as readers: those that stop are the last, then by the bandwidth
-// of their machines, then by hash. A reader tells each change to all others: with a narrow
-// link, its callers' requests wait behind that, and are sent on after their callers have
-// left.
-func compare(a, b standing) int {
+// compareRanks orders entries as readers: entries that are shutting down come last, then
+// by the bandwidth of their machines, then by hash. A reader sends each change to all
+// others. Over a narrow link, its callers' requests are queued behind that and are
+// forwarded only after their callers have left.
+func compareRanks(a, b rank) int {
 	switch {
 	case a.leaving != b.leaving && b.leaving:
 		return -1
 	case a.leaving != b.leaving:
 		return 1
 	}
-	return cmp.Or(cmp.Compare(b.link, a.link), cmp.Compare(b.hash, a.hash), cmp.Compare(b.name, a.name))
+	return cmp.Or(cmp.Compare(b.linkMbps, a.linkMbps), cmp.Compare(b.hash, a.hash), cmp.Compare(b.name, a.name))
 }
 
-// Processes counts the entries that share the retry allowance, this one
-// included: those that may be, and at least as many as there are seeds.
+// Processes returns the number of entries that share the retry budget, this one included:
+// those that may be alive, and at least as many as there are seeds.
 func (p *Peers) Processes() int {
 	_, known := p.Count()
 	return max(known, len(p.Seeds))
 }
 
-// Mates lists the addresses of the entries of this data centre that are alive, this one's
-// among them, in the order of readers.
+// DataCentreEntries returns the addresses of the live entries of this data centre, this
+// one's included, in the order of readers.
 func (p *Peers) DataCentreEntries() []string {
-	return p.ordered(func(h *Hello) bool { return h.DataCentre == p.DataCentre })
+	return p.rankedAddrs(func(h *Hello) bool { return h.DataCentre == p.DataCentre })
 }
 
-// ordered lists the addresses of the entries that are alive and count, this one's among
-// them, in the order of readers.
-func (p *Peers) ordered(counts func(*Hello) bool) []string {
+// rankedAddrs returns the addresses of the eligible live entries, this one's included, in
+// the order of readers.
+func (p *Peers) rankedAddrs(eligible func(*Hello) bool) []string {
 	p.mu.Lock()
-	list := []standing{p.standing()}
+	list := []rank{p.rank()}
 	for _, k := range p.known {
-		if k.alive && counts(&k.hello) {
-			list = append(list, k.standing)
+		if k.alive && eligible(&k.hello) {
+			list = append(list, k.rank)
 		}
 	}
 	p.mu.Unlock()
-	slices.SortFunc(list, compare)
+	slices.SortFunc(list, compareRanks)
 	addrs := make([]string, 0, len(list))
 	for _, s := range list {
 		addrs = append(addrs, s.addr)
@@ -152,18 +152,18 @@
 	return addrs
 }
 
-// Homes lists the entries that count a customer's allowance, this one perhaps among
-// them: the first does, the next where that one can't be reached. They are among those
-// with the widest links, which change least.
+// Homes returns the addresses of the entries that keep a customer's quota, possibly
+// including this one, in order of preference: the next one does if the first can't be
+// reached. They are chosen from those with the widest links, which change least.
 func (p *Peers) Homes(customer string) []string {
-	addrs := p.ordered(anyone)
-	return grant.SortHomes(customer, addrs[:min(len(addrs), mostHomes)])
+	addrs := p.rankedAddrs(anyEntry)
+	return grant.SortHomes(customer, addrs[:min(len(addrs), maxHomes)])
 }
 
-// Count tells how many entries are alive, this one included, and how many may be: those
-// that it heard of of late, and that don't refuse connections. One that has just started
-// and met nobody takes it that there are many: all may have started, and none knows yet
-// what the others grant.
+// Count returns how many entries are alive, this one included, and how many may be: those
+// seen within memberTTL that don't refuse connections. An entry that has just started and
+// met no other assumes that there are many: all of them may have started, and none knows
+// yet what the others grant.
 func (p *Peers) Count() (alive, known int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -173,12 +173,12 @@
 		if k.alive {
 			alive++
 		}
-		if now-max(k.seen, k.learned) < seenFor && !k.ended {
+		if now-max(k.seenAt, k.learnedAt) < memberTTL && !k.refused {
 			known++
 		}
 	}
-	if !p.met() && now-p.since < meetTime {
-		known = max(known, unmet)
+	if !p.hasMet() && now-p.startedAt < discoveryTime {
+		known = max(known, assumedEntries)
 	}
 	return alive, known
 }
