--- a/entry/reads/reads.go
+++ b/entry/reads/reads.go
@@ -1,11 +1,11 @@
-// Package reads follows the platform's list for as long as this process is one
-// of its readers.
+// Package reads polls the platform's list and watches it for changes while this process is
+// one of its readers.
 //
-//	platform --All, Wait--> Run --> Book, and Push to the other entries
+//	platform --All, Wait--> Run --> Book, and Broadcast to the other entries
 //
-// Load pattern: the platform counts each call of each process, a waiting one
-// too. Two readers tell the others; a process reads by itself only when nobody
-// tells it anything.
+// Load pattern: the platform counts each call of each process, also while a watch is
+// waiting. Two readers therefore update the others; a process reads the list itself only
+// if it receives no updates.
 package reads
 
 import (
@@ -20,145 +20,147 @@
 )
 
 const (
-	// waitFor is how long a watch waits. An answer without changes confirms
-	// that what is known is still the newest.
-	waitFor = deaf
-	// deaf is how long watches may miss changes before the list ends them, so a watch
-	// that waited for less vouches only for the time before that.
-	deaf = 1100 * magno.Millis(1)
-	// soon is how long a watch waits where nothing has vouched for what is known for
-	// longer than unsure.
-	soon   = 100 * magno.Millis(1)
-	unsure = 2 * magno.Second
-	// gap is the pause between two watches. While upstreams load adapters the
-	// list changes several times a second, and one answer then holds all
-	// changes of the pause.
-	gap = 500 * magno.Millis(1)
-	// firstBack is the pause after a failed call; it doubles up to lastBack.
-	// Refused calls count as well, and an outage lasts for seconds.
-	firstBack = 100 * magno.Millis(1)
-	lastBack  = 800 * magno.Millis(1)
-	// look is how often a process that doesn't read looks whether it should.
-	look = 100 * magno.Millis(1)
-	// tired is how many failed calls in a row make a reader step back.
-	tired = 2
+	// watchTimeout is the length of a watch. An answer without changes confirms that the
+	// known state is still the newest.
+	watchTimeout = maxWatchLag
+	// maxWatchLag is how long a watch may miss changes before the list ends it. A shorter
+	// watch therefore confirms the state only as of a time before its call, earlier by the
+	// difference.
+	maxWatchLag = 1100 * magno.Millis(1)
+	// shortWatchTimeout is the length of a watch if the known state hasn't been confirmed
+	// for longer than shortWatchAfter.
+	shortWatchTimeout = 100 * magno.Millis(1)
+	shortWatchAfter   = 2 * magno.Second
+	// watchPause is the pause between two watches. While upstreams load adapters the list
+	// changes several times a second, and one answer then holds all changes of the pause.
+	watchPause = 500 * magno.Millis(1)
+	// minBackoff is the pause after a failed call; it doubles up to maxBackoff. The
+	// platform counts refused calls as well, and an outage lasts for seconds.
+	minBackoff = 100 * magno.Millis(1)
+	maxBackoff = 800 * magno.Millis(1)
+	// checkInterval is how often a process that doesn't read checks whether it should.
+	checkInterval = 100 * magno.Millis(1)
+	// lostAfterFailures is the number of consecutive failed calls after which a reader
+	// reports the list as unreachable.
+	lostAfterFailures = 2
 )
 
-// Reads is the duty. Fields are set before Run.
+// Reader reads the list. Fields are set before Run.
 type Reader struct {
 	List magno.Lister
 	Book *view.Store
-	// Mine tells whether this process is to read now.
+	// ShouldRead reports whether this process is to read the list now.
 	ShouldRead func() bool
-	// Push tells the other entries what was read. It must not block.
+	// Broadcast sends what was read to the other entries. It must not block.
 	Broadcast func(n view.Update)
-	// Able is told whether the list answers this process.
+	// ReportReachable is called with whether the list answers this process.
 	ReportReachable func(bool)
-	// Fresh is true where the first reading must vouch for what it brings. It costs
-	// the platform more.
+	// FreshFirst makes the first read a consistent one, which confirms that its result is
+	// the newest. It costs the platform more.
 	FreshFirst bool
 	Log        *slog.Logger
 
-	failed int
-	back   magno.Millis
-	// whole is true when everything must be read again, fresh when it must not
-	// be old: the changes since an old state are gone.
-	whole, fresh bool
-	calls        *metrics.Counter
-	fails        *metrics.Counter
+	failures int
+	backoff  magno.Millis
+	// readAll is true if the whole list must be read again, readFresh if that read must
+	// not be stale: the changes since a stale state are no longer available.
+	readAll, readFresh bool
+	callCount          *metrics.Counter
+	failureCount       *metrics.Counter
 }
 
 // Name implements magno.Duty.
 func (r *Reader) Name() string { return "reads" }
 
-// Run reads until ctx ends.
+// Run reads the list until ctx ends.
 func (r *Reader) Run(ctx context.Context) error {
-	r.calls = metrics.GetOrCreateCounter("list_calls_total")
-	r.fails = metrics.GetOrCreateCounter("list_failures_total")
-	r.whole, r.fresh = true, r.FreshFirst
+	r.callCount = metrics.GetOrCreateCounter("list_calls_total")
+	r.failureCount = metrics.GetOrCreateCounter("list_failures_total")
+	r.readAll, r.readFresh = true, r.FreshFirst
 	for ctx.Err() == nil {
 		r.Book.Tick()
-		if !r.whole && !r.ShouldRead() {
-			magno.Pause(ctx, look)
+		if !r.readAll && !r.ShouldRead() {
+			magno.Pause(ctx, checkInterval)
 			continue
 		}
-		if r.whole && !r.ShouldRead() && r.Book.Current().Plan != nil {
-			r.whole = false // a peer told everything
+		if r.readAll && !r.ShouldRead() && r.Book.Current().Plan != nil {
+			r.readAll = false // received from a peer
 			continue
 		}
-		magno.Pause(ctx, r.round(ctx))
+		magno.Pause(ctx, r.poll(ctx))
 	}
 	return nil
 }
 
-// round makes one call and returns the pause until the next.
-func (r *Reader) round(ctx context.Context) magno.Millis {
-	r.calls.Inc()
-	before, asked := r.Book.Current().Revision, r.Book.Clock.Now()
+// poll makes one call and returns the pause until the next.
+func (r *Reader) poll(ctx context.Context) magno.Millis {
+	r.callCount.Inc()
+	since, calledAt := r.Book.Current().Revision, r.Book.Clock.Now()
 	var changes []magno.Change
 	var revision int64
 	var err error
-	whole, fresh, wait := r.whole, r.fresh, r.wait()
-	if whole {
-		changes, revision, err = r.List.All(ctx, fresh)
+	readAll, readFresh, wait := r.readAll, r.readFresh, r.watchLength()
+	if readAll {
+		changes, revision, err = r.List.All(ctx, readFresh)
 	} else {
-		changes, revision, err = r.List.Wait(ctx, before, wait)
+		changes, revision, err = r.List.Wait(ctx, since, wait)
 	}
 	if ctx.Err() != nil {
 		return 0
 	}
 	if errors.Is(err, magno.ErrCompacted) {
-		r.Log.Info("list", "compacted", true, "revision", before)
-		r.whole, r.fresh = true, true
+		r.Log.Info("list history compacted, reading all of it", "compacted", true, "revision", since)
+		r.readAll, r.readFresh = true, true
 		return 0
 	}
 	if err != nil {
-		return r.miss(err)
+		return r.recordFailure(err)
 	}
-	r.hit()
-	r.whole, r.fresh = false, false
-	news := r.Book.ApplyRead(changes, revision, whole)
+	r.recordSuccess()
+	r.readAll, r.readFresh = false, false
+	update := r.Book.ApplyRead(changes, revision, readAll)
 	switch {
-	case !whole:
-		r.Book.RecordFreshness(revision, asked-(deaf-wait))
-	case fresh:
-		r.Book.RecordFreshness(revision, asked)
+	case !readAll:
+		r.Book.RecordFreshness(revision, calledAt-(maxWatchLag-wait))
+	case readFresh:
+		r.Book.RecordFreshness(revision, calledAt)
 	}
-	if !whole {
-		// After a loss of all power every process reads the whole list. If each
-		// then called all others to fetch it, small machines would do nothing else.
-		r.Broadcast(news)
+	if !readAll {
+		// After a loss of power everywhere, every process reads the whole list. If each of
+		// them then broadcast it and all others fetched it, small machines would have no
+		// capacity left.
+		r.Broadcast(update)
 	}
-	if len(changes) == 0 || whole {
+	if len(changes) == 0 || readAll {
 		return 0
 	}
-	return gap
+	return watchPause
 }
 
-// wait is how long the next watch waits.
-func (r *Reader) wait() magno.Millis {
-	if r.Book.Staleness() > unsure {
-		return soon
+// watchLength returns the length of the next watch.
+func (r *Reader) watchLength() magno.Millis {
+	if r.Book.Staleness() > shortWatchAfter {
+		return shortWatchTimeout
 	}
-	return waitFor
+	return watchTimeout
 }
 
-func (r *Reader) miss(err error) magno.Millis {
-	r.fails.Inc()
+func (r *Reader) recordFailure(err error) magno.Millis {
+	r.failureCount.Inc()
 	r.Book.RecordFailure()
-	r.failed++
-	r.back = min(max(r.back*2, firstBack), lastBack)
-	if r.failed == tired {
+	r.failures++
+	r.backoff = min(max(r.backoff*2, minBackoff), maxBackoff)
+	if r.failures == lostAfterFailures {
 		r.Log.Warn("list lost", "error", err, "age", r.Book.Age(), "revision", r.Book.Current().Revision)
 		r.ReportReachable(false)
 	}
-	return r.back
+	return r.backoff
 }
 
-func (r *Reader) hit() {
-	if r.failed >= tired {
-		r.Log.Info("list back", "failed", r.failed, "age", r.Book.Age())
+func (r *Reader) recordSuccess() {
+	if r.failures >= lostAfterFailures {
+		r.Log.Info("list back", "failed", r.failures, "age", r.Book.Age())
 	}
-	r.failed, r.back = 0, 0
+	r.failures, r.backoff = 0, 0
 	r.ReportReachable(true)
 }
--- a/entry/reads/reads_test.go
+++ b/entry/reads/reads_test.go
@@ -12,32 +12,32 @@
 	"magnoliastall.example/magno/view"
 )
 
-// list answers as its script says.
-type list struct {
+// fakeList is a list whose answers are set by the test.
+type fakeList struct {
 	mu sync.Mutex
-	// fail and compacted are answers of Wait; gone makes old states useless.
-	fail, compacted bool
-	fresh, stale    int
-	version         int64
-	waits           int
+	// fail makes all calls fail; compacted makes Wait fail until the next fresh read.
+	fail, compacted        bool
+	freshReads, staleReads int
+	version                int64
+	waits                  int
 }
 
-func (l *list) All(_ context.Context, fresh bool) ([]magno.Change, int64, error) {
+func (l *fakeList) All(_ context.Context, fresh bool) ([]magno.Change, int64, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.fail {
 		return nil, 0, errors.New("down")
 	}
 	if fresh {
-		l.fresh++
+		l.freshReads++
 		l.compacted = false
 	} else {
-		l.stale++
+		l.staleReads++
 	}
 	return []magno.Change{{Key: "plan", Revision: l.version, Plan: &magno.Plan{Version: l.version}}}, l.version, nil
 }
 
-func (l *list) Wait(ctx context.Context, after int64, _ magno.Millis) ([]magno.Change, int64, error) {
+func (l *fakeList) Wait(ctx context.Context, after int64, _ magno.Millis) ([]magno.Change, int64, error) {
 	magno.Pause(ctx, 2)
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -51,35 +51,35 @@
 	return nil, after, nil
 }
 
-func (l *list) set(f func()) {
+func (l *fakeList) set(f func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	f()
 }
 
-type able struct {
-	mu sync.Mutex
-	is bool
+type flag struct {
+	mu    sync.Mutex
+	value bool
 }
 
-func (a *able) set(is bool) {
+func (a *flag) set(value bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.is = is
+	a.value = value
 }
 
-func (a *able) get() bool {
+func (a *flag) get() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.is
+	return a.value
 }
 
-func run(t *testing.T, l *list) (*Reader, *able) {
+func startReader(t *testing.T, l *fakeList) (*Reader, *flag) {
 	t.Helper()
-	a := &able{is: true}
+	reachable := &flag{value: true}
 	r := &Reader{
 		List: l, Book: &view.Store{Clock: magno.NewSteady()}, ShouldRead: func() bool { return true },
-		Broadcast: func(view.Update) {}, ReportReachable: a.set, Log: slog.New(slog.DiscardHandler),
+		Broadcast: func(view.Update) {}, ReportReachable: reachable.set, Log: slog.New(slog.DiscardHandler),
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	end := make(chan error, 1)
@@ -90,41 +90,41 @@
 			t.Error(err)
 		}
 	})
-	return r, a
+	return r, reachable
 }
 
-func until(t *testing.T, what string, ok func() bool) {
+func waitFor(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(time.Minute); !ok(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("waited in vain for " + what)
+			t.Fatal("timed out waiting for " + what)
 		}
 	}
 }
 
-// The list drops its history. What may be old is of no use then: the changes
-// since are gone, and reading it again and again would never end.
+// The list compacts its history. A stale read is of no use then: the changes since that
+// state are gone, and a reader that keeps making stale reads would never recover.
 func TestCompactedListIsReadAfresh(t *testing.T) {
-	l := &list{version: 3}
-	r, _ := run(t, l)
-	until(t, "the first configuration", func() bool { return r.Book.Current().Plan != nil })
+	l := &fakeList{version: 3}
+	r, _ := startReader(t, l)
+	waitFor(t, "the first configuration", func() bool { return r.Book.Current().Plan != nil })
 	l.set(func() { l.compacted, l.version = true, 9 })
-	until(t, "the newer configuration", func() bool { return r.Book.Current().Plan.Version == 9 })
+	waitFor(t, "the newer configuration", func() bool { return r.Book.Current().Plan.Version == 9 })
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.fresh != 1 || l.stale != 1 {
-		t.Errorf("%d fresh and %d old listings, want one each", l.fresh, l.stale)
+	if l.freshReads != 1 || l.staleReads != 1 {
+		t.Errorf("%d fresh and %d stale reads, want one each", l.freshReads, l.staleReads)
 	}
 }
 
-// The list refuses this process while it serves others. It says so, and is told
-// by them; when the list is back, it says that too.
-func TestRefusedReaderStepsBack(t *testing.T) {
-	l := &list{version: 1}
-	r, a := run(t, l)
-	until(t, "the first configuration", func() bool { return r.Book.Current().Plan != nil })
+// The list refuses this process while it serves others. The reader must report it as
+// unreachable, so that another entry takes over, and as reachable when it is back.
+func TestRefusedReaderReportsListUnreachable(t *testing.T) {
+	l := &fakeList{version: 1}
+	r, reachable := startReader(t, l)
+	waitFor(t, "the first configuration", func() bool { return r.Book.Current().Plan != nil })
 	l.set(func() { l.fail = true })
-	until(t, "stepping back", func() bool { return !a.get() })
+	waitFor(t, "the list to be reported unreachable", func() bool { return !reachable.get() })
 	l.set(func() { l.fail = false })
-	until(t, "the return", a.get)
+	waitFor(t, "the list to be reported reachable", reachable.get)
 }
