--- a/entry/hop/hop.go
+++ b/entry/hop/hop.go
@@ -1,13 +1,12 @@
-// Package hop sends one request over one connection to an upstream and reads
-// its answer.
+// Package hop sends a single request over a connection to an upstream and reads its
+// response.
 //
-//	Get (kept or new connection) --> Send --> Receive --> Put or Close
+//	Get (pooled or new connection) --> Send --> Receive --> Put or Close
 //
-// net/http's transport isn't used for this step: it resends some requests by
-// itself when a kept connection turns out closed, and after that nobody can say
-// how often a request that must not run twice was sent. It also hides whether
-// any byte of a request went out. Reading and writing of messages are the
-// library's.
+// It doesn't use net/http's transport, which resends some requests on its own if a reused
+// connection turns out to be closed: it is then unknown how often a request that must not
+// run twice was sent. The transport also hides whether any byte of a request was written.
+// Messages are read and written with net/http.
 package hop
 
 import (
@@ -30,32 +29,30 @@
 )
 
 const (
-	// dialTime bounds a new connection. It takes a millisecond; a lost opening
-	// packet is sent again after a whole second, which is too late to wait for.
-	dialTime = 400 * time.Millisecond
-	// userTimeout is how long sent bytes may stay without an acknowledgement
-	// until the connection counts as broken, in milliseconds. Without it a
-	// connection to a machine without power hangs for minutes.
-	userTimeout = 1500
-	// keepLife is how long an idle connection is kept where the upstream names
-	// no time; keepSlack is taken off what it names, so that a request doesn't
-	// cross its close.
-	keepLife  = 4 * magno.Second
-	keepSlack = magno.Second
-	// mostIdle bounds the idle connections to one upstream.
-	mostIdle = 64
-	// readBuffer holds an answer's header and an event or two.
-	readBuffer = 4 << 10
-	// mostSkipped bounds what is read of an answer that belongs to another
-	// request.
-	mostSkipped = 1 << 20
+	// dialTimeout bounds a new connection, which takes about a millisecond. A lost SYN is
+	// retransmitted only after a second, which is too late to wait for.
+	dialTimeout = 400 * time.Millisecond
+	// tcpUserTimeoutMS is how long sent data may remain unacknowledged before the kernel
+	// closes the connection. Without it, a connection to a machine that lost power hangs
+	// for minutes.
+	tcpUserTimeoutMS = 1500
+	// defaultIdleTime is how long an idle connection is kept if the upstream states no
+	// timeout. idleMargin is subtracted from a stated one, so that no request is sent
+	// while the upstream closes the connection.
+	defaultIdleTime = 4 * magno.Second
+	idleMargin      = magno.Second
+	// maxIdlePerUpstream bounds the idle connections to one upstream.
+	maxIdlePerUpstream = 64
+	// readBufferBytes is enough for a response header and one or two events.
+	readBufferBytes = 4 << 10
+	// maxSkippedBytes bounds what is read of a response to another request.
+	maxSkippedBytes = 1 << 20
 )
 
-// ErrSent marks an error after which the upstream may have got the request.
-var ErrSent = errors.New("the request was sent")
+// ErrSent marks an error after which the upstream may have received the request.
+var ErrSent = errors.New("request may have been sent")
 
-// Pool keeps idle connections. It is safe for concurrent use; Clock is set
-// before.
+// Pool keeps idle connections. It is safe for concurrent use; Clock is set before use.
 type Pool struct {
 	Clock *magno.Clock
 
@@ -64,37 +61,37 @@
 	dials *metrics.Counter
 }
 
-// Conn is one connection, used by one request at a time.
+// Conn is a connection, used by one request at a time.
 type Conn struct {
 	net.Conn
-	// Reused is true when it has served a request before.
+	// Reused is true if it has served a request before.
 	Reused bool
 
-	key   string
-	read  *bufio.Reader
-	until magno.Millis
+	key     string
+	reader  *bufio.Reader
+	expires magno.Millis
 }
 
-// Get returns a connection to an upstream, the one used last if there is any.
-// Key names the incarnation: its successor gets new connections.
+// Get returns a connection to an upstream: the most recently used idle one, or a new one.
+// The key identifies an incarnation of the upstream; its successor gets new connections.
 func (p *Pool) Get(ctx context.Context, key, addr string) (*Conn, error) {
-	for c := p.pop(key); c != nil; c = p.pop(key) {
-		if p.Clock.Now() < c.until && quiet(c.Conn) {
+	for c := p.popIdle(key); c != nil; c = p.popIdle(key) {
+		if p.Clock.Now() < c.expires && reusable(c.Conn) {
 			c.Reused = true
 			return c, nil
 		}
 		_ = c.Close()
 	}
-	p.counter().Inc()
-	d := net.Dialer{Timeout: dialTime, Control: options}
+	p.dialCounter().Inc()
+	d := net.Dialer{Timeout: dialTimeout, Control: setTCPUserTimeout}
 	conn, err := d.DialContext(ctx, "tcp", addr)
 	if err != nil {
-		return nil, errors.Wrap(err, "connect")
+		return nil, errors.Wrap(err, "dial upstream")
 	}
-	return &Conn{Conn: conn, key: key, read: bufio.NewReaderSize(conn, readBuffer)}, nil
+	return &Conn{Conn: conn, key: key, reader: bufio.NewReaderSize(conn, readBufferBytes)}, nil
 }
 
-func (p *Pool) counter() *metrics.Counter {
+func (p *Pool) dialCounter() *metrics.Counter {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.dials == nil {
@@ -103,17 +100,16 @@
 	return p.dials
 }
 
-func options(_, _ string, raw syscall.RawConn) error {
+func setTCPUserTimeout(_, _ string, raw syscall.RawConn) error {
 	return raw.Control(func(fd uintptr) {
-		// A kernel without the option only notices broken paths later.
-		_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, userTimeout)
+		// Without the option the kernel only detects broken paths later.
+		_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, tcpUserTimeoutMS)
 	})
 }
 
-// quiet tells whether an idle connection is open and has nothing to read. A
-// closed one would lose the request; bytes that nobody asked for would be taken
-// for its answer.
-func quiet(conn net.Conn) bool {
+// reusable reports whether an idle connection is open and has nothing to read. A request
+// sent over a closed one would be lost; unsolicited bytes would be taken for its response.
+func reusable(conn net.Conn) bool {
 	sc, ok := conn.(syscall.Conn)
 	if !ok {
 		return true
@@ -132,7 +128,7 @@
 	return err == nil && open
 }
 
-func (p *Pool) pop(key string) *Conn {
+func (p *Pool) popIdle(key string) *Conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	list := p.idle[key]
@@ -144,40 +140,41 @@
 	return c
 }
 
-// Put keeps a connection whose answer was read to its end. Res is that answer.
+// Put returns a connection to the pool after its response res was read to the end, or
+// closes it if it can't be reused.
 func (p *Pool) Put(c *Conn, res *http.Response) {
-	if res.Close || c.read.Buffered() > 0 {
+	if res.Close || c.reader.Buffered() > 0 {
 		_ = c.Close()
 		return
 	}
-	c.until = p.Clock.Now() + keepFor(res.Header.Get("Keep-Alive"))
+	c.expires = p.Clock.Now() + idleTimeFor(res.Header.Get("Keep-Alive"))
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.idle == nil {
 		p.idle = map[string][]*Conn{}
 	}
-	if len(p.idle[c.key]) >= mostIdle {
+	if len(p.idle[c.key]) >= maxIdlePerUpstream {
 		_ = c.Close()
 		return
 	}
 	p.idle[c.key] = append(p.idle[c.key], c)
 }
 
-// keepFor reads timeout=SECONDS.
-func keepFor(header string) magno.Millis {
+// idleTimeFor parses timeout=SECONDS of a Keep-Alive header.
+func idleTimeFor(header string) magno.Millis {
 	for _, part := range strings.Split(header, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
 		if !strings.EqualFold(name, "timeout") {
 			continue
 		}
 		if n, err := strconv.Atoi(value); err == nil {
-			return max(magno.Millis(n)*magno.Second-keepSlack, 0)
+			return max(magno.Millis(n)*magno.Second-idleMargin, 0)
 		}
 	}
-	return keepLife
+	return defaultIdleTime
 }
 
-// Forget closes the idle connections to all but the upstreams of keep.
+// Prune closes expired idle connections and those to upstreams that keep rejects.
 func (p *Pool) Prune(keep func(key string) bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -185,7 +182,7 @@
 	for key, list := range p.idle {
 		open := list[:0]
 		for _, c := range list {
-			if keep(key) && now < c.until {
+			if keep(key) && now < c.expires {
 				open = append(open, c)
 				continue
 			}
@@ -200,24 +197,24 @@
 	}
 }
 
-// Request is what is sent.
+// Request is a request to an upstream.
 type Request struct {
 	Method string
-	// Target is the path and query as the caller wrote them.
+	// Target is the path and query exactly as the caller sent them.
 	Target string
 	Host   string
 	Header http.Header
 	Body   []byte
 }
 
-// Send writes the request. An error without ErrSent means that no byte of it
-// went out.
+// Send writes the request. An error that isn't marked with ErrSent means that no byte of
+// it was written.
 func (c *Conn) Send(r *Request) error {
 	var b strings.Builder
 	b.Grow(512 + len(r.Body))
 	b.WriteString(r.Method + " " + r.Target + " HTTP/1.1\r\nHost: " + r.Host + "\r\n")
 	if err := r.Header.Write(&b); err != nil {
-		return errors.Wrap(err, "header")
+		return errors.Wrap(err, "encode request header")
 	}
 	if len(r.Body) > 0 || r.Method != http.MethodGet {
 		b.WriteString("Content-Length: " + strconv.Itoa(len(r.Body)) + "\r\n")
@@ -229,29 +226,29 @@
 		return nil
 	}
 	if n == 0 {
-		return errors.Wrap(err, "send")
+		return errors.Wrap(err, "write request")
 	}
-	return errors.Mark(errors.Wrap(err, "send"), ErrSent)
+	return errors.Mark(errors.Wrap(err, "write request"), ErrSent)
 }
 
-// Receive reads the head of the answer to the request with this method. Answers
-// that mine refuses belong to another request and are passed over: an upstream
-// may send a second answer late, where the next one is expected.
-func (c *Conn) Receive(method string, mine func(*http.Response) bool) (*http.Response, error) {
+// Receive reads the header of the response to a request with this method. Responses that
+// accept rejects belong to another request and are skipped: an upstream may send a second
+// response late, where the next one is expected.
+func (c *Conn) Receive(method string, accept func(*http.Response) bool) (*http.Response, error) {
 	for {
-		res, err := http.ReadResponse(c.read, &http.Request{Method: method})
+		res, err := http.ReadResponse(c.reader, &http.Request{Method: method})
 		if err != nil {
-			return nil, errors.Mark(errors.Wrap(err, "receive"), ErrSent)
+			return nil, errors.Mark(errors.Wrap(err, "read response"), ErrSent)
 		}
 		if res.StatusCode < http.StatusOK {
-			continue // an interim answer
+			continue // an interim response
 		}
-		if mine(res) {
+		if accept(res) {
 			return res, nil
 		}
-		n, err := io.Copy(io.Discard, io.LimitReader(res.Body, mostSkipped))
-		if err != nil || n == mostSkipped || res.Close {
-			return nil, errors.Mark(errors.New("receive: another request's answer came"), ErrSent)
+		n, err := io.Copy(io.Discard, io.LimitReader(res.Body, maxSkippedBytes))
+		if err != nil || n == maxSkippedBytes || res.Close {
+			return nil, errors.Mark(errors.New("read response: got the response to another request"), ErrSent)
 		}
 	}
 }
--- a/entry/hop/hop_test.go
+++ b/entry/hop/hop_test.go
@@ -11,8 +11,8 @@
 	"magnoliastall.example/magno"
 )
 
-// kept returns a pool with one idle connection, and its far end.
-func kept(t *testing.T, header string) (*Pool, *Conn, net.Conn, string) {
+// newIdleConn returns a pool with one idle connection, and the upstream's end of it.
+func newIdleConn(t *testing.T, header string) (*Pool, *Conn, net.Conn, string) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -24,17 +24,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	far, err := l.Accept()
+	upstream, err := l.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = far.Close() })
+	t.Cleanup(func() { _ = upstream.Close() })
 	p.Put(c, &http.Response{Header: http.Header{"Keep-Alive": {header}}})
-	return p, c, far, l.Addr().String()
+	return p, c, upstream, l.Addr().String()
 }
 
-// reused tells whether the next request would go over the kept connection.
-func reused(t *testing.T, p *Pool, addr string) bool {
+// reusesConn reports whether the next request would use the idle connection.
+func reusesConn(t *testing.T, p *Pool, addr string) bool {
 	t.Helper()
 	c, err := p.Get(t.Context(), "u", addr)
 	if err != nil {
@@ -44,63 +44,64 @@
 	return c.Reused
 }
 
-// unquiet waits until what the far end did has arrived.
-func unquiet(t *testing.T, c *Conn) {
+// waitUnusable waits until the effect of the upstream's action has arrived.
+func waitUnusable(t *testing.T, c *Conn) {
 	t.Helper()
-	for end := time.Now().Add(time.Minute); quiet(c.Conn); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(time.Minute); reusable(c.Conn); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("what the far end did is never seen")
+			t.Fatal("timed out waiting for the connection to become unusable")
 		}
 	}
 }
 
 func TestIdleConnectionIsUsedAgain(t *testing.T) {
-	p, _, _, addr := kept(t, "")
-	if !reused(t, p, addr) {
-		t.Error("a connection that is open and quiet was not used")
+	p, _, _, addr := newIdleConn(t, "")
+	if !reusesConn(t, p, addr) {
+		t.Error("an open idle connection was not reused")
 	}
 }
 
-// An upstream closes an idle connection. A request that is sent over it is lost,
-// and nobody can say whether it ran.
+// An upstream closes an idle connection. A request sent over it is lost, and it is unknown
+// whether it ran.
 func TestClosedConnectionIsNotUsed(t *testing.T) {
-	p, c, far, addr := kept(t, "")
-	_ = far.Close()
-	unquiet(t, c)
-	if reused(t, p, addr) {
-		t.Error("a closed connection was handed out")
+	p, c, upstream, addr := newIdleConn(t, "")
+	_ = upstream.Close()
+	waitUnusable(t, c)
+	if reusesConn(t, p, addr) {
+		t.Error("a closed connection was reused")
 	}
 }
 
-// An upstream sends bytes that nobody asked for on an idle connection. The next
-// request would take them for its answer.
+// An upstream sends unsolicited bytes on an idle connection. The next request would take
+// them for its response.
 func TestConnectionWithStrayBytesIsNotUsed(t *testing.T) {
-	p, c, far, addr := kept(t, "")
-	if _, err := far.Write([]byte("HTTP/1.1 200 OK\r\n\r\n")); err != nil {
+	p, c, upstream, addr := newIdleConn(t, "")
+	if _, err := upstream.Write([]byte("HTTP/1.1 200 OK\r\n\r\n")); err != nil {
 		t.Fatal(err)
 	}
-	unquiet(t, c)
-	if reused(t, p, addr) {
-		t.Error("a connection with stray bytes was handed out")
+	waitUnusable(t, c)
+	if reusesConn(t, p, addr) {
+		t.Error("a connection with unsolicited bytes was reused")
 	}
 }
 
-// An upstream says for how long it keeps idle connections. A second before that
-// they are no longer used, so that no request crosses the close.
+// An upstream states how long it keeps idle connections. They must not be used in the last
+// second of that time, when a request could be sent while the upstream closes.
 func TestKeepAliveTimeIsKept(t *testing.T) {
-	p, _, _, addr := kept(t, "timeout=3, max=100")
+	p, _, _, addr := newIdleConn(t, "timeout=3, max=100")
 	p.Clock.Advance(2*magno.Second + 1)
-	if reused(t, p, addr) {
-		t.Error("a connection was used within the last second of its time")
+	if reusesConn(t, p, addr) {
+		t.Error("a connection was reused within a second of its timeout")
 	}
 }
 
-// The request can't be sent at all. The error says so: it may go elsewhere.
-func TestUnsentRequestIsToldApart(t *testing.T) {
-	_, c, far, _ := kept(t, "")
-	_, _ = c.Close(), far.Close()
+// A request can't be sent at all. The error must say so, as it may then be retried on
+// another upstream.
+func TestUnsentRequestIsDistinguished(t *testing.T) {
+	_, c, upstream, _ := newIdleConn(t, "")
+	_, _ = c.Close(), upstream.Close()
 	err := c.Send(&Request{Method: http.MethodPost, Target: "/", Host: "h", Header: http.Header{}, Body: []byte("b")})
 	if err == nil || errors.Is(err, ErrSent) {
-		t.Errorf("got %v, want an error that tells that nothing was sent", err)
+		t.Errorf("got error %v, want one that isn't marked with ErrSent", err)
 	}
 }
