--- a/entry/send/join.go
+++ b/entry/send/join.go
@@ -9,67 +9,66 @@
 	"magnoliastall.example/magno"
 )
 
-// joiner passes the pieces of one answer on, each once and in order, over
-// several attempts. A second attempt of a deterministic engine repeats what
-// the caller has already; as long as it does so to the letter, the answer goes
-// on where it stopped. Where it differs, joining the two would make an answer
-// that no engine gave.
+// joiner forwards the pieces of one answer, each once and in order, over several attempts.
+// A second attempt at a deterministic engine repeats what the caller already has. As long
+// as both are identical, the answer continues where it stopped. If they differ, joining
+// them would yield an answer that no engine generated.
 type joiner struct {
 	emit func(magno.Piece)
-	// passed is the text that the caller has.
-	passed strings.Builder
-	// text is what the present attempt sent, parts how many pieces.
-	text  strings.Builder
-	parts int
-	// gap is true when a piece of the present attempt is missing.
+	// delivered is the text that the caller has received.
+	delivered strings.Builder
+	// text is what the current attempt sent, in partCount pieces.
+	text      strings.Builder
+	partCount int
+	// gap is true if a piece of the current attempt is missing.
 	gap bool
-	// broken is true when the attempts differ; the answer must end.
-	broken bool
+	// diverged is true if the attempts differ; the answer must then end.
+	diverged bool
 }
 
 // begin starts an attempt.
 func (j *joiner) begin() {
 	j.text.Reset()
-	j.parts = 0
+	j.partCount = 0
 	j.gap = false
 }
 
-// part takes one notification of the agent.
-func (j *joiner) part(method string, params json.RawMessage) {
+// onPart handles a notification of the agent.
+func (j *joiner) onPart(method string, params json.RawMessage) {
 	if method != magno.MethodPart {
 		return
 	}
 	var p magno.RunPart
-	if json.Unmarshal(params, &p) != nil || p.Seq != j.parts+1 {
+	if json.Unmarshal(params, &p) != nil || p.Seq != j.partCount+1 {
 		j.gap = true
 		return
 	}
-	j.parts++
+	j.partCount++
 	j.add(p.Piece)
 }
 
 func (j *joiner) add(p magno.Piece) {
-	before := j.text.Len()
+	offset := j.text.Len()
 	j.text.WriteString(p.Text)
-	if j.broken || j.gap {
+	if j.diverged || j.gap {
 		return
 	}
-	passed := j.passed.String()
-	repeated := min(max(len(passed)-before, 0), len(p.Text))
-	if p.Text[:repeated] != passed[min(before, len(passed)):min(before, len(passed))+repeated] {
-		j.broken = true
+	delivered := j.delivered.String()
+	repeated := min(max(len(delivered)-offset, 0), len(p.Text))
+	if p.Text[:repeated] != delivered[min(offset, len(delivered)):min(offset, len(delivered))+repeated] {
+		j.diverged = true
 		return
 	}
 	if rest := p.Text[repeated:]; rest != "" {
-		j.passed.WriteString(rest)
+		j.delivered.WriteString(rest)
 		j.emit(magno.Piece{Text: rest, Tokens: p.Tokens})
 	}
 }
 
-// whole checks that the caller's stream is the agent's answer, and passes on
-// what a replay sent without pieces. A stream cut short by a lost message
-// would otherwise look like a short answer.
-func (j *joiner) whole(reply magno.RunReply, call magno.RunCall) *magno.Refusal {
+// verify checks that the stream equals the agent's answer, and forwards what a replay
+// returned without pieces. Otherwise a stream cut short by a lost message would look like
+// a short answer.
+func (j *joiner) verify(reply magno.RunReply, call magno.RunCall) *magno.Refusal {
 	text := reply.Result.Text
 	if reply.Result.Ref != call.Work.Job.Ref {
 		return magno.Refuse(magno.KindInternal, "%s ran instead of %s", reply.Result.Ref, call.Work.Job.Ref).Ran(magno.RunYes)
@@ -80,13 +79,13 @@
 	if !call.Stream {
 		return nil
 	}
-	passed := j.passed.String()
-	if j.broken || !strings.HasPrefix(text, passed) {
-		j.broken = true
+	delivered := j.delivered.String()
+	if j.diverged || !strings.HasPrefix(text, delivered) {
+		j.diverged = true
 		return magno.Refuse(magno.KindInterrupted, "a second attempt answered otherwise").Ran(magno.RunYes)
 	}
-	if rest := text[len(passed):]; rest != "" {
-		j.passed.WriteString(rest)
+	if rest := text[len(delivered):]; rest != "" {
+		j.delivered.WriteString(rest)
 		j.emit(magno.Piece{Text: rest, Tokens: 0})
 	}
 	return nil
--- a/entry/send/send_test.go
+++ b/entry/send/send_test.go
@@ -21,10 +21,10 @@
 	"magnoliastall.example/magno/wire"
 )
 
-// limit is generous: nothing here waits for it unless something is broken.
-const limit = 30 * magno.Second
+// testTimeout is only reached if something is broken.
+const testTimeout = 30 * magno.Second
 
-// router offers the agents in order, without those to be avoided.
+// router returns the agents in order, without those to be avoided.
 type router struct{ names []string }
 
 func (r *router) Update([]magno.Target) {}
@@ -43,24 +43,24 @@
 	return r.names[:min(n, len(r.names))]
 }
 
-// world is a sender and agents a, b, ... that answer by script; x is an agent
-// that can't be reached.
-type world struct {
+// harness is a sender with agents a, b, ... that answer as scripted; x is an agent that
+// can't be reached.
+type harness struct {
 	sender *Sender
 	budget *retry.Budget
-	// stream sends parts after the first; nil sends none.
+	// stream sends the parts after the first; if nil, none are sent.
 	stream func(ctx context.Context, peer *wire.Peer)
 
 	mu sync.Mutex
-	// asked lists who got a call, in order; scripts holds what each answers
-	// next, the last one for ever.
-	asked   []string
+	// calls lists the agents called, in order; scripts holds the answers of each, the
+	// last of which is repeated.
+	calls   []string
 	scripts map[string][]func(context.Context) (any, error)
 }
 
-func newWorld(t *testing.T, names string, scripts map[string][]func(context.Context) (any, error)) *world {
+func newHarness(t *testing.T, names string, scripts map[string][]func(context.Context) (any, error)) *harness {
 	t.Helper()
-	w := &world{scripts: scripts, budget: &retry.Budget{Base: 1, Cap: 1}}
+	h := &harness{scripts: scripts, budget: &retry.Budget{Base: 1, Cap: 1}}
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
 	t.Cleanup(wg.Wait)
@@ -75,13 +75,13 @@
 		if name != "x" {
 			m := &wire.Mesh{Listen: "127.0.0.1:0"}
 			m.Handle(magno.MethodRun, func(ctx context.Context, peer *wire.Peer, _ json.RawMessage) (any, error) {
-				if w.stream != nil {
+				if h.stream != nil {
 					_ = peer.Notify(ctx, magno.MethodPart, magno.RunPart{Seq: 1, Piece: magno.Piece{Text: "t"}})
-					w.stream(ctx, peer)
+					h.stream(ctx, peer)
 				}
-				return w.answer(ctx, name)
+				return h.answer(ctx, name)
 			})
-			m.Handle(magno.MethodTicket, func(ctx context.Context, _ *wire.Peer, _ json.RawMessage) (any, error) { return silent(ctx) })
+			m.Handle(magno.MethodTicket, func(ctx context.Context, _ *wire.Peer, _ json.RawMessage) (any, error) { return hang(ctx) })
 			if err := m.Open(); err != nil {
 				t.Fatal(err)
 			}
@@ -97,43 +97,43 @@
 	log := slog.New(slog.DiscardHandler)
 	fl := &fleet.Fleet{URL: list.URL, Clock: &magno.Clock{}, Log: log}
 	run(fl)
-	for end := time.Now().Add(limit.Span()); len(fl.LiveAgents("p")) < len(instances); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout.Span()); len(fl.LiveAgents("p")) < len(instances); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("the list was not read")
+			t.Fatal("timed out waiting for the instance list")
 		}
 	}
 	mesh := &wire.Mesh{}
 	run(mesh)
 	r := &router{names: strings.Split(names, "")}
-	w.sender = &Sender{
+	h.sender = &Sender{
 		Clock: &magno.Clock{}, Mesh: mesh, Fleet: fl, Attempts: 3,
-		Router: func(string) magno.Router { return r }, Budget: func(string) *retry.Budget { return w.budget },
+		Router: func(string) magno.Router { return r }, Budget: func(string) *retry.Budget { return h.budget },
 		Suspects: &crash.Suspects{Clock: &magno.Clock{}},
 	}
-	return w
+	return h
 }
 
-func (w *world) answer(ctx context.Context, name string) (any, error) {
-	w.mu.Lock()
-	w.asked = append(w.asked, name)
-	script := w.scripts[name]
+func (h *harness) answer(ctx context.Context, name string) (any, error) {
+	h.mu.Lock()
+	h.calls = append(h.calls, name)
+	script := h.scripts[name]
 	if len(script) > 1 {
-		w.scripts[name] = script[1:]
+		h.scripts[name] = script[1:]
 	}
-	w.mu.Unlock()
+	h.mu.Unlock()
 	return script[0](ctx)
 }
 
-func (w *world) path() string {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return strings.Join(w.asked, "")
+func (h *harness) callOrder() string {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return strings.Join(h.calls, "")
 }
 
-func (w *world) do(key string, left magno.Millis) (magno.Result, *magno.Refusal) {
+func (h *harness) do(key string, left magno.Millis) (magno.Result, *magno.Refusal) {
 	work := magno.Work{Job: magno.Job{ID: "id", Print: 7}}
-	r := Request{Work: work, Pool: "p", Key: key, Deadline: w.sender.Clock.Now() + left}
-	result, _, refusal := w.sender.Do(context.Background(), r, func(magno.Piece) {})
+	r := Request{Work: work, Pool: "p", Key: key, Deadline: h.sender.Clock.Now() + left}
+	result, _, refusal := h.sender.Do(context.Background(), r, func(magno.Piece) {})
 	return result, refusal
 }
 
@@ -141,41 +141,41 @@
 	return magno.RunReply{Result: &magno.Result{Text: "t"}, Sum: xxhash.Sum64String("t")}, nil
 }
 
-func refuses(kind magno.Kind, run magno.Run) func(context.Context) (any, error) {
+func refuse(kind magno.Kind, run magno.Run) func(context.Context) (any, error) {
 	return func(context.Context) (any, error) {
 		return magno.RunReply{Refusal: magno.Refuse(kind, "by script").Ran(run)}, nil
 	}
 }
 
-func names(holder string) func(context.Context) (any, error) {
+func heldBy(holder string) func(context.Context) (any, error) {
 	return func(context.Context) (any, error) {
 		refusal := magno.Refuse(magno.KindUnknown, "held elsewhere")
 		return magno.RunReply{Refusal: refusal, Holder: holder}, nil
 	}
 }
 
-// meshRefuses is a refusal that the agent's ledger never saw.
+// meshRefuses is a refusal of the transport, which the agent's ledger doesn't know of.
 func meshRefuses(context.Context) (any, error) {
 	return nil, magno.Refuse(magno.KindBusy, "too many calls")
 }
 
-func silent(ctx context.Context) (any, error) { <-ctx.Done(); return nil, ctx.Err() }
+func hang(ctx context.Context) (any, error) { <-ctx.Done(); return nil, ctx.Err() }
 
 type script = map[string][]func(context.Context) (any, error)
 
-// An attempt fails; the caller waits for the whole answer or a true account.
-// Work that may be repeated goes on to others; a keyed request is only asked
-// for again where that can't run it twice, and "not run" is a ledger's word
-// alone: the caller would send the work again and the receipt come twice.
+// An attempt fails, and the caller must get either the whole answer or a true report.
+// Repeatable work is retried elsewhere. A keyed request is only sent again where that
+// can't run it twice, and only a ledger may say "not run": otherwise the caller would
+// send the work again and get a second receipt.
 func TestDo(t *testing.T) {
 	yes, no, unknown := magno.RunYes, magno.RunNo, magno.RunUnknown
-	busy, gone, doubt := refuses(magno.KindBusy, no), refuses(magno.KindNoUpstream, no), refuses(magno.KindUnknown, unknown)
-	cut := refuses(magno.KindInterrupted, unknown)
+	busy, gone, doubt := refuse(magno.KindBusy, no), refuse(magno.KindNoUpstream, no), refuse(magno.KindUnknown, unknown)
+	cut := refuse(magno.KindInterrupted, unknown)
 	type answers = []func(context.Context) (any, error)
 	tests := []struct {
 		name, agents, key string
 		scripts           script
-		path              string
+		calls             string
 		kind              magno.Kind
 		run               magno.Run
 	}{
@@ -186,8 +186,8 @@
 		{"a pool of one comes back", "a", "", script{"a": {gone, ok}}, "aa", "", ""},
 		{"all busy", "abcd", "", script{"a": {busy}, "b": {busy}, "c": {busy}, "d": {ok}}, "abc", magno.KindBusy, no},
 		{"doubt stays", "abc", "", script{"a": {doubt}, "b": {busy}, "c": {busy}}, "abc", magno.KindBusy, unknown},
-		{"no second for a wrong request", "ab", "", script{"a": {refuses(magno.KindMalformed, no)}, "b": {ok}}, "a", magno.KindMalformed, no},
-		{"no second for what ran", "ab", "", script{"a": {refuses(magno.KindFailed, yes)}, "b": {ok}}, "a", magno.KindFailed, yes},
+		{"no second for a wrong request", "ab", "", script{"a": {refuse(magno.KindMalformed, no)}, "b": {ok}}, "a", magno.KindMalformed, no},
+		{"no second for what ran", "ab", "", script{"a": {refuse(magno.KindFailed, yes)}, "b": {ok}}, "a", magno.KindFailed, yes},
 		{"two cuts make a suspect", "abc", "", script{"a": {cut}, "b": {cut}, "c": {ok}}, "ab", magno.KindSuspect, unknown},
 		{"mesh refuses", "a", "", script{"a": {meshRefuses}}, "aaa", magno.KindBusy, no},
 
@@ -196,19 +196,19 @@
 		{"keyed: none reachable", "x", "k", nil, "", magno.KindNoUpstream, unknown},
 		{"keyed: mesh refuses", "ab", "k", script{"a": {meshRefuses}, "b": {ok}}, "a", magno.KindBusy, unknown},
 		{"keyed: the ledger says not run", "ab", "k", script{"a": {busy}, "b": {ok}}, "a", magno.KindBusy, no},
-		{"keyed: the home leaves", "ab", "k", script{"a": {refuses(magno.KindLeaving, unknown)}, "b": {ok}}, "ab", "", ""},
+		{"keyed: the home leaves", "ab", "k", script{"a": {refuse(magno.KindLeaving, unknown)}, "b": {ok}}, "ab", "", ""},
 		{"keyed: doubt is not asked elsewhere", "ab", "k", script{"a": {doubt}, "b": {ok}}, "a", magno.KindUnknown, unknown},
-		{"keyed: the holder is asked", "abc", "k", script{"a": {names("c")}, "b": {ok}, "c": {ok}}, "ac", "", ""},
-		{"keyed: holders that name each other", "ab", "k", script{"a": {names("b")}, "b": {names("a")}}, "aba", magno.KindUnknown, unknown},
-		{"keyed: the holder is gone", "ab", "k", script{"a": {names("z")}, "b": {ok}}, "a", magno.KindNoUpstream, unknown},
+		{"keyed: the holder is asked", "abc", "k", script{"a": {heldBy("c")}, "b": {ok}, "c": {ok}}, "ac", "", ""},
+		{"keyed: holders that name each other", "ab", "k", script{"a": {heldBy("b")}, "b": {heldBy("a")}}, "aba", magno.KindUnknown, unknown},
+		{"keyed: the holder is gone", "ab", "k", script{"a": {heldBy("z")}, "b": {ok}}, "a", magno.KindNoUpstream, unknown},
 		{"keyed: an empty reply", "ab", "k", script{"a": answers{func(context.Context) (any, error) { return magno.RunReply{}, nil }}}, "a", magno.KindInternal, unknown},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			w := newWorld(t, tt.agents, tt.scripts)
-			result, refusal := w.do(tt.key, limit)
-			if got := w.path(); got != tt.path {
-				t.Errorf("asked %q, want %q", got, tt.path)
+			h := newHarness(t, tt.agents, tt.scripts)
+			result, refusal := h.do(tt.key, testTimeout)
+			if got := h.callOrder(); got != tt.calls {
+				t.Errorf("called %q, want %q", got, tt.calls)
 			}
 			switch {
 			case refusal == nil && (tt.kind != "" || result.Text != "t"):
@@ -220,81 +220,80 @@
 	}
 }
 
-// A pool fails altogether under load. Each caller's attempts must not multiply
-// the load: the budget's depth is spent once, then each request comes once.
+// All agents of a pool fail under load. Callers' retries must not multiply the load: the
+// retry budget is spent once, after which each request gets one attempt.
 func TestBudget(t *testing.T) {
-	w := newWorld(t, "ab", script{"a": {refuses(magno.KindBusy, magno.RunNo)}, "b": {refuses(magno.KindBusy, magno.RunNo)}})
-	w.budget.Depth = 3
+	h := newHarness(t, "ab", script{"a": {refuse(magno.KindBusy, magno.RunNo)}, "b": {refuse(magno.KindBusy, magno.RunNo)}})
+	h.budget.Depth = 3
 	const requests = 20
 	for range requests {
-		if _, refusal := w.do("", limit); refusal == nil || refusal.After == 0 {
+		if _, refusal := h.do("", testTimeout); refusal == nil || refusal.After == 0 {
 			t.Fatalf("%v", refusal)
 		}
 	}
-	if got := len(w.path()); got != requests+3 {
+	if got := len(h.callOrder()); got != requests+3 {
 		t.Errorf("%d attempts for %d requests, want 3 more", got, requests)
 	}
 }
 
-// A caller takes its stream more slowly than the engine makes it. That is no
-// fault of the agent's: blamed for it, it would lose its work, and a second
-// attempt would make the same answer once more for the same slow caller.
+// A caller reads its stream more slowly than the engine generates it. The agent must not be
+// blamed, as it would lose its work, and there must be no second attempt, which would
+// generate the same answer for the same slow caller.
 func TestSlowCaller(t *testing.T) {
 	stalled, sent := make(chan struct{}), make(chan struct{})
-	w := newWorld(t, "ab", script{"a": {ok}, "b": {ok}})
-	w.stream = func(ctx context.Context, peer *wire.Peer) {
+	h := newHarness(t, "ab", script{"a": {ok}, "b": {ok}})
+	h.stream = func(ctx context.Context, peer *wire.Peer) {
 		defer close(sent)
 		<-stalled
 		for n := 2; n < 3000 && peer.Notify(ctx, magno.MethodPart, magno.RunPart{Seq: n}) == nil; n++ {
 			continue
 		}
 	}
-	r := Request{Work: magno.Work{Job: magno.Job{ID: "id"}}, Pool: "p", Stream: true, Deadline: w.sender.Clock.Now() + limit}
-	_, _, refusal := w.sender.Do(context.Background(), r, func(magno.Piece) {
+	r := Request{Work: magno.Work{Job: magno.Job{ID: "id"}}, Pool: "p", Stream: true, Deadline: h.sender.Clock.Now() + testTimeout}
+	_, _, refusal := h.sender.Do(context.Background(), r, func(magno.Piece) {
 		close(stalled)
 		<-sent
-		// Its answer comes on the same connection, after all parts were read there.
-		a, _ := w.sender.Fleet.Find("a")
-		if err := w.sender.Mesh.Call(context.Background(), a.Address, "none", nil, nil); wire.NotSent(err) {
+		// Its answer comes on the same connection, after all parts were read.
+		a, _ := h.sender.Fleet.Find("a")
+		if err := h.sender.Mesh.Call(context.Background(), a.Address, "none", nil, nil); wire.NotSent(err) {
 			t.Error(err)
 		}
 	})
-	if refusal == nil || refusal.Kind != magno.KindCancelled || w.path() != "a" {
-		t.Errorf("%v after %q", refusal, w.path())
+	if refusal == nil || refusal.Kind != magno.KindCancelled || h.callOrder() != "a" {
+		t.Errorf("%v after %q", refusal, h.callOrder())
 	}
 }
 
-// A body grows when it is encoded and may then be over what one message holds.
-// The caller hears that it is too large; "no upstream" would make it try again.
+// A body grows when it is encoded and may then exceed the limit of a message. The caller
+// must learn that it is too large; "no upstream" would make it retry.
 func TestTooLarge(t *testing.T) {
-	w := newWorld(t, "a", script{"a": {ok}})
+	h := newHarness(t, "a", script{"a": {ok}})
 	for key, run := range map[string]magno.Run{"": magno.RunNo, "k": magno.RunUnknown} {
-		r := Request{Work: magno.Work{Body: strings.Repeat("<", 1<<20)}, Pool: "p", Key: key, Deadline: w.sender.Clock.Now() + limit}
-		_, _, refusal := w.sender.Do(context.Background(), r, func(magno.Piece) {})
+		r := Request{Work: magno.Work{Body: strings.Repeat("<", 1<<20)}, Pool: "p", Key: key, Deadline: h.sender.Clock.Now() + testTimeout}
+		_, _, refusal := h.sender.Do(context.Background(), r, func(magno.Piece) {})
 		if refusal == nil || refusal.Kind != magno.KindTooLarge || refusal.Run != run {
 			t.Errorf("key %q: %v", key, refusal)
 		}
 	}
 }
 
-// An agent freezes with the request in it. The caller still waits and must
-// hear at the deadline that it is over, that the work may have run and when to
-// come back; "cancelled" would say that the caller itself went away.
+// An agent hangs while it runs a request. At the deadline the waiting caller must learn
+// that the work may have run and when to retry; "cancelled" would mean that the caller
+// itself had left.
 func TestFrozenAgent(t *testing.T) {
 	for _, key := range []string{"", "k"} {
-		w := newWorld(t, "a", script{"a": {silent}})
-		_, refusal := w.do(key, 100)
+		h := newHarness(t, "a", script{"a": {hang}})
+		_, refusal := h.do(key, 100)
 		if refusal == nil || refusal.Kind != magno.KindDeadline || refusal.Run != magno.RunUnknown || refusal.After == 0 {
 			t.Errorf("key %q: %v", key, fmt.Sprint(refusal))
 		}
 	}
 }
 
-// An agent freezes before it gives a ticket. The caller has sent nothing yet
-// and must not wait for it without end.
+// An agent hangs before it issues a ticket. The caller must not wait for it forever.
 func TestTicketOfFrozenAgent(t *testing.T) {
-	w := newWorld(t, "a", nil)
-	if _, refusal := w.sender.Ticket(context.Background(), "p", magno.Ref{}); refusal == nil || refusal.After == 0 {
+	h := newHarness(t, "a", nil)
+	if _, refusal := h.sender.Ticket(context.Background(), "p", magno.Ref{}); refusal == nil || refusal.After == 0 {
 		t.Errorf("%v", refusal)
 	}
 }
--- a/entry/send/ticket.go
+++ b/entry/send/ticket.go
@@ -7,10 +7,10 @@
 	"magnoliastall.example/magno/ticket"
 )
 
-// ticketLimit is how long one agent may take to give a ticket, in milliseconds.
-const ticketLimit = magno.Second
+// ticketTimeout bounds the request for a ticket to one agent.
+const ticketTimeout = magno.Second
 
-// Ticket returns a fresh ticket of the first agent of the pool that gives one.
+// Ticket returns a new ticket from the first agent of the pool that issues one.
 func (s *Sender) Ticket(ctx context.Context, pool string, ref magno.Ref) (ticket.Ticket, *magno.Refusal) {
 	last := magno.Refuse(magno.KindNoUpstream, "no upstream of pool %s is known", pool)
 	for _, name := range s.Router(pool).Route(magno.Query{Ref: ref, DataCentre: s.DataCentre, Work: 1}) {
@@ -19,8 +19,8 @@
 			continue
 		}
 		var t ticket.Ticket
-		// A frozen agent would hold the caller for as long as it waits.
-		call, cancel := context.WithTimeout(ctx, ticketLimit.Span())
+		// A hung agent would otherwise block the caller until its own timeout.
+		call, cancel := context.WithTimeout(ctx, ticketTimeout.Span())
 		err := s.Mesh.Call(call, in.Address, magno.MethodTicket, struct{}{}, &t)
 		cancel()
 		if err == nil {
@@ -31,8 +31,8 @@
 	return ticket.Ticket{}, last
 }
 
-// only returns the one agent that a key names, if it is a ticket.
-func only(key string) (string, bool) {
+// ticketAgent returns the only agent that may run the key, if it is a ticket.
+func ticketAgent(key string) (string, bool) {
 	t, ok := ticket.Parse(key)
 	return t.Agent, ok
 }
