--- a/entry/front/answer.go
+++ b/entry/front/answer.go
@@ -13,7 +13,7 @@
 	"magnoliastall.example/magno"
 )
 
-// Headers of answers.
+// Response headers.
 const (
 	headerRequest = "X-Request-Id"
 	headerAdapter = "X-Adapter"
@@ -25,12 +25,12 @@
 	headerQueue   = "X-Queue-Ms"
 )
 
-// errorBody is the form of every refusal.
+// errorBody is the body of every refusal.
 type errorBody struct {
 	Error *magno.Refusal `json:"error"`
 }
 
-// MarshalJSON adds the members that clients of language models look for.
+// MarshalJSON adds the members that clients of language models expect.
 func (e errorBody) MarshalJSON() ([]byte, error) {
 	type plain magno.Refusal
 	return json.Marshal(map[string]any{"error": struct {
@@ -41,10 +41,10 @@
 	}{(*plain)(e.Error), e.Error.Error(), "magnoliastall", string(e.Error.Kind)}})
 }
 
-// before refuses a request before any agent was asked. Where it carries a key,
-// an earlier copy of it may have run while the profile was there or the
-// deadline still ahead, so nothing is said of whether it ran.
-func (f *Front) before(c echo.Context, refusal *magno.Refusal) error {
+// refuseUnsent refuses a request that was sent to no agent. If it carries a key, an earlier
+// copy may have run while the profile existed or before the deadline, so whether it ran is
+// reported as unknown.
+func (f *Front) refuseUnsent(c echo.Context, refusal *magno.Refusal) error {
 	if c.Request().Header.Get(headerKey) == "" {
 		return f.refuse(c, refusal)
 	}
@@ -55,14 +55,14 @@
 	return f.refuse(c, refusal)
 }
 
-// refuse answers a request that gets no answer of an upstream.
+// refuse answers a request that was not answered by an upstream.
 func (f *Front) refuse(c echo.Context, refusal *magno.Refusal) error {
-	f.told(c, refusal)
+	f.recordRefusal(c, refusal)
 	return c.JSON(refusal.Kind.Answer().Status, errorBody{refusal})
 }
 
-// told sets the headers of a refusal and notes it.
-func (f *Front) told(c echo.Context, refusal *magno.Refusal) {
+// recordRefusal sets the headers of a refusal, logs and counts it.
+func (f *Front) recordRefusal(c echo.Context, refusal *magno.Refusal) {
 	f.Events.Add("refusal", id(c), fmt.Sprintf("kind=%s run=%s field=%s", refusal.Kind, refusal.Run, refusal.Field))
 	f.Log.Info("request", "id", id(c), "kind", string(refusal.Kind), "run", string(refusal.Run), "field", refusal.Field,
 		"detail", refusal.Detail)
@@ -76,18 +76,18 @@
 	}
 }
 
-// seconds rounds up, as Retry-After counts in whole seconds.
+// seconds rounds up, as Retry-After is in whole seconds.
 func seconds(m magno.Millis) int64 { return int64((m + magno.Second - 1) / magno.Second) }
 
-// head sets what every answer carries.
-func head(c echo.Context, r send.Request) {
+// setHeaders sets the headers common to all answers.
+func setHeaders(c echo.Context, r send.Request) {
 	h := c.Response().Header()
 	h.Set(headerRequest, id(c))
 	h.Set(headerAdapter, r.Work.Job.Ref.Adapter)
 	h.Set(headerVersion, r.Work.Job.Ref.Version)
 }
 
-func (f *Front) served(c echo.Context, r send.Request, result magno.Result, replay bool) {
+func (f *Front) recordServed(c echo.Context, r send.Request, result magno.Result, replay bool) {
 	took := f.Clock.Now() - r.Work.Job.Arrived
 	f.Events.Add("served", id(c), fmt.Sprintf("ref=%s tokens=%d took=%d stall=%d replay=%t",
 		result.Ref, result.Output, took, result.Stall, replay))
@@ -98,14 +98,14 @@
 	metrics.GetOrCreateHistogram(fmt.Sprintf(`magno_stall_seconds{customer=%q}`, r.Work.Job.Customer)).Update(result.Stall.Span().Seconds())
 }
 
-// whole answers with the result in one piece.
-func (f *Front) whole(c echo.Context, r send.Request, form form) error {
-	result, replay, refusal := f.do(c.Request().Context(), r, func(magno.Piece) {})
+// answerWhole answers without streaming.
+func (f *Front) answerWhole(c echo.Context, r send.Request, form form) error {
+	result, replay, refusal := f.sendWithinQuota(c.Request().Context(), r, func(magno.Piece) {})
 	if refusal != nil {
 		return f.refuse(c, refusal)
 	}
-	f.served(c, r, result, replay)
-	head(c, r)
+	f.recordServed(c, r, result, replay)
+	setHeaders(c, r)
 	h := c.Response().Header()
 	h.Set(headerRun, string(magno.RunYes))
 	h.Set(headerReplay, strconv.FormatBool(replay))
@@ -117,16 +117,16 @@
 	return c.JSON(http.StatusOK, form.full(r, result))
 }
 
-// stream answers piece by piece. The status goes out with the first piece, so
-// a request that is refused before has its own status; one that fails after
-// ends with an event that says so, never as if it were whole.
+// stream answers as server-sent events. The status is sent with the first piece, so that a
+// request refused before has a status of its own. One that fails later ends with an error
+// event, so that it doesn't look complete.
 func (f *Front) stream(c echo.Context, r send.Request, form form) error {
 	w := c.Response()
-	begun := false
+	started := false
 	event := func(value any) {
-		if !begun {
-			begun = true
-			head(c, r)
+		if !started {
+			started = true
+			setHeaders(c, r)
 			w.Header().Set(echo.HeaderContentType, "text/event-stream")
 			w.Header().Set("Cache-Control", "no-cache")
 			w.WriteHeader(http.StatusOK)
@@ -138,10 +138,10 @@
 		_, _ = fmt.Fprintf(w, "data: %s\n\n", data)
 		w.Flush()
 	}
-	result, replay, refusal := f.do(c.Request().Context(), r, func(p magno.Piece) {
+	result, replay, refusal := f.sendWithinQuota(c.Request().Context(), r, func(p magno.Piece) {
 		event(form.piece(r, p.Text))
 	})
-	if refusal != nil && !begun {
+	if refusal != nil && !started {
 		return f.refuse(c, refusal)
 	}
 	if refusal != nil {
@@ -151,14 +151,14 @@
 		event(errorBody{refusal})
 		return nil
 	}
-	f.served(c, r, result, replay)
+	f.recordServed(c, r, result, replay)
 	event(form.last(r, result))
 	_, _ = fmt.Fprint(w, "data: [DONE]\n\n")
 	w.Flush()
 	return nil
 }
 
-// form makes answers in one of the two shapes that clients use.
+// form formats answers as text or chat completions.
 type form struct {
 	chat bool
 }
@@ -208,14 +208,14 @@
 
 func (f form) full(r send.Request, result magno.Result) answer {
 	a := f.base(r, false)
-	ch := choice{Finish: finish(result)}
+	ch := choice{Finish: finishReason(result)}
 	if f.chat {
 		ch.Message = &message{Role: "assistant", Content: result.Text}
 	} else {
 		ch.Text = &result.Text
 	}
 	a.Choices = []choice{ch}
-	a.Usage = used(result)
+	a.Usage = usageOf(result)
 	return a
 }
 
@@ -233,12 +233,12 @@
 
 func (f form) last(r send.Request, result magno.Result) answer {
 	a := f.piece(r, "")
-	a.Choices[0].Finish = finish(result)
-	a.Usage = used(result)
+	a.Choices[0].Finish = finishReason(result)
+	a.Usage = usageOf(result)
 	return a
 }
 
-func finish(result magno.Result) *string {
+func finishReason(result magno.Result) *string {
 	reason := result.Finish
 	if reason == "" {
 		reason = "stop"
@@ -246,6 +246,6 @@
 	return &reason
 }
 
-func used(result magno.Result) *usage {
+func usageOf(result magno.Result) *usage {
 	return &usage{Prompt: result.Prompt, Completion: result.Output, Total: result.Prompt + result.Output}
 }
--- a/entry/front/front.go
+++ b/entry/front/front.go
@@ -1,10 +1,10 @@
-// Package front is what callers see: completions in the form that clients of
-// language models use, and plain calls.
+// Package front serves callers over HTTP: completions in the format that clients of language
+// models use, and plain calls.
 //
 //	POST /v1/completions        model = profile; stream by server-sent events
 //	POST /v1/chat/completions   the same, with messages
 //	POST /v1/call/{profile}     any body, for plain services; /{name} names the call
-//	POST /v1/tickets/{profile}  a key that one process alone may run
+//	POST /v1/tickets/{profile}  a key that only one process may run
 //	GET  /v1/models             the profiles
 //	GET  /health
 //
@@ -30,96 +30,96 @@
 
 // Limits on callers' connections; package listen has the others.
 const (
-	// connLimit is the most connections of callers. Each takes a file; those
-	// of the mesh, 4,608 at most, come on top.
-	connLimit = 8192
-	bodyTime  = 30 * magno.Second // to read the whole request
+	// maxConns is the maximum number of callers' connections. Each takes a file
+	// descriptor; those of the mesh, 4,608 at most, come on top.
+	maxConns    = 8192
+	bodyTimeout = 30 * magno.Second // to read the whole request
 )
 
-// Catalogue is the configuration in force, as callers' requests need it.
+// Catalogue gives access to the configuration in force.
 type Catalogue interface {
-	// Version is zero before any configuration is known.
+	// Version is zero until a configuration is known.
 	Version() int64
 	// Profile and Pool look up by name.
 	Profile(name string) (magno.Profile, bool)
 	Pool(name string) (magno.Pool, bool)
-	// Retired tells whether a version of an adapter is retired.
+	// Retired reports whether a version of an adapter is retired.
 	Retired(ref magno.Ref) bool
 	// Customer looks up by name.
 	Customer(name string) (magno.Customer, bool)
-	// Owner finds the customer that an Authorization header's key belongs to, nil when
-	// there is none. Keyed is false where callers need no keys.
+	// Owner returns the customer that an Authorization header's key belongs to, nil if there
+	// is none. Required is false if callers need no keys.
 	Owner(authorization string) (owner *magno.Customer, keyed bool)
-	// Names lists the profiles in order, of one customer unless that is empty.
+	// ProfileNames returns the sorted names of a customer's profiles, of all if customer is
+	// empty.
 	ProfileNames(customer string) []string
 }
 
-// Front serves callers. Its fields are set before Run; it implements
+// Front is the HTTP server for callers. Its fields are set before Run; it implements
 // magno.Duty.
 type Front struct {
 	Listen    string
 	Clock     *magno.Clock
 	Catalogue Catalogue
 	Sender    *send.Sender
-	// Quotas is nil where nothing is bounded.
+	// Quotas is nil if customers have no limits.
 	Quotas magno.Quotas
 	Events *event.Ring
 	Log    *slog.Logger
-	// Body is the most bytes of a request.
+	// MaxBody is the maximum size of a request's body in bytes.
 	MaxBody int64
-	// Deadline holds where caller and profile state none.
+	// DefaultDeadline applies if neither the caller nor the profile states one.
 	DefaultDeadline magno.Millis
-	// Grace is the time between not being ready and taking no new
-	// connection, so that the balancer notices first.
+	// Grace is the time between becoming not ready and closing the listener, so that the
+	// load balancer notices first.
 	Grace magno.Millis
-	// Drain bounds the wait for running requests at a planned stop.
+	// Drain bounds the wait for running requests in a planned stop.
 	Drain magno.Millis
-	// Settled tells whether the configuration is as new as that of the peers.
+	// Settled reports whether the configuration is as new as that of the peers.
 	Settled func() bool
-	// Bound is told the address once it is bound. It may be nil.
+	// Bound is called with the address once it is bound. It may be nil.
 	Bound func(address string)
 
-	// leaveAt is when Leave was called, zero before.
-	leaveAt atomic.Int64
-	// busy counts requests.
+	// leftAt is the time of the call of Leave, zero before.
+	leftAt atomic.Int64
+	// busy is the number of requests in progress.
 	busy atomic.Int64
 }
 
 // Name implements magno.Duty.
 func (f *Front) Name() string { return "front" }
 
-// Ready tells whether new requests should come here.
+// Ready reports whether the entry accepts new requests.
 func (f *Front) Ready() bool {
-	return f.leaveAt.Load() == 0 && f.Settled()
+	return f.leftAt.Load() == 0 && f.Settled()
 }
 
-// Leave begins a planned stop: the entry is no longer ready, but still serves
-// what comes, until the balancer has noticed.
-func (f *Front) Leave() { f.leaveAt.Store(int64(f.Clock.Now())) }
+// Leave begins a planned stop: the entry is no longer ready, but still serves requests until
+// the load balancer has noticed.
+func (f *Front) Leave() { f.leftAt.Store(int64(f.Clock.Now())) }
 
-// Busy counts what a planned stop waits for: requests under way, and one more
-// until the balancer has had its time to notice.
+// Busy returns what a planned stop waits for: the requests in progress, plus one until the
+// load balancer has had time to notice.
 func (f *Front) Busy() int64 {
 	busy := f.busy.Load()
-	if left := magno.Millis(f.leaveAt.Load()); left > 0 && f.Clock.Now() < left+f.Grace {
+	if left := magno.Millis(f.leftAt.Load()); left > 0 && f.Clock.Now() < left+f.Grace {
 		busy++
 	}
 	return busy
 }
 
-// Run serves until ctx ends, then takes no new connections and waits for the
-// last running answer.
+// Run serves until ctx ends, then closes the listener and waits for running requests.
 func (f *Front) Run(ctx context.Context) error {
 	server := listen.Server{
-		Listen: f.Listen, Handler: f.Handler(), Conns: connLimit, Read: bodyTime, Stop: f.Drain, Bound: f.Bound,
+		Listen: f.Listen, Handler: f.Handler(), Conns: maxConns, Read: bodyTimeout, Stop: f.Drain, Bound: f.Bound,
 	}
 	return server.Run(ctx)
 }
 
-// Handler returns the routes.
+// Handler returns the HTTP handler of all routes.
 func (f *Front) Handler() http.Handler {
 	e := echo.New()
-	e.HTTPErrorHandler = f.fault
+	e.HTTPErrorHandler = f.handleError
 	e.Use(middleware.Recover(), f.count)
 	e.POST("/v1/completions", f.completion)
 	e.POST("/v1/chat/completions", f.chat)
@@ -137,7 +137,7 @@
 	return e
 }
 
-// count counts requests under way.
+// count maintains the number of requests in progress.
 func (f *Front) count(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		f.busy.Add(1)
@@ -146,8 +146,8 @@
 	}
 }
 
-// fault answers what no handler did: unknown paths and panics.
-func (f *Front) fault(err error, c echo.Context) {
+// handleError answers requests for unknown paths, and those whose handler panicked.
+func (f *Front) handleError(err error, c echo.Context) {
 	if c.Response().Committed {
 		return
 	}
@@ -155,7 +155,7 @@
 	var he *echo.HTTPError
 	if errors.As(err, &he) {
 		refusal = magno.Refuse(magno.KindMalformed, "%v", he.Message)
-		f.told(c, refusal)
+		f.recordRefusal(c, refusal)
 		_ = c.JSON(he.Code, errorBody{refusal})
 		return
 	}
--- a/entry/front/keyed.go
+++ b/entry/front/keyed.go
@@ -10,12 +10,12 @@
 	"magnoliastall.example/magno/keys"
 )
 
-// authorize refuses a caller whose key belongs to another customer than the profile. It
-// isn't told that such a profile exists.
+// authorize refuses a caller whose key belongs to another customer than the profile. The
+// refusal doesn't reveal that the profile exists.
 func (f *Front) authorize(c echo.Context, p magno.Profile) *magno.Refusal {
-	owner, keyed := f.Catalogue.Owner(c.Request().Header.Get(echo.HeaderAuthorization))
+	owner, required := f.Catalogue.Owner(c.Request().Header.Get(echo.HeaderAuthorization))
 	switch {
-	case !keyed:
+	case !required:
 		return nil
 	case owner == nil:
 		c.Response().Header().Set(echo.HeaderWWWAuthenticate, keys.Scheme)
@@ -30,17 +30,17 @@
 	return magno.Refuse(magno.KindNoProfile, "there is no profile %q", name).At("model")
 }
 
-// do sends a request within its customer's allowance. What hasn't run gives back what it
-// took.
-func (f *Front) do(ctx context.Context, r send.Request, onPiece func(magno.Piece)) (magno.Result, bool, *magno.Refusal) {
+// sendWithinQuota sends a request within its customer's limit. The cost of work that has not
+// run is returned to the quota.
+func (f *Front) sendWithinQuota(ctx context.Context, r send.Request, onPiece func(magno.Piece)) (magno.Result, bool, *magno.Refusal) {
 	customer, ok := f.Catalogue.Customer(r.Work.Job.Customer)
 	if !ok || customer.Limit == nil || f.Quotas == nil {
 		return f.Sender.Do(ctx, r, onPiece)
 	}
-	cost := customer.Limit.Cost(tokensOf(&r.Work))
+	cost := customer.Limit.Cost(tokenCost(&r.Work))
 	if refusal := f.Quotas.Take(ctx, &customer, cost); refusal != nil {
 		if r.Key != "" {
-			refusal.Ran(magno.RunUnknown) // an earlier copy may have
+			refusal.Ran(magno.RunUnknown) // an earlier copy may have run
 		}
 		return magno.Result{}, false, refusal
 	}
@@ -51,8 +51,8 @@
 	return result, replay, refusal
 }
 
-// tokensOf is what a request may take of an engine, zero for a plain service.
-func tokensOf(w *magno.Work) int {
+// tokenCost is the maximum number of tokens that a request may use, zero for a plain service.
+func tokenCost(w *magno.Work) int {
 	if w.Path != "" {
 		return 0
 	}
--- a/entry/front/parse.go
+++ b/entry/front/parse.go
@@ -17,36 +17,36 @@
 	"magnoliastall.example/magno"
 )
 
-// Headers of requests.
+// Request headers.
 const (
-	// headerKey names a request whose effect must come about once.
+	// headerKey is the key of a request that must take effect only once.
 	headerKey = "Idempotency-Key"
-	// headerDeadline is the time from now, in milliseconds, after which the
-	// answer is of no use.
+	// headerDeadline is the time in milliseconds from now after which the answer is useless.
 	headerDeadline = "X-Deadline-Ms"
-	// headerCaller is a stable name of the caller, for fairness.
+	// headerCaller is a stable name of the caller, for fair queueing.
 	headerCaller = "X-Caller"
 )
 
-// Figures of parsing.
+// Limits and defaults of requests.
 const (
-	// tokenBytes is the usual rule of thumb for bytes a token in English.
-	tokenBytes = 4
-	// prefixBytes of a prompt decide where its cache may be warm.
+	// bytesPerToken is the usual estimate for English text.
+	bytesPerToken = 4
+	// prefixBytes is the length of a prompt's start that selects an upstream with a warm
+	// prefix cache.
 	prefixBytes = 256
-	// completionTokens and chatTokens hold where max_tokens is missing; the
-	// first is what clients expect of completions.
-	completionTokens = 16
-	chatTokens       = 256
-	// tokensLimit is the most tokens that may be asked for.
-	tokensLimit = 32768
-	// keyLimit is the most bytes of an idempotency key.
-	keyLimit = 256
-	// deadlineLimit is the most milliseconds that a caller may state.
-	deadlineLimit = magno.Hour
+	// defaultCompletionTokens and defaultChatTokens apply if max_tokens is missing. The
+	// first is what clients of the completions API expect.
+	defaultCompletionTokens = 16
+	defaultChatTokens       = 256
+	// maxTokens is the maximum of max_tokens.
+	maxTokens = 32768
+	// maxKeyBytes is the maximum length of an idempotency key.
+	maxKeyBytes = 256
+	// maxDeadline is the longest deadline that a caller may set.
+	maxDeadline = magno.Hour
 )
 
-// prompt is a string, or a list of one string as some clients send it.
+// prompt is a string, or a list of one string, as some clients send it.
 type prompt string
 
 // UnmarshalJSON takes both forms.
@@ -92,8 +92,8 @@
 	return nil
 }
 
-// body is a request for a completion or a chat. Fields that clients send
-// besides, such as temperature, are taken and not used.
+// body is a completion or chat request. Other fields that clients send, such as
+// temperature, are accepted and ignored.
 type body struct {
 	Model               string  `json:"model"`
 	Prompt              *prompt `json:"prompt"`
@@ -134,9 +134,9 @@
 	return b, nil
 }
 
-// tokens returns how many tokens are asked for.
-func (b *body) tokens(missing int) (int, *magno.Refusal) {
-	n := missing
+// tokens returns the requested number of tokens, or fallback if there is none.
+func (b *body) tokens(fallback int) (int, *magno.Refusal) {
+	n := fallback
 	field := "max_tokens"
 	if b.MaxTokens != nil {
 		n = *b.MaxTokens
@@ -144,13 +144,13 @@
 	if b.MaxCompletionTokens != nil {
 		n, field = *b.MaxCompletionTokens, "max_completion_tokens"
 	}
-	if n < 1 || n > tokensLimit {
-		return 0, magno.Refuse(magno.KindMalformed, "%d is out of range 1 to %d", n, tokensLimit).At(field)
+	if n < 1 || n > maxTokens {
+		return 0, magno.Refuse(magno.KindMalformed, "%d is out of range 1 to %d", n, maxTokens).At(field)
 	}
 	return n, nil
 }
 
-// read takes the body up to the limit.
+// read reads the body, up to MaxBody.
 func (f *Front) read(c echo.Context) ([]byte, *magno.Refusal) {
 	data, err := io.ReadAll(http.MaxBytesReader(c.Response(), c.Request().Body, f.MaxBody))
 	var large *http.MaxBytesError
@@ -163,7 +163,7 @@
 	return data, nil
 }
 
-// profile looks up what the caller named.
+// profile looks up the profile and checks that the caller may use it.
 func (f *Front) profile(c echo.Context, name string) (magno.Profile, *magno.Refusal) {
 	if !f.Settled() {
 		return magno.Profile{}, magno.Refuse(magno.KindStarting, "no configuration is known to be in force yet")
@@ -182,10 +182,10 @@
 	return p, nil
 }
 
-// request makes what the sender takes from a profile and a call.
+// request builds the sender's request from a profile and a call.
 func (f *Front) request(c echo.Context, p magno.Profile, user string, w magno.Work) (send.Request, *magno.Refusal) {
 	r := send.Request{Work: w, Pool: p.Pool, ConfigVersion: f.Catalogue.Version()}
-	left, refusal := f.left(c, p)
+	left, refusal := f.timeLeft(c, p)
 	if refusal != nil {
 		return r, refusal
 	}
@@ -204,7 +204,7 @@
 		Ref:      magno.Ref{Adapter: p.Adapter, Version: p.Version},
 		Urgency:  p.Urgency,
 		Stall:    p.Stall,
-		Prompt:   len(w.Body)/tokenBytes + 1,
+		Prompt:   len(w.Body)/bytesPerToken + 1,
 		Output:   max(w.Max, 1),
 		Prefix:   xxhash.Sum64String(w.Body[:min(len(w.Body), prefixBytes)]),
 		Print:    xxhash.Sum64String(p.Name + "\x00" + w.Path + "\x00" + w.Body),
@@ -215,8 +215,8 @@
 	return r, nil
 }
 
-// left returns the time to the deadline.
-func (f *Front) left(c echo.Context, p magno.Profile) (magno.Millis, *magno.Refusal) {
+// timeLeft returns the time to the deadline.
+func (f *Front) timeLeft(c echo.Context, p magno.Profile) (magno.Millis, *magno.Refusal) {
 	text := c.Request().Header.Get(headerDeadline)
 	if text == "" {
 		if p.Deadline > 0 {
@@ -231,18 +231,18 @@
 	if n <= 0 {
 		return 0, magno.Refuse(magno.KindPast, "the deadline has passed").At(headerDeadline)
 	}
-	return min(magno.Millis(n), deadlineLimit), nil
+	return min(magno.Millis(n), maxDeadline), nil
 }
 
-// key returns the idempotency key of a call that may not be repeated. It is
-// told apart by customer, for two may choose the same.
+// key returns the idempotency key of a call that must not be repeated. Keys are scoped by
+// customer, as two customers may choose the same.
 func key(c echo.Context, p magno.Profile) (string, *magno.Refusal) {
 	k := c.Request().Header.Get(headerKey)
 	if k == "" {
 		return "", magno.Refuse(magno.KindNoKey, "profile %q may not be repeated and needs a key", p.Name).At(headerKey)
 	}
-	if len(k) > keyLimit {
-		return "", magno.Refuse(magno.KindMalformed, "the key is over %d bytes", keyLimit).At(headerKey)
+	if len(k) > maxKeyBytes {
+		return "", magno.Refuse(magno.KindMalformed, "the key is over %d bytes", maxKeyBytes).At(headerKey)
 	}
 	return k, nil
 }
@@ -260,7 +260,7 @@
 	return c.RealIP()
 }
 
-// id returns the request's identifier, made on first use.
+// id returns the request's identifier, which it generates on first use.
 func id(c echo.Context) string {
 	if known, ok := c.Get("id").(string); ok {
 		return known
@@ -270,7 +270,7 @@
 	return made
 }
 
-// join makes one prompt of a chat.
+// join converts the messages of a chat to one prompt.
 func join(messages []turn) string {
 	var text bytes.Buffer
 	for _, m := range messages {
--- a/entry/front/parse_test.go
+++ b/entry/front/parse_test.go
@@ -11,8 +11,8 @@
 	"magnoliastall.example/magno"
 )
 
-// FuzzDecode reads bodies of completions and chats: taken or refused as
-// malformed, with nothing run, and never a panic.
+// FuzzDecode checks that any body of a completion or chat is either accepted or refused as
+// malformed and not run, without a panic.
 func FuzzDecode(f *testing.F) {
 	for _, seed := range []string{
 		``, `null`, `[]`, `{"model": "p", "prompt": "a"}`, `{"model": "p", "prompt": ["a"], "max_tokens": 0}`, `{"model": "p", "prompt": ["a", "b"]}`,
@@ -27,7 +27,7 @@
 		if refusal == nil {
 			_ = join(b.Messages)
 			var n int
-			if n, refusal = b.tokens(chatTokens); refusal == nil && (b.Model == "" || n < 1 || n > tokensLimit) {
+			if n, refusal = b.tokens(defaultChatTokens); refusal == nil && (b.Model == "" || n < 1 || n > maxTokens) {
 				t.Errorf("%q: model %q, %d tokens", data, b.Model, n)
 			}
 		}
@@ -37,8 +37,8 @@
 	})
 }
 
-// A caller sends what can't be served. Each gets a status, a kind and the
-// field, before any upstream is asked.
+// Requests that can't be served must get a status, a kind and the field, before any
+// upstream is asked.
 func TestRefusals(t *testing.T) {
 	front := &Front{MaxBody: 64, Settled: func() bool { return false }, Log: slog.New(slog.DiscardHandler)}
 	tests := []struct {
--- a/entry/front/route.go
+++ b/entry/front/route.go
@@ -11,7 +11,7 @@
 
 // completion serves POST /v1/completions.
 func (f *Front) completion(c echo.Context) error {
-	return f.generate(c, form{}, completionTokens, func(b *body) (string, *magno.Refusal) {
+	return f.generate(c, form{}, defaultCompletionTokens, func(b *body) (string, *magno.Refusal) {
 		if b.Prompt == nil {
 			return "", magno.Refuse(magno.KindMalformed, "is missing").At("prompt")
 		}
@@ -21,7 +21,7 @@
 
 // chat serves POST /v1/chat/completions.
 func (f *Front) chat(c echo.Context) error {
-	return f.generate(c, form{chat: true}, chatTokens, func(b *body) (string, *magno.Refusal) {
+	return f.generate(c, form{chat: true}, defaultChatTokens, func(b *body) (string, *magno.Refusal) {
 		if len(b.Messages) == 0 {
 			return "", magno.Refuse(magno.KindMalformed, "is empty").At("messages")
 		}
@@ -29,49 +29,49 @@
 	})
 }
 
-// generate serves a request that a model engine answers.
-func (f *Front) generate(c echo.Context, form form, tokens int, text func(*body) (string, *magno.Refusal)) error {
+// generate serves a request to a model engine.
+func (f *Front) generate(c echo.Context, form form, defaultTokens int, text func(*body) (string, *magno.Refusal)) error {
 	data, refusal := f.read(c)
 	if refusal != nil {
-		return f.before(c, refusal)
+		return f.refuseUnsent(c, refusal)
 	}
 	b, refusal := decode(data)
 	if refusal != nil {
-		return f.before(c, refusal)
+		return f.refuseUnsent(c, refusal)
 	}
-	p, refusal := f.on(c, b.Model, magno.PoolEngine)
+	p, refusal := f.profileOfKind(c, b.Model, magno.PoolEngine)
 	if refusal != nil {
-		return f.before(c, refusal)
+		return f.refuseUnsent(c, refusal)
 	}
 	prompt, refusal := text(b)
 	if refusal != nil {
-		return f.before(c, refusal)
+		return f.refuseUnsent(c, refusal)
 	}
-	limit, refusal := b.tokens(tokens)
+	limit, refusal := b.tokens(defaultTokens)
 	if refusal != nil {
-		return f.before(c, refusal)
+		return f.refuseUnsent(c, refusal)
 	}
 	r, refusal := f.request(c, p, b.User, magno.Work{Body: prompt, Max: limit})
 	if refusal != nil {
-		return f.before(c, refusal)
+		return f.refuseUnsent(c, refusal)
 	}
 	r.Stream = b.Stream
 	f.Events.Add("request", r.Work.Job.ID, "profile="+p.Name)
 	if b.Stream {
 		return f.stream(c, r, form)
 	}
-	return f.whole(c, r, form)
+	return f.answerWhole(c, r, form)
 }
 
 // call serves POST /v1/call/{profile}/{name}.
 func (f *Front) call(c echo.Context) error {
 	data, refusal := f.read(c)
 	if refusal != nil {
-		return f.before(c, refusal)
+		return f.refuseUnsent(c, refusal)
 	}
-	p, refusal := f.on(c, c.Param("profile"), magno.PoolPlain)
+	p, refusal := f.profileOfKind(c, c.Param("profile"), magno.PoolPlain)
 	if refusal != nil {
-		return f.before(c, refusal)
+		return f.refuseUnsent(c, refusal)
 	}
 	name := c.Param("name")
 	if name == "" {
@@ -80,19 +80,19 @@
 	w := magno.Work{Path: name, Body: string(data), Type: c.Request().Header.Get(echo.HeaderContentType)}
 	r, refusal := f.request(c, p, "", w)
 	if refusal != nil {
-		return f.before(c, refusal)
+		return f.refuseUnsent(c, refusal)
 	}
 	f.Events.Add("request", r.Work.Job.ID, "profile="+p.Name)
-	return f.whole(c, r, form{})
+	return f.answerWhole(c, r, form{})
 }
 
-// ticket serves POST /v1/tickets/{profile}: a key that only one process may
-// run, for callers who can fetch it before they send the request. Whatever is
-// cut off or replaced, no other process runs it.
+// ticket serves POST /v1/tickets/{profile}: a key that only one process may run, for callers
+// that can fetch it before they send the request. No other process runs it, whatever is
+// partitioned or replaced.
 func (f *Front) ticket(c echo.Context) error {
 	p, refusal := f.profile(c, c.Param("profile"))
 	if refusal != nil {
-		return f.before(c, refusal)
+		return f.refuseUnsent(c, refusal)
 	}
 	ref := magno.Ref{Adapter: p.Adapter, Version: p.Version}
 	t, refusal := f.Sender.Ticket(c.Request().Context(), p.Pool, ref)
@@ -102,8 +102,8 @@
 	return c.JSON(http.StatusOK, map[string]string{"ticket": t.String()})
 }
 
-// on looks a profile up and checks that its pool is of the kind.
-func (f *Front) on(c echo.Context, name string, kind magno.PoolKind) (magno.Profile, *magno.Refusal) {
+// profileOfKind looks up a profile and checks that its pool is of the kind.
+func (f *Front) profileOfKind(c echo.Context, name string, kind magno.PoolKind) (magno.Profile, *magno.Refusal) {
 	p, refusal := f.profile(c, name)
 	if refusal != nil {
 		return p, refusal
@@ -121,13 +121,13 @@
 		ID     string `json:"id"`
 		Object string `json:"object"`
 	}
-	owner, keyed := f.Catalogue.Owner(c.Request().Header.Get(echo.HeaderAuthorization))
-	if keyed && owner == nil {
+	owner, required := f.Catalogue.Owner(c.Request().Header.Get(echo.HeaderAuthorization))
+	if required && owner == nil {
 		c.Response().Header().Set(echo.HeaderWWWAuthenticate, keys.Scheme)
 		return f.refuse(c, magno.Refuse(magno.KindCredential, "the key belongs to no customer"))
 	}
 	customer := ""
-	if keyed {
+	if required {
 		customer = owner.Name
 	}
 	names := f.Catalogue.ProfileNames(customer)
