--- a/entry/site/front.go
+++ b/entry/site/front.go
@@ -19,45 +19,45 @@
 )
 
 const (
-	// headerLimit is the most bytes of a header; the configuration's own limit
-	// is about this.
-	headerLimit = 16 << 10
-	// headerTime bounds the reading of a header.
-	headerTime = 5 * time.Second
-	// callerTime is how long a caller may leave what was sent to it unread before its
-	// connection is cut.
-	callerTime = 5 * magno.Second
-	// idleTime is how long an idle connection of a caller is kept: longer than
-	// any configuration lets callers stay idle, so that a request never crosses
-	// a close of ours.
-	idleTime = 2 * time.Minute
-	// streamsFor is how long after the request to stop new streams are taken. The
-	// balancer needs two to three seconds to send new connections elsewhere; a
-	// stream that began later might be cut off at the end of the grace.
-	streamsFor = 2800 * magno.Millis(1)
-	// plainLeft is what must be left of the grace for requests to plain services
-	// to be taken: their longest timeout, and stopSlack.
-	plainLeft = 2 * magno.Second
-	// stayFor is the least time from the request to stop to the end, for the
-	// same reason: connections that come meanwhile find somebody.
-	stayFor = 3500 * magno.Millis(1)
-	// stopSlack is what is left of the grace when the process ends by itself.
-	// answerTime is how much of it requests get that were read and not answered;
-	// they are refused, which takes milliseconds but on a starved machine.
-	stopSlack  = 700 * magno.Millis(1)
-	answerTime = 300 * magno.Millis(1)
+	// maxHeaderBytes bounds a request's header; the platform's configuration has a similar
+	// limit.
+	maxHeaderBytes = 16 << 10
+	// readHeaderTimeout bounds the reading of a header.
+	readHeaderTimeout = 5 * time.Second
+	// writeStallTimeout is how long a caller may leave sent data unread before its
+	// connection is closed.
+	writeStallTimeout = 5 * magno.Second
+	// idleTimeout is how long an idle connection of a caller is kept: longer than any
+	// configuration lets callers stay idle, so that no request arrives while the server
+	// closes the connection.
+	idleTimeout = 2 * time.Minute
+	// acceptStreamsFor is how long new streams are accepted after the request to stop. The
+	// load balancer needs two to three seconds to redirect new connections; a stream that
+	// began later might be cut off at the end of the grace period.
+	acceptStreamsFor = 2800 * magno.Millis(1)
+	// plainReserve is how much of the grace period must be left to accept requests to plain
+	// services: their longest timeout, plus exitReserve.
+	plainReserve = 2 * magno.Second
+	// minStopTime is the minimum time from the request to stop to the exit: until the load
+	// balancer has reacted, connections still arrive and must be served.
+	minStopTime = 3500 * magno.Millis(1)
+	// exitReserve is how much of the grace period is left when the process exits on its
+	// own. finalAnswerTimeout is the part of it for requests that have been read but not
+	// answered; they are refused, which takes milliseconds unless the machine is overloaded.
+	exitReserve        = 700 * magno.Millis(1)
+	finalAnswerTimeout = 300 * magno.Millis(1)
 )
 
-// front serves callers and the balancer's question.
+// front serves callers and the load balancer's readiness check.
 type front struct {
-	set   *magno.SiteSettings
-	path  string
-	relay *relay.Handler
-	book  *view.Store
-	clock *magno.Clock
-	log   *slog.Logger
-
-	left atomic.Int64
+	settings *magno.SiteSettings
+	path     string
+	relay    *relay.Handler
+	book     *view.Store
+	clock    *magno.Clock
+	log      *slog.Logger
+
+	leftAt atomic.Int64
 }
 
 // Name implements magno.Duty.
@@ -65,17 +65,16 @@
 
 // Run serves callers until ctx ends.
 func (f *front) Run(ctx context.Context) error {
-	return serve(ctx, f.set.Callers, &http.Server{
-		Handler: listen.Timed(f.relay, callerTime), MaxHeaderBytes: headerLimit, ReadHeaderTimeout: headerTime, IdleTimeout: idleTime,
+	return serve(ctx, f.settings.Callers, &http.Server{
+		Handler: listen.Timed(f.relay, writeStallTimeout), MaxHeaderBytes: maxHeaderBytes, ReadHeaderTimeout: readHeaderTimeout, IdleTimeout: idleTimeout,
 		ErrorLog: slog.NewLogLogger(f.log.Handler(), slog.LevelDebug),
-	}, answerTime)
+	}, finalAnswerTimeout)
 }
 
-// serve runs a server until ctx ends. Then it takes no more connections, and gives
-// requests that it has read so long for their answers before it closes the rest.
-// Closed at once, a weak machine cut off requests that it had read shortly before its
-// end, and their callers couldn't know that they had not run.
-func serve(ctx context.Context, address string, s *http.Server, answers magno.Millis) error {
+// serve runs a server until ctx ends. It then accepts no more connections, and closes the
+// open ones after drainTimeout. Closing at once cut off requests that a slow machine had
+// read shortly before, and their callers couldn't know that they had not run.
+func serve(ctx context.Context, address string, s *http.Server, drainTimeout magno.Millis) error {
 	var lc net.ListenConfig
 	l, err := lc.Listen(ctx, "tcp", address)
 	if err != nil {
@@ -88,11 +87,11 @@
 		return errors.Wrap(err, "serve")
 	case <-ctx.Done():
 	}
-	wait, cancel := context.WithTimeout(context.WithoutCancel(ctx), answers.Span())
+	wait, cancel := context.WithTimeout(context.WithoutCancel(ctx), drainTimeout.Span())
 	defer cancel()
-	if s.Shutdown(wait) != nil { // what goes on for longer is cut off
+	if s.Shutdown(wait) != nil { // close connections that are still active
 		if err := s.Close(); err != nil {
-			return errors.Wrap(err, "close")
+			return errors.Wrap(err, "close connections")
 		}
 	}
 	if err := <-ended; !errors.Is(err, http.ErrServerClosed) {
@@ -101,23 +100,23 @@
 	return nil
 }
 
-// ready tells whether new connections should come here.
+// ready reports whether new connections are accepted.
 func (f *front) ready() bool {
 	snap := f.book.Current()
-	sure := snap.Plan == nil || len(snap.Plan.Customers) == 0 || f.relay.KeysFresh()
-	return !f.relay.Draining() && f.relay.LoadLevel() == strain.Normal && snap.Plan != nil && len(snap.Replicas) > 0 && sure
+	keysFresh := snap.Plan == nil || len(snap.Plan.Customers) == 0 || f.relay.KeysFresh()
+	return !f.relay.Draining() && f.relay.LoadLevel() == strain.Normal && snap.Plan != nil && len(snap.Replicas) > 0 && keysFresh
 }
 
-// watch tells the relay when the processor falls behind.
-type watch struct {
+// lagMonitor informs the relay when the processor is overloaded.
+type lagMonitor struct {
 	*front
 }
 
 // Name implements magno.Duty.
-func (w *watch) Name() string { return "strain" }
+func (w *lagMonitor) Name() string { return "strain" }
 
-// Run observes the lag of a timer until ctx ends.
-func (w *watch) Run(ctx context.Context) error {
+// Run measures the lag of a timer until ctx ends.
+func (w *lagMonitor) Run(ctx context.Context) error {
 	var s strain.Detector
 	lags := metrics.GetOrCreateHistogram("timer_lag_seconds")
 	for before := w.clock.Now(); magno.Pause(ctx, strain.Interval); before = w.clock.Now() {
@@ -134,43 +133,44 @@
 
 // leave begins a planned stop.
 func (f *front) leave() {
-	f.left.Store(int64(f.clock.Now()))
-	f.relay.Drain(streamsFor, max(f.set.Grace-plainLeft, streamsFor))
+	f.leftAt.Store(int64(f.clock.Now()))
+	f.relay.Drain(acceptStreamsFor, max(f.settings.Grace-plainReserve, acceptStreamsFor))
 }
 
-// busy counts what a planned stop waits for: requests, and the time that the
-// balancer needs.
+// busy returns what a planned stop waits for: the requests in progress, plus one until the
+// load balancer has had time to notice. It is zero once only exitReserve is left of the
+// grace period.
 func (f *front) busy() int64 {
 	n := f.relay.Active()
-	left := magno.Millis(f.left.Load())
+	left := magno.Millis(f.leftAt.Load())
 	if left == 0 {
 		return n
 	}
 	since := f.clock.Now() - left
 	switch {
-	case since > f.set.Grace-stopSlack:
+	case since > f.settings.Grace-exitReserve:
 		return 0
-	case since < stayFor:
+	case since < minStopTime:
 		return n + 1
 	}
 	return n
 }
 
-// ready answers the balancer.
-type ready struct {
+// readiness serves the load balancer's readiness check.
+type readiness struct {
 	*front
 }
 
 // Name implements magno.Duty.
-func (r *ready) Name() string { return "ready" }
+func (r *readiness) Name() string { return "ready" }
 
-// Run answers until ctx ends.
-func (r *ready) Run(ctx context.Context) error {
+// Run serves until ctx ends.
+func (r *readiness) Run(ctx context.Context) error {
 	mux := http.NewServeMux()
 	mux.HandleFunc(r.path, func(w http.ResponseWriter, _ *http.Request) {
 		if !r.ready() {
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}
 	})
-	return serve(ctx, r.set.Ready, &http.Server{Handler: mux, ReadHeaderTimeout: headerTime}, answerTime)
+	return serve(ctx, r.settings.Ready, &http.Server{Handler: mux, ReadHeaderTimeout: readHeaderTimeout}, finalAnswerTimeout)
 }
--- a/entry/site/front_test.go
+++ b/entry/site/front_test.go
@@ -12,10 +12,10 @@
 	"magnoliastall.example/magno"
 )
 
-// A front machine is stopped, and its grace is nearly over. A request that it has
-// read meanwhile is being refused, slowly, for the machine is weak. Its caller must
-// get that answer: with the connection closed instead it doesn't know whether the
-// request ran, and may not come back.
+// An entry is stopped, and its grace period is nearly over. A request that it has read is
+// being refused, slowly, as the machine is overloaded. The caller must get that answer: if
+// the connection is closed instead, the caller doesn't know whether the request ran, and
+// may not retry.
 func TestRequestThatWasReadIsAnsweredAtTheEnd(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -33,13 +33,13 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() {
-		ended <- serve(ctx, addr, &http.Server{Handler: handler, ReadHeaderTimeout: headerTime}, magno.Minute)
+		ended <- serve(ctx, addr, &http.Server{Handler: handler, ReadHeaderTimeout: readHeaderTimeout}, magno.Minute)
 	}()
 	answered := make(chan string, 1)
-	go func() { answered <- ask("http://" + addr) }()
+	go func() { answered <- getStatus("http://" + addr) }()
 	<-reading
 	cancel()
-	for open(addr) {
+	for accepting(addr) {
 		time.Sleep(time.Millisecond)
 	}
 	close(finish)
@@ -51,8 +51,8 @@
 	}
 }
 
-// A stream goes on when the process must end. It is cut off; waiting for it, the
-// process would be ended by force in the middle of everything else.
+// A stream is still active when the process must exit. It must be cut off: if the process
+// waited for it, it would be killed in the middle of other work.
 func TestEndDoesNotWaitForStreams(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -68,9 +68,9 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() {
-		ended <- serve(ctx, addr, &http.Server{Handler: handler, ReadHeaderTimeout: headerTime}, 1)
+		ended <- serve(ctx, addr, &http.Server{Handler: handler, ReadHeaderTimeout: readHeaderTimeout}, 1)
 	}()
-	go ask("http://" + addr)
+	go getStatus("http://" + addr)
 	<-reading
 	cancel()
 	select {
@@ -79,12 +79,12 @@
 			t.Error(err)
 		}
 	case <-time.After(time.Minute):
-		t.Error("the process waits for a stream without end")
+		t.Error("timed out waiting for the server to stop while a stream is active")
 	}
 }
 
-// open tells whether a server takes connections.
-func open(addr string) bool {
+// accepting reports whether a server accepts connections.
+func accepting(addr string) bool {
 	conn, err := net.Dial("tcp", addr)
 	if err == nil {
 		_ = conn.Close()
@@ -92,9 +92,9 @@
 	return err == nil
 }
 
-// ask returns the status of an answer, or why there is none; it tries until the
-// server listens.
-func ask(url string) string {
+// getStatus returns the status of a response, or the error; it retries until the server
+// listens.
+func getStatus(url string) string {
 	for end := time.Now().Add(time.Minute); ; time.Sleep(time.Millisecond) {
 		res, err := http.Get(url)
 		var op *net.OpError
--- a/entry/site/pools.go
+++ b/entry/site/pools.go
@@ -12,49 +12,49 @@
 	"magnoliastall.example/magno/view"
 )
 
-// pools keeps a router and an allowance for each service.
+// pools keeps a router and a retry budget for each service.
 type pools struct {
-	clock *magno.Clock
-	book  *view.Store
-	peers *peers.Peers
-	set   *magno.SiteSettings
-	// since is when this process started.
-	since magno.Millis
+	clock    *magno.Clock
+	book     *view.Store
+	peers    *peers.Peers
+	settings *magno.SiteSettings
+	// startedAt is the start time of this process.
+	startedAt magno.Millis
 
 	mu    sync.Mutex
 	pools map[string]*pool
 }
 
 type pool struct {
-	router *route.Router
-	allow  *allow.Budget
+	router  *route.Router
+	retries *allow.Budget
 }
 
-// get returns a service's pool, made on first use. The caller holds mu.
+// get returns a service's pool, creating it on first use. The caller holds mu.
 func (p *pools) get(service string) *pool {
 	if found := p.pools[service]; found != nil {
 		return found
 	}
-	made := &pool{
+	created := &pool{
 		router: &route.Router{
-			Clock: p.clock, Seed: xxhash.Sum64String(p.set.Name), DataCentre: p.set.DataCentre,
+			Clock: p.clock, Seed: xxhash.Sum64String(p.settings.Name), DataCentre: p.settings.DataCentre,
 		},
-		allow: &allow.Budget{Clock: p.clock, Ratio: p.set.RetryRatio, Slack: p.set.RetrySlack, WindowLength: p.set.RetryWindow, StartedAt: p.since},
+		retries: &allow.Budget{Clock: p.clock, Ratio: p.settings.RetryRatio, Slack: p.settings.RetrySlack, WindowLength: p.settings.RetryWindow, StartedAt: p.startedAt},
 	}
 	if s := p.book.Current().Plan.Service(service); s != nil && s.Engine != nil {
-		made.router.Tuning = route.PermitTuning()
+		created.router.Tuning = route.PermitTuning()
 	} else {
-		made.router.Tuning = route.PlainTuning()
+		created.router.Tuning = route.PlainTuning()
 	}
 	if p.pools == nil {
 		p.pools = map[string]*pool{}
 	}
-	p.pools[service] = made
-	made.router.Update(p.targets(service))
-	return made
+	p.pools[service] = created
+	created.router.Update(p.targets(service))
+	return created
 }
 
-// targets lists the replicas of a service.
+// targets returns the replicas of a service.
 func (p *pools) targets(service string) []magno.Target {
 	var list []magno.Target
 	for _, r := range p.book.Current().Replicas {
@@ -65,22 +65,22 @@
 	return list
 }
 
-// update brings all routers up to the list.
+// update passes the current replicas to all routers.
 func (p *pools) update() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for service, one := range p.pools {
-		one.router.Update(p.targets(service))
+	for service, pool := range p.pools {
+		pool.router.Update(p.targets(service))
 	}
 }
 
-// report brings an engine's backlog to its router.
+// report passes an engine's backlog to its router.
 func (p *pools) report(service, key string, b magno.Backlog) {
 	p.mu.Lock()
-	one := p.pools[service]
+	pool := p.pools[service]
 	p.mu.Unlock()
-	if one != nil {
-		one.router.Report(key, b)
+	if pool != nil {
+		pool.router.Report(key, b)
 	}
 }
 
@@ -94,15 +94,15 @@
 // CountRequest implements relay.Pools.
 func (p *pools) CountRequest(service string) {
 	p.mu.Lock()
-	one := p.get(service)
+	pool := p.get(service)
 	p.mu.Unlock()
-	one.allow.RecordRequest()
+	pool.retries.RecordRequest()
 }
 
 // AllowRetry implements relay.Pools.
 func (p *pools) AllowRetry(service string) bool {
 	p.mu.Lock()
-	one := p.get(service)
+	pool := p.get(service)
 	p.mu.Unlock()
-	return one.allow.TakeRetry(p.peers.Processes())
+	return pool.retries.TakeRetry(p.peers.Processes())
 }
--- a/entry/site/site.go
+++ b/entry/site/site.go
@@ -1,10 +1,10 @@
-// Package site assembles an entry on a platform that a plug-in speaks for.
+// Package site assembles an entry on a platform whose API a plug-in implements.
 //
 //	platform's list --> reads --> Book <--> peers (other entries)
 //	                               |
 //	             pools (routers) <-+-> desk <--> agents
 //	                    |                |
-//	callers --> relay --+----------------+--> hops --> upstreams
+//	callers --> relay --+----------------+--> connections --> upstreams
 package site
 
 import (
@@ -30,107 +30,108 @@
 	"magnoliastall.example/magno/view"
 	"magnoliastall.example/magno/wire"
 
-	// The site that deployments name.
+	// Registers the site plug-in that deployments name.
 	_ "magnoliastall.example/platform"
 )
 
 // Main runs an entry on the named site and returns its exit code.
 func Main(name string) int { return start.Site("entry", name, run) }
 
-func run(site magno.Site, set *magno.SiteSettings, out *lines.Writer) int {
-	log := start.Log(out, set.Name)
-	e := assemble(site, set, log)
+func run(site magno.Site, settings *magno.SiteSettings, out *lines.Writer) int {
+	log := start.Log(out, settings.Name)
+	e := assemble(site, settings, log)
 	if err := e.mesh.Open(); err != nil {
 		log.Error("start", "error", err)
 		return start.ExitFailed
 	}
-	log.Info("start", "dc", set.DataCentre, "callers", set.Callers, "ready", set.Ready, "peers", set.Peers,
-		"seeds", len(set.Seeds), "list", set.List)
+	log.Info("start", "dc", settings.DataCentre, "callers", settings.Callers, "ready", settings.Ready, "peers", settings.Peers,
+		"seeds", len(settings.Seeds), "list", settings.List)
 	d := start.Daemon{
-		Duties: append(e.duties(), out), Log: log, Leave: e.front.leave, Busy: e.front.busy, Drain: set.Grace,
-		Reload: start.Reload(site, set, log),
+		Duties: append(e.duties(), out), Log: log, Leave: e.front.leave, Busy: e.front.busy, Drain: settings.Grace,
+		Reload: start.Reload(site, settings, log),
 	}
 	return d.Run()
 }
 
-// entry is the process, put together.
+// entry holds the components of the process.
 type entry struct {
-	set   *magno.SiteSettings
-	mesh  *wire.Mesh
-	book  *view.Store
-	hops  *hop.Pool
-	peers *peers.Peers
-	pools *pools
-	reads *reads.Reader
-	desk  *desk.Client
-	lease *lease.Manager
-	front *front
-	log   *slog.Logger
+	settings *magno.SiteSettings
+	mesh     *wire.Mesh
+	book     *view.Store
+	conns    *hop.Pool
+	peers    *peers.Peers
+	pools    *pools
+	reader   *reads.Reader
+	desk     *desk.Client
+	lease    *lease.Manager
+	front    *front
+	log      *slog.Logger
 }
 
-func assemble(site magno.Site, set *magno.SiteSettings, log *slog.Logger) *entry {
+func assemble(site magno.Site, settings *magno.SiteSettings, log *slog.Logger) *entry {
 	clock := magno.NewSteady()
-	e := &entry{set: set, log: log}
-	e.mesh = &wire.Mesh{Listen: set.Peers, Allow: []string{start.Anyone}, Clock: clock, Log: log}
-	e.book = &view.Store{Clock: magno.NewBoot(), OnChange: noted(log), Log: log}
-	e.hops = &hop.Pool{Clock: clock}
+	e := &entry{settings: settings, log: log}
+	e.mesh = &wire.Mesh{Listen: settings.Peers, Allow: []string{start.Anyone}, Clock: clock, Log: log}
+	e.book = &view.Store{Clock: magno.NewBoot(), OnChange: changeLogger(log), Log: log}
+	e.conns = &hop.Pool{Clock: clock}
 	suspects := &crash.Suspects{Clock: &magno.Clock{}}
 	e.peers = &peers.Peers{
-		Self: set.Name, Addr: set.Peers, LinkMbps: set.Link, DataCentre: set.DataCentre, Seeds: set.Seeds, Mesh: e.mesh, Book: e.book, Suspects: suspects, Clock: clock, Log: log,
+		Self: settings.Name, Addr: settings.Peers, LinkMbps: settings.Link, DataCentre: settings.DataCentre, Seeds: settings.Seeds, Mesh: e.mesh, Book: e.book, Suspects: suspects, Clock: clock, Log: log,
 	}
 	e.peers.Open()
-	e.pools = &pools{clock: clock, book: e.book, peers: e.peers, set: set, since: clock.Now()}
-	e.reads = &reads.Reader{
-		List: site.Lister(set.List), Book: e.book, ShouldRead: e.peers.ShouldRead, Broadcast: e.peers.Broadcast, ReportReachable: e.peers.SetListReachable, FreshFirst: set.Revoke > 0, Log: log,
+	e.pools = &pools{clock: clock, book: e.book, peers: e.peers, settings: settings, startedAt: clock.Now()}
+	e.reader = &reads.Reader{
+		List: site.Lister(settings.List), Book: e.book, ShouldRead: e.peers.ShouldRead, Broadcast: e.peers.Broadcast, ReportReachable: e.peers.SetListReachable, FreshFirst: settings.Revoke > 0, Log: log,
 	}
 	e.desk = &desk.Client{
-		Self: set.Name, Mesh: e.mesh, Book: e.book, Clock: clock, Log: log, AgentPort: set.Inner, OnBacklog: e.pools.report,
-		Addr: set.Peers, Entries: e.peers.DataCentreEntries,
+		Self: settings.Name, Mesh: e.mesh, Book: e.book, Clock: clock, Log: log, AgentPort: settings.Inner, OnBacklog: e.pools.report,
+		Addr: settings.Peers, Entries: e.peers.DataCentreEntries,
 	}
 	e.desk.Open()
 	e.lease = &lease.Manager{
-		Self: set.Peers, Mesh: e.mesh, Homes: e.peers.Homes, Count: e.peers.Count, Window: set.QuotaWindow, Clock: clock, Log: log,
-		Limit: func(customer string) *magno.Limit { return limit(e.book.Current().Plan, customer) },
+		Self: settings.Peers, Mesh: e.mesh, Homes: e.peers.Homes, Count: e.peers.Count, Window: settings.QuotaWindow, Clock: clock, Log: log,
+		Limit: func(customer string) *magno.Limit { return customerLimit(e.book.Current().Plan, customer) },
 	}
 	e.lease.Open()
 	handler := &relay.Handler{
-		Name: set.Name, Clock: clock, Book: e.book, Dialect: site.Dialect(), Conns: e.hops, Permits: e.desk, Pools: e.pools,
-		Suspects: suspects, Log: log, Started: clock.Now(), MaxRevokeDelay: set.Revoke, Quotas: e.lease,
-		BodyMemory: room(set.Memory), ResponseMemory: room(set.Memory),
+		Name: settings.Name, Clock: clock, Book: e.book, Dialect: site.Dialect(), Conns: e.conns, Permits: e.desk, Pools: e.pools,
+		Suspects: suspects, Log: log, Started: clock.Now(), MaxRevokeDelay: settings.Revoke, Quotas: e.lease,
+		BodyMemory: memoryBudget(settings.Memory), ResponseMemory: memoryBudget(settings.Memory),
 	}
 	e.peers.Leaving = handler.Draining
-	e.front = &front{set: set, path: site.ReadyPath(), relay: handler, book: e.book, clock: clock, log: log}
+	e.front = &front{settings: settings, path: site.ReadyPath(), relay: handler, book: e.book, clock: clock, log: log}
 	return e
 }
 
 const (
-	// roomShare is the part of the memory limit that bodies may take, and answers as
-	// much: an eighth.
-	roomShare = 8
-	// leastRoom is the least, in bytes: the longest answer fits.
-	leastRoom = 16 << 20
+	// memoryShare is the divisor of the memory limit that gives the budget for bodies, and
+	// as much for answers: an eighth each.
+	memoryShare = 8
+	// minMemoryBudget is the minimum budget in bytes: the longest answer fits.
+	minMemoryBudget = 16 << 20
 )
 
-// room bounds the bytes that requests hold at once, nil where memory isn't limited.
-func room(memory int64) *semaphore.Weighted {
+// memoryBudget bounds the bytes that requests hold at the same time; nil if memory isn't
+// limited.
+func memoryBudget(memory int64) *semaphore.Weighted {
 	if memory <= 0 {
 		return nil
 	}
-	return semaphore.NewWeighted(max(memory/roomShare, leastRoom))
+	return semaphore.NewWeighted(max(memory/memoryShare, minMemoryBudget))
 }
 
 func (e *entry) duties() []magno.Duty {
 	return []magno.Duty{
-		e.mesh, e.reads, e.peers, e.desk, e.lease, &follow{e}, e.front, &ready{e.front}, &watch{e.front},
+		e.mesh, e.reader, e.peers, e.desk, e.lease, &follower{e}, e.front, &readiness{e.front}, &lagMonitor{e.front},
 		&admin.Server{
-			Listen: net.JoinHostPort(e.set.IP, strconv.Itoa(start.MetricsPort)), Allow: []string{start.Anyone},
-			Ready: e.front.ready, Status: func() any { return e.book.Current() }, Events: &event.Ring{Process: e.set.Name, Size: 1},
+			Listen: net.JoinHostPort(e.settings.IP, strconv.Itoa(start.MetricsPort)), Allow: []string{start.Anyone},
+			Ready: e.front.ready, Status: func() any { return e.book.Current() }, Events: &event.Ring{Process: e.settings.Name, Size: 1},
 		},
 	}
 }
 
-// limit is a customer's, nil where it has none.
-func limit(plan *magno.Plan, customer string) *magno.Limit {
+// customerLimit returns a customer's limit, nil if it has none.
+func customerLimit(plan *magno.Plan, customer string) *magno.Limit {
 	if plan == nil {
 		return nil
 	}
@@ -142,12 +143,12 @@
 	return nil
 }
 
-// noted logs each change of the list once.
-func noted(log *slog.Logger) func(magno.Change) {
+// changeLogger returns a function that logs each change of the list once.
+func changeLogger(log *slog.Logger) func(magno.Change) {
 	limits := map[string]magno.Limit{}
 	return func(c magno.Change) {
 		if c.Plan != nil {
-			changed(log, c.Plan, limits)
+			logLimitChanges(log, c.Plan, limits)
 		}
 		switch {
 		case c.Fault != "":
@@ -164,8 +165,9 @@
 	}
 }
 
-// changed logs each customer whose limit isn't what it was, and notes it in limits.
-func changed(log *slog.Logger, plan *magno.Plan, limits map[string]magno.Limit) {
+// logLimitChanges logs each customer whose limit differs from that in limits, which it
+// updates.
+func logLimitChanges(log *slog.Logger, plan *magno.Plan, limits map[string]magno.Limit) {
 	for i := range plan.Customers {
 		c := &plan.Customers[i]
 		var now magno.Limit
@@ -180,16 +182,16 @@
 	}
 }
 
-// follow brings changes of the list to the parts that keep a copy.
-type follow struct {
+// follower passes changes of the list to the components that keep a copy.
+type follower struct {
 	*entry
 }
 
 // Name implements magno.Duty.
-func (f *follow) Name() string { return "follow" }
+func (f *follower) Name() string { return "follow" }
 
 // Run follows the list until ctx ends.
-func (f *follow) Run(ctx context.Context) error {
+func (f *follower) Run(ctx context.Context) error {
 	for {
 		changed := f.book.Changed()
 		f.pools.update()
@@ -197,7 +199,7 @@
 		for _, r := range f.book.Current().Replicas {
 			keys[r.Key()] = true
 		}
-		f.hops.Prune(func(key string) bool { return keys[key] })
+		f.conns.Prune(func(key string) bool { return keys[key] })
 		select {
 		case <-ctx.Done():
 			return nil
