--- a/entry/daemon/daemon.go
+++ b/entry/daemon/daemon.go
@@ -1,4 +1,4 @@
-// Package daemon assembles an entry.
+// Package daemon assembles an entry with the system's own configuration service.
 //
 //	platform --> reader, fleet --> Store, routers
 //	                                    v
@@ -20,11 +20,11 @@
 	"magnoliastall.example/magno/proc"
 	"magnoliastall.example/magno/start"
 
-	// Plug-ins that settings name.
+	// Registers the router plug-ins that settings name.
 	_ "magnoliastall.example/magno/route"
 )
 
-// entry is the process, put together.
+// entry holds the components of the process.
 type entry struct {
 	*proc.Process
 	opts    *option.Option
@@ -61,7 +61,7 @@
 		return nil, err
 	}
 	e.routers = &routers{plugin: opts.Router, clock: e.Clock, fleet: e.Fleet, store: e.Store}
-	if err := e.routers.try(); err != nil {
+	if err := e.routers.check(); err != nil {
 		return nil, err
 	}
 	e.Fleet.OnChange, e.Follow = e.routers.update, e.follow
@@ -69,9 +69,9 @@
 		Clock: e.Clock, Mesh: e.Mesh, Fleet: e.Fleet, Router: e.routers.pool, Budget: e.routers.budget, Suspects: e.Suspects,
 		Events: e.Events, Attempts: opts.Attempts, DataCentre: opts.DataCentre,
 	}
-	h := &homes{self: e.Self, fleet: e.Fleet, store: e.Store}
+	homes := &quotaHomes{self: e.Self, fleet: e.Fleet, store: e.Store}
 	e.lease = &lease.Manager{
-		Self: opts.Peer, Mesh: e.Mesh, Homes: h.of, Count: h.count, Limit: h.limit, Clock: e.Clock, Log: log,
+		Self: opts.Peer, Mesh: e.Mesh, Homes: homes.forCustomer, Count: homes.count, Limit: homes.limit, Clock: e.Clock, Log: log,
 	}
 	e.lease.Open()
 	e.front = &front.Front{
@@ -97,7 +97,7 @@
 	e.Node.Leave()
 }
 
-// follow brings a new version to the routers.
+// follow passes a new version of the configuration to the routers.
 func (e *entry) follow(snap *config.Snapshot) {
 	e.Events.Add("config", "", fmt.Sprintf("version=%d", snap.Version))
 	e.routers.update()
--- a/entry/daemon/homes.go
+++ b/entry/daemon/homes.go
@@ -7,16 +7,16 @@
 	"magnoliastall.example/magno/grant"
 )
 
-// homes names the entries that count customers' allowances.
-type homes struct {
+// quotaHomes selects the entries that keep customers' quotas.
+type quotaHomes struct {
 	self  magno.Instance
 	fleet *fleet.Fleet
 	store *config.Store
 }
 
-// entries lists the addresses of the entries that are listed and don't leave, this one
-// among them.
-func (h *homes) entries() []string {
+// entries returns the addresses of the entries that are listed and not leaving, this one
+// included.
+func (h *quotaHomes) entries() []string {
 	addrs := []string{h.self.Address}
 	for _, in := range h.fleet.All() {
 		if in.Role == magno.RoleEntry && in.State == magno.InstanceLive && in.Address != h.self.Address {
@@ -26,19 +26,21 @@
 	return addrs
 }
 
-// of lists a customer's homes, the first one first: the same wherever the list is.
-func (h *homes) of(customer string) []string {
+// forCustomer returns the addresses of a customer's homes in order of preference: the same
+// on every entry that has the same list.
+func (h *quotaHomes) forCustomer(customer string) []string {
 	return grant.SortHomes(customer, h.entries())
 }
 
-// count tells how many entries there are. The list doesn't say which of them are cut off.
-func (h *homes) count() (alive, known int) {
+// count returns the number of entries as both alive and known, as the list doesn't say which
+// of them are unreachable.
+func (h *quotaHomes) count() (alive, known int) {
 	n := len(h.entries())
 	return n, n
 }
 
-// limit is a customer's, nil where it has none.
-func (h *homes) limit(customer string) *magno.Limit {
+// limit returns a customer's limit, nil if it has none.
+func (h *quotaHomes) limit(customer string) *magno.Limit {
 	now := h.store.Current()
 	if now == nil {
 		return nil
--- a/entry/daemon/routers.go
+++ b/entry/daemon/routers.go
@@ -11,7 +11,7 @@
 	"magnoliastall.example/magno/retry"
 )
 
-// routers keeps one router for each pool and tells it of the pool's agents.
+// routers keeps a router for each pool and passes the pool's agents to it.
 type routers struct {
 	plugin string
 	clock  *magno.Clock
@@ -24,27 +24,27 @@
 	budgets map[string]*retry.Budget
 }
 
-// try makes a router once, so that a wrong setting ends the process at start.
-func (r *routers) try() error {
-	made, err := magno.Plugin(magno.SortRouter, r.plugin)
+// check creates a router once, so that an invalid setting ends the process at start.
+func (r *routers) check() error {
+	plugin, err := magno.Plugin(magno.SortRouter, r.plugin)
 	if err != nil {
 		return err
 	}
-	if _, ok := made.(magno.Router); !ok {
-		return errors.Newf("plug-in %q is no router", r.plugin)
+	if _, ok := plugin.(magno.Router); !ok {
+		return errors.Newf("plug-in %q is not a router", r.plugin)
 	}
 	return nil
 }
 
-// pool returns the router of a pool, made on first use.
+// pool returns the router of a pool, creating it on first use.
 func (r *routers) pool(name string) magno.Router {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if router := r.pools[name]; router != nil {
 		return router
 	}
-	made, _ := magno.Plugin(magno.SortRouter, r.plugin)
-	router, _ := made.(magno.Router) // try has made one
+	plugin, _ := magno.Plugin(magno.SortRouter, r.plugin)
+	router, _ := plugin.(magno.Router) // checked at start
 	if r.pools == nil {
 		r.pools = map[string]magno.Router{}
 	}
@@ -53,7 +53,7 @@
 	return router
 }
 
-// update tells every router of its pool's agents.
+// update passes the current agents to all routers.
 func (r *routers) update() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -62,8 +62,7 @@
 	}
 }
 
-// targets lists the agents of a pool; leaving and drained ones get no new
-// work.
+// targets returns the agents of a pool; leaving and drained ones get no new work.
 func (r *routers) targets(pool string) []magno.Target {
 	agents := r.fleet.LiveAgents(pool)
 	targets := make([]magno.Target, 0, len(agents))
@@ -75,7 +74,7 @@
 	return targets
 }
 
-// budget returns the retry budget of a pool, made on first use.
+// budget returns the retry budget of a pool, creating it on first use.
 func (r *routers) budget(pool string) *retry.Budget {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/entry/daemon/status.go
+++ b/entry/daemon/status.go
@@ -10,7 +10,7 @@
 	"magnoliastall.example/magno/keys"
 )
 
-// Status is an entry's state, as its administration API gives it.
+// Status is the state of an entry, as served by its administration API.
 type Status struct {
 	Name       string           `json:"name"`
 	Role       magno.Role       `json:"role"`
@@ -19,7 +19,7 @@
 	Config     config.Status    `json:"config"`
 	Busy       int64            `json:"busy"`
 	Instances  []magno.Instance `json:"instances"`
-	// Seen is when the platform's list was last read.
+	// Seen is the time of the last read of the platform's list.
 	Seen magno.Millis `json:"seen"`
 }
 
@@ -30,12 +30,12 @@
 	}
 }
 
-// Explanation says where a request of a profile would go now.
+// Explanation describes where a request of a profile would be sent now.
 type Explanation struct {
 	Profile magno.Profile `json:"profile"`
 	Retired bool          `json:"retired"`
-	// Order is the router's preference; keyed requests go to the home of
-	// their key instead.
+	// Order is the router's preference; keyed requests go to the home of their key
+	// instead.
 	Order   []string         `json:"order"`
 	Agents  []magno.Instance `json:"agents"`
 	Drained []string         `json:"drained"`
@@ -59,15 +59,15 @@
 	return out, nil
 }
 
-// catalogue gives the front the version in force.
+// catalogue implements front.Catalogue with the configuration in force.
 type catalogue struct {
 	store *config.Store
-	// keyed is the table of the version in force, made when it is first asked.
-	keyed atomic.Pointer[keyed]
+	// keyTable is the table of the configuration in force, built on first use.
+	keyTable atomic.Pointer[keyTable]
 }
 
-// keyed are the keys of one version; keys is nil where callers need none.
-type keyed struct {
+// keyTable holds the keys of a configuration; keys is nil if callers need none.
+type keyTable struct {
 	version int64
 	keys    *keys.Table
 }
@@ -81,19 +81,19 @@
 }
 
 // Owner implements front.Catalogue.
-func (c *catalogue) Owner(authorization string) (owner *magno.Customer, need bool) {
+func (c *catalogue) Owner(authorization string) (owner *magno.Customer, required bool) {
 	now := c.store.Current()
 	if now == nil {
 		return nil, false
 	}
-	k := c.keyed.Load()
+	k := c.keyTable.Load()
 	if k == nil || k.version != now.Version {
-		k = &keyed{version: now.Version}
+		k = &keyTable{version: now.Version}
 		customers := now.Customers()
 		if slices.ContainsFunc(customers, func(c magno.Customer) bool { return len(c.Keys) > 0 }) {
 			k.keys = keys.New(customers)
 		}
-		c.keyed.Store(k)
+		c.keyTable.Store(k)
 	}
 	if k.keys == nil {
 		return nil, false
