--- a/entry/option/option.go
+++ b/entry/option/option.go
@@ -6,8 +6,8 @@
 	"magnoliastall.example/magno/setup"
 )
 
-// Option is what an entry is told at its start. Each field is a key of the
-// settings file and a flag.
+// Option holds the settings of an entry. Each field is a key of the settings file and a
+// flag.
 type Option struct {
 	Name       string   `json:"name" help:"name of the instance"`
 	DataCentre string   `json:"dc" help:"data centre of the instance"`
@@ -25,7 +25,7 @@
 	Grace      int64    `json:"grace" help:"milliseconds between not being ready and taking no new connection"`
 }
 
-// Default returns settings for one entry on this machine.
+// Default returns the settings for a single entry on this machine.
 func Default() *Option {
 	return &Option{
 		Name: "entry", DataCentre: "local",
--- a/entry/option/option_test.go
+++ b/entry/option/option_test.go
@@ -7,11 +7,11 @@
 	"magnoliastall.example/magno/setup"
 )
 
-// Operators look the settings up on the page. A key, default or range that
-// the code no longer has would end their process at its next start.
+// Guards against a settings page that lists a key, default or range that the code doesn't
+// have: an operator who uses it gets a process that doesn't start.
 func TestPage(t *testing.T) {
-	// The name is a link within the module: go test otherwise gives an old result
-	// again when the page alone has changed.
+	// The file is a symbolic link within the module: otherwise go test would return a
+	// cached result after a change of the page alone.
 	text, err := os.ReadFile("testdata/OPERATIONS.md")
 	if err != nil {
 		t.Fatal(err)
