--- a/entry/main.go
+++ b/entry/main.go
@@ -1,7 +1,7 @@
-// Command entry takes callers' requests and brings them to agents.
+// Command entry accepts callers' requests and forwards them to agents.
 //
-//	entry [flags]      with settings of the product's own
-//	entry site NAME    on a platform that the plug-in of that name speaks for
+//	entry [flags]      with the system's own settings
+//	entry site NAME    on a platform whose API the plug-in of that name implements
 package main
 
 import (
