--- a/drive/soak/fleet.go
+++ b/drive/soak/fleet.go
@@ -123,7 +123,7 @@
 		}
 	}
 	for i := range plains {
-		u := &upstream{service: fake.Plains, listed: at(3, 100+i, 20), listen: at(4, i+1, 20), handler: &switcher{}}
+		u := &upstream{service: fake.PlainService, listed: at(3, 100+i, 20), listen: at(4, i+1, 20), handler: &switcher{}}
 		f.plains = append(f.plains, u)
 		if err := f.serve(ctx, u); err != nil {
 			return err
@@ -136,7 +136,7 @@
 	for i := range entries {
 		m := &fake.Machine{
 			Name: fmt.Sprintf("entry-%d", i+1), Zone: "z", IP: fmt.Sprintf("127.0.1.%d", i+1), Callers: at(1, i+1, 1),
-			Ready: at(1, i+1, 2), Peers: at(1, i+1, 3), Inner: portBase + 10, Store: at(5, 2, 30), Seeds: seeds,
+			Ready: at(1, i+1, 2), Peers: at(1, i+1, 3), InternalPort: portBase + 10, Store: at(5, 2, 30), Seeds: seeds,
 		}
 		f.entries = append(f.entries, m.Callers)
 		if err := f.run(ctx, "entry", m); err != nil {
@@ -148,7 +148,7 @@
 
 // engine starts an engine with its proxies and its agent.
 func (f *fleet) engine(ctx context.Context, n int) error {
-	u := &upstream{service: fake.Engines, listed: at(3, n, 20), listen: at(2, n, 20), handler: &switcher{}}
+	u := &upstream{service: fake.EngineService, listed: at(3, n, 20), listen: at(2, n, 20), handler: &switcher{}}
 	f.engines = append(f.engines, u)
 	if err := f.serve(ctx, u); err != nil {
 		return err
@@ -158,7 +158,7 @@
 	}
 	return f.run(ctx, "agent", &fake.Machine{
 		Name: fmt.Sprintf("agent-%d", n), Zone: "z", IP: fmt.Sprintf("127.0.2.%d", n), Worker: u.listen,
-		Inner: portBase + 10, Store: at(5, 2, 30),
+		InternalPort: portBase + 10, Store: at(5, 2, 30),
 	})
 }
 
@@ -177,13 +177,13 @@
 	old := u.worker
 	u.serial++
 	u.worker = &fake.Worker{ID: fmt.Sprintf("%s-%d", u.listed, u.serial), Slots: slots, Events: events}
-	if u.service == fake.Engines {
-		u.worker.Model, u.worker.Empty = fake.Model, old != nil
+	if u.service == fake.EngineService {
+		u.worker.Model, u.worker.StartEmpty = fake.Model, old != nil
 	}
 	u.worker.Start()
 	u.handler.set(u.worker)
 	f.all = append(f.all, u.worker)
-	f.store.Put("servers/"+u.worker.ID, u.worker.Entry(u.service, u.listed, "z", "ready"))
+	f.store.Put("servers/"+u.worker.ID, u.worker.StoreEntry(u.service, u.listed, "z", "ready"))
 	if old != nil {
 		f.store.Delete("servers/" + old.ID)
 	}
@@ -193,9 +193,9 @@
 func (f *fleet) restart(u *upstream) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	u.worker.Empty = u.service == fake.Engines
+	u.worker.StartEmpty = u.service == fake.EngineService
 	u.worker.Start()
-	f.store.Put("servers/"+u.worker.ID, u.worker.Entry(u.service, u.listed, "z", "ready"))
+	f.store.Put("servers/"+u.worker.ID, u.worker.StoreEntry(u.service, u.listed, "z", "ready"))
 }
 
 // publish writes the next version of the configuration, with another further key.
@@ -224,7 +224,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	when, gone := f.withdrawn[key]
-	return gone && at.Sub(when) > fake.RevokeTime
+	return gone && at.Sub(when) > fake.RevokeDelay
 }
 
 // runs is how often a request began to run, over all incarnations.
@@ -338,7 +338,7 @@
 	caller := &fake.Caller{HTTP: &http.Client{Transport: &http.Transport{}}, Key: fake.Key}
 	for end := time.Now().Add(readyTime); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
 		id := fmt.Sprintf("ready-%d", rand.Uint64()) //nolint:gosec // no secret
-		if o := caller.Send(ctx, f.entries[0], fake.PathResume, id, "a1"); o.Status == http.StatusOK && o.Whole {
+		if o := caller.Send(ctx, f.entries[0], fake.PathResume, id, "a1"); o.Status == http.StatusOK && o.Complete {
 			return nil
 		}
 	}
--- a/drive/soak/soak.go
+++ b/drive/soak/soak.go
@@ -150,9 +150,9 @@
 	switch {
 	case o.Status == 0:
 		return "no answer"
-	case o.Promised:
+	case o.NotRun:
 		return "refused"
-	case o.Status == http.StatusOK && o.Whole:
+	case o.Status == http.StatusOK && o.Complete:
 		return "served"
 	case o.Status == http.StatusOK:
 		return "broken off"
@@ -220,7 +220,7 @@
 		f.restart(u)
 		return "upstream restarted", none
 	default:
-		u.worker.Break(1 + rnd.IntN(4))
+		u.worker.AbortNext(1 + rnd.IntN(4))
 		return "answers broken", none
 	}
 }
@@ -235,7 +235,7 @@
 	}
 	s.fleet.store.Down.Store(false)
 	for _, u := range append(s.fleet.engines, s.fleet.plains...) {
-		u.worker.Break(0)
+		u.worker.AbortNext(0)
 	}
 }
 
@@ -263,7 +263,7 @@
 	row, last := 0, fake.Outcome{}
 	for i, end := 0, time.Now().Add(within); row < afterwards && time.Now().Before(end); i++ {
 		o := s.once(ctx, caller, s.fleet.entries[i%entries], fmt.Sprintf("s%d-after %s-%d", s.Seed, what, i), rnd)
-		if o.Status == http.StatusOK && o.Whole {
+		if o.Status == http.StatusOK && o.Complete {
 			row++
 			continue
 		}
@@ -310,7 +310,7 @@
 // upstreams takes what the upstreams noted. The caller holds mu.
 func (s *Soak) upstreams() {
 	for _, w := range s.fleet.workers() {
-		for _, what := range w.Faults() {
+		for _, what := range w.Violations() {
 			s.fail("upstream %s: %s", w.ID, what)
 		}
 	}
@@ -339,9 +339,9 @@
 		s.fail("%s %s ran %d times", r.path, id, runs)
 	}
 	if runs > 0 && s.fleet.expired(r.key, r.at) {
-		s.fail("%s %s ran with a key that had been withdrawn for over %s", r.path, id, fake.RevokeTime)
+		s.fail("%s %s ran with a key that had been withdrawn for over %s", r.path, id, fake.RevokeDelay)
 	}
-	if o.Promised && runs > 0 && r.path != fake.PathRepeat {
+	if o.NotRun && runs > 0 && r.path != fake.PathRepeat {
 		s.fail("%s %s was told %d and ran %d times", r.path, id, o.Status, runs)
 	}
 	if o.Status != http.StatusOK {
@@ -354,7 +354,7 @@
 			want += fake.Event(id, n)
 		}
 	}
-	if o.Whole && o.Body != want {
+	if o.Complete && o.Body != want {
 		s.fail("%s %s looks whole and is %q", r.path, id, o.Body)
 	}
 	if !strings.HasPrefix(want, o.Body) {
