--- a/agent/daemon/daemon.go
+++ b/agent/daemon/daemon.go
@@ -39,12 +39,12 @@
 
 // Figures of an agent.
 const (
-	// grantLimit bounds a round of asking witnesses, in milliseconds: several
+	// witnessTimeout bounds a round of asking witnesses, in milliseconds: several
 	// round trips between data centres, and short enough that a caller on
 	// the line still gets its answer when one of them is cut off.
-	grantLimit magno.Millis = 250
-	// ledgerBytes is the most text of answers kept for replay.
-	ledgerBytes = 32 << 20
+	witnessTimeout magno.Millis = 250
+	// maxLedgerBytes is the most text of answers kept for replay.
+	maxLedgerBytes = 32 << 20
 )
 
 // agent is the process, put together.
@@ -58,8 +58,8 @@
 	witness *witns.Witness
 	turns   *turns.Turns
 	history history
-	// began is when the witness's memory was empty.
-	began magno.Millis
+	// witnessStart is when the witness's memory was empty.
+	witnessStart magno.Millis
 }
 
 // Main runs an agent and returns its exit code.
@@ -93,22 +93,22 @@
 	if err := a.Open(); err != nil {
 		return nil, err
 	}
-	a.Follow = a.follow
+	a.Follow = a.applyConfig
 	// Each start gets a higher fence than the one before, as clocks go.
 	fence := int64(a.Clock.Now())
-	if err := a.upstream(fence); err != nil {
+	if err := a.openUpstream(fence); err != nil {
 		return nil, err
 	}
-	a.keys()
+	a.openLedger()
 	a.server = &serve.Server{
 		Clock: a.Clock, Loop: a.loop, Ledger: a.ledger, Events: a.Events, Suspects: a.Suspects,
-		Version: a.Store.Version, Retired: a.retired, Ready: a.ready,
+		ConfigVersion: a.Store.Version, Retired: a.retired, Ready: a.ready,
 	}
 	a.server.Register(a.Mesh)
-	a.Fleet.OnChange = a.standing
+	a.Fleet.OnChange = a.applyListedState
 	a.turns = &turns.Turns{
 		Self: opts.Name, Pool: opts.Pool, Clock: a.Clock, Loop: a.loop, Mesh: a.Mesh, Fleet: a.Fleet, Log: log,
-		Terms: a.terms, Load: a.loadTime,
+		LoadLimits: a.loadLimits, LoadTime: a.loadTime,
 	}
 	a.turns.Register()
 	asker := &ask.Asker{Mesh: a.Mesh, Fleet: a.Fleet, Witness: a.witness}
@@ -117,20 +117,20 @@
 	return a, nil
 }
 
-// standing takes what the platform's list says of this instance. An entry that
+// applyListedState takes what the platform's list says of this instance. An entry that
 // is cut off from the list would go on sending work to an instance that is
 // about to be taken away; the agent itself refuses it.
-func (a *agent) standing() {
+func (a *agent) applyListedState() {
 	list, _ := a.Fleet.PlatformList()
 	for _, in := range list {
 		if in.Name == a.opts.Name {
-			a.server.Listed(in.State == magno.InstanceLeaving)
+			a.server.SetListedLeaving(in.State == magno.InstanceLeaving)
 		}
 	}
 }
 
-// upstream makes the loop and the probe of the upstream.
-func (a *agent) upstream(fence int64) error {
+// openUpstream makes the loop and the probe of the openUpstream.
+func (a *agent) openUpstream(fence int64) error {
 	made, err := magno.Plugin(magno.SortUpstream, a.opts.Kind)
 	if err != nil {
 		return err
@@ -157,42 +157,42 @@
 		sharer.SetSuspects(a.Suspects)
 	}
 	a.loop = loop.New()
-	a.loop.Clock, a.loop.Sched, a.loop.Upstream, a.loop.Fence = a.Clock, sched, up, fence
+	a.loop.Clock, a.loop.Scheduler, a.loop.Upstream, a.loop.Fence = a.Clock, sched, up, fence
 	a.loop.Events, a.loop.Log, a.loop.Suspects = a.Events, a.Log, a.Suspects
-	a.probe = &probe.Probe{Upstream: up, Every: magno.Millis(a.opts.Probe), Log: a.Log, Restarted: a.loop.Reset, Seen: a.loop.Seen}
+	a.probe = &probe.Probe{Upstream: up, Interval: magno.Millis(a.opts.Probe), Log: a.Log, OnRestart: a.loop.Reset, OnReport: a.loop.Reconcile}
 	return nil
 }
 
-// keys makes the memory of idempotency keys. Each key has several witnesses and
-// one home, so a witness holds as many times the keys of a ledger.
-func (a *agent) keys() {
+// openLedger makes the memory of idempotency openLedger. Each key has several witnesses and
+// one home, so a witness holds as many times the openLedger of a ledger.
+func (a *agent) openLedger() {
 	retention, skew := magno.Millis(a.opts.Retention), magno.Millis(a.opts.Skew)
 	a.witness = &witns.Witness{Self: a.opts.Name, Clock: a.Clock, Retention: retention, MaxSkew: skew,
 		MaxKeys: roster.SetSize * a.opts.Ledger}
 	a.witness.Open()
-	a.began = a.Clock.Now()
+	a.witnessStart = a.Clock.Now()
 	a.ledger = &once.Ledger{
 		Clock: a.Clock, Self: a.opts.Name, Incarnation: uuid.NewString(),
 		Rosters: a.Store.Rosters, Retention: retention, MaxSkew: skew,
-		RoundTimeout: grantLimit, MaxKeys: a.opts.Ledger, MaxBytes: ledgerBytes,
+		RoundTimeout: witnessTimeout, MaxKeys: a.opts.Ledger, MaxBytes: maxLedgerBytes,
 	}
 }
 
 // Terms that hold where the configuration names none.
 const (
-	loadRate               = 1.0
-	loadWidth              = 1
-	loadTime  magno.Millis = 500
+	defaultLoadRate              = 1.0
+	defaultMaxLoads              = 1
+	defaultLoadTime magno.Millis = 500
 )
 
-// terms is what the weight store allows the pool.
-func (a *agent) terms() (rate float64, width int) {
+// loadLimits is what the weight store allows the pool.
+func (a *agent) loadLimits() (rate float64, width int) {
 	if now := a.Store.Current(); now != nil {
 		if p, ok := now.Pool(a.opts.Pool); ok && p.LoadRate > 0 {
 			return p.LoadRate, max(p.LoadWidth, 1)
 		}
 	}
-	return loadRate, loadWidth
+	return defaultLoadRate, defaultMaxLoads
 }
 
 // loadTime is the time of a load at full speed, as the upstream states it.
@@ -200,12 +200,12 @@
 	if p := a.probe.Last(); p != nil && p.Limits.Load > 0 {
 		return p.Limits.Load
 	}
-	return loadTime
+	return defaultLoadTime
 }
 
 // retired tells whether ref is retired for an entry with that version.
 func (a *agent) retired(ref magno.Ref, version int64) bool {
-	return a.history.late(version, a.Clock.Now()) && a.Store.Retired(ref)
+	return a.history.outdated(version, a.Clock.Now()) && a.Store.Retired(ref)
 }
 
 // leave begins a planned stop. Peers hear of it from here, seconds before the
@@ -220,24 +220,24 @@
 	return a.Node.Synced() && a.probe.Last() != nil
 }
 
-// remembers tells whether keys issued now are ones that this process's witness
+// witnessReady tells whether keys issued now are ones that this process's witness
 // can give: those issued before or shortly after its start it must refuse,
 // for an earlier process in the slot may have given them away. A fleet that
 // starts all at once would refuse its first calls if it were ready sooner.
-func (a *agent) remembers() bool {
-	return a.Clock.Now() > a.began+2*magno.Millis(a.opts.Skew)
+func (a *agent) witnessReady() bool {
+	return a.Clock.Now() > a.witnessStart+2*magno.Millis(a.opts.Skew)
 }
 
 func (a *agent) duties() []magno.Duty {
 	return append(a.Duties(), a.probe, a.loop, a.turns, &admin.Server{
 		Listen: a.opts.Admin, Allow: a.opts.Allow, Events: a.Events, Status: a.status,
-		Ready: func() bool { return a.ready() && a.remembers() && !a.server.Leaving() },
+		Ready: func() bool { return a.ready() && a.witnessReady() && !a.server.Leaving() },
 		Bound: func(addr string) { a.Log.Info("listening", "admin", addr) },
 	})
 }
 
-// follow brings a new version to the parts that keep a copy.
-func (a *agent) follow(snap *config.Snapshot) {
+// applyConfig brings a new version to the parts that keep a copy.
+func (a *agent) applyConfig(snap *config.Snapshot) {
 	a.history.add(snap.Version, a.Clock.Now())
 	weights := map[string]float64{}
 	for _, b := range snap.Customers() {
@@ -248,6 +248,6 @@
 	if drained != a.server.Drained() {
 		a.Log.Info("drained", "value", drained)
 	}
-	a.server.Drain(drained)
+	a.server.SetDrained(drained)
 	a.Events.Add("config", "", fmt.Sprintf("version=%d drained=%t", snap.Version, drained))
 }
--- a/agent/daemon/history.go
+++ b/agent/daemon/history.go
@@ -8,12 +8,12 @@
 
 // Figures of the grace for entries that are behind.
 const (
-	// versionsKept covers the grace many times over at 54,000 changes a day.
-	versionsKept = 64
-	// behindLimit is how long an entry may decide by a version that this
+	// maxVersions covers the grace many times over at 54,000 changes a day.
+	maxVersions = 64
+	// staleVersionGrace is how long an entry may decide by a version that this
 	// agent has already replaced, in milliseconds: the time within which a
 	// change is to be in force everywhere.
-	behindLimit = 4 * magno.Second
+	staleVersionGrace = 4 * magno.Second
 )
 
 // history remembers when the latest versions came into force here. Without it
@@ -23,10 +23,10 @@
 type history struct {
 	mu sync.Mutex
 	// versions is in ascending order, at most versionsKept long.
-	versions []adoption
+	versions []activation
 }
 
-type adoption struct {
+type activation struct {
 	version int64
 	at      magno.Millis
 }
@@ -34,20 +34,20 @@
 func (h *history) add(version int64, at magno.Millis) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.versions = append(h.versions, adoption{version, at})
-	if len(h.versions) > versionsKept {
+	h.versions = append(h.versions, activation{version, at})
+	if len(h.versions) > maxVersions {
 		h.versions = h.versions[1:]
 	}
 }
 
-// late tells whether whoever has version missed its successor for longer than
+// outdated tells whether whoever has version missed its successor for longer than
 // the limit.
-func (h *history) late(version int64, now magno.Millis) bool {
+func (h *history) outdated(version int64, now magno.Millis) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, a := range h.versions {
 		if a.version > version {
-			return now > a.at+behindLimit
+			return now > a.at+staleVersionGrace
 		}
 	}
 	return false
--- a/agent/daemon/history_test.go
+++ b/agent/daemon/history_test.go
@@ -26,10 +26,10 @@
 		{1, 5000 + 4001, true},
 	}
 	for _, tt := range tests {
-		if got := h.late(tt.version, 0); got {
+		if got := h.outdated(tt.version, 0); got {
 			t.Errorf("version %d is late at once", tt.version)
 		}
-		if got := h.late(tt.version, tt.now); got != tt.late {
+		if got := h.outdated(tt.version, tt.now); got != tt.late {
 			t.Errorf("version %d at %d: late %t", tt.version, tt.now, got)
 		}
 	}
--- a/agent/gather/gather.go
+++ b/agent/gather/gather.go
@@ -19,9 +19,9 @@
 // between tokens that callers are promised, and four steps of today's engines.
 const Window magno.Millis = 20
 
-// Gather joins pieces. Send is set before the first Add and called by one
+// Coalescer joins pieces. Send is set before the first Add and called by one
 // goroutine at a time, in order.
-type Gather struct {
+type Coalescer struct {
 	Clock *magno.Clock
 	Send  func(magno.Piece)
 
@@ -37,7 +37,7 @@
 }
 
 // Add takes a piece.
-func (g *Gather) Add(p magno.Piece) {
+func (g *Coalescer) Add(p magno.Piece) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.text.WriteString(p.Text)
@@ -53,7 +53,7 @@
 }
 
 // Close sends what waits; nothing is sent after it.
-func (g *Gather) Close() {
+func (g *Coalescer) Close() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.flush()
@@ -61,7 +61,7 @@
 }
 
 // late sends what has waited for its time.
-func (g *Gather) late() {
+func (g *Coalescer) late() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if !g.ended {
@@ -69,7 +69,7 @@
 	}
 }
 
-func (g *Gather) flush() {
+func (g *Coalescer) flush() {
 	if g.timer != nil {
 		g.timer.Stop()
 		g.timer = nil
--- a/agent/gather/gather_test.go
+++ b/agent/gather/gather_test.go
@@ -14,7 +14,7 @@
 func TestGatherKeepsAllInOrder(t *testing.T) {
 	clock := magno.NewClock(1_000_000)
 	var sent []magno.Piece
-	g := &Gather{Clock: clock, Send: func(p magno.Piece) { sent = append(sent, p) }}
+	g := &Coalescer{Clock: clock, Send: func(p magno.Piece) { sent = append(sent, p) }}
 	var want strings.Builder
 	const tokens, step = 100, 5
 	for i := range tokens {
--- a/agent/keep/calls.go
+++ b/agent/keep/calls.go
@@ -11,8 +11,8 @@
 	"magnoliastall.example/magno/wire"
 )
 
-// served counts what entries asked for.
-type served struct {
+// stats counts what entries asked for.
+type stats struct {
 	grants, refusals, orders *metrics.Counter
 	// declined counts requests for which another engine was better.
 	declined *metrics.Counter
@@ -21,7 +21,7 @@
 	causes map[gate.Cause]*metrics.Histogram
 }
 
-func (s *served) open() {
+func (s *stats) open() {
 	s.grants = metrics.GetOrCreateCounter("permits_granted_total")
 	s.refusals = metrics.GetOrCreateCounter("permits_refused_total")
 	s.declined = metrics.GetOrCreateCounter("permits_declined_total")
@@ -33,8 +33,8 @@
 	}
 }
 
-// waited counts the wait of a request that begins, and each part of it.
-func (s *served) waited(all magno.Millis, parts *gate.Waits) {
+// recordWait counts the wait of a request that begins, and each part of it.
+func (s *stats) recordWait(all magno.Millis, parts *gate.Waits) {
 	s.waits.Update(float64(all) / 1000)
 	for c, part := range parts {
 		if part > 0 {
@@ -44,7 +44,7 @@
 }
 
 // permit answers once the request may begin or is refused.
-func (k *Keep) permit(ctx context.Context, _ *wire.Peer, params json.RawMessage) (any, error) {
+func (k *Controller) permit(ctx context.Context, _ *wire.Peer, params json.RawMessage) (any, error) {
 	var call gate.PermitCall
 	if err := json.Unmarshal(params, &call); err != nil {
 		return nil, magno.Refuse(magno.KindMalformed, "%v", err)
@@ -55,7 +55,7 @@
 	}
 	select {
 	case r := <-ch:
-		k.recent.Trim(&r.Status, call.ListsHash)
+		k.listHistory.Trim(&r.Status, call.ListsHash)
 		return r, nil
 	case <-ctx.Done(): // the entry is gone, and with it the request
 		k.post(context.WithoutCancel(ctx), func() { k.drop(call.ID, false) })
@@ -64,12 +64,12 @@
 }
 
 // offer runs on the gate's goroutine.
-func (k *Keep) offer(call *gate.PermitCall, ch chan gate.PermitReply) {
-	k.asks[call.ID] = ch
-	k.specify(call.Spec, call.Revision, call.ID)
+func (k *Controller) offer(call *gate.PermitCall, ch chan gate.PermitReply) {
+	k.waiting[call.ID] = ch
+	k.updateSpec(call.Spec, call.Revision, call.ID)
 	r := k.check(call)
 	if r == nil && k.gate.Declines(&call.Request) {
-		k.served.declined.Inc()
+		k.stats.declined.Inc()
 		k.reply(call.ID, gate.PermitReply{Declined: true})
 		return
 	}
@@ -77,14 +77,14 @@
 		r = k.gate.Offer(call.Request)
 	}
 	if r != nil {
-		k.refused(call.ID, r, "rank", call.Rank, "left", call.TimeLeft)
-		k.served.refusals.Inc()
+		k.logRefusal(call.ID, r, "rank", call.Rank, "left", call.TimeLeft)
+		k.stats.refusals.Inc()
 		k.reply(call.ID, gate.PermitReply{Refusal: r})
 	}
 }
 
 // check refuses what this agent can't decide on.
-func (k *Keep) check(call *gate.PermitCall) *magno.Refusal {
+func (k *Controller) check(call *gate.PermitCall) *magno.Refusal {
 	switch {
 	case k.leaving:
 		return magno.Refuse(magno.KindLeaving, "this agent stops")
@@ -97,15 +97,15 @@
 }
 
 // drop ends a request, also one that waits.
-func (k *Keep) drop(id string, ok bool) {
+func (k *Controller) drop(id string, ok bool) {
 	k.gate.Done(id, ok)
-	if k.asks[id] != nil {
+	if k.waiting[id] != nil {
 		k.reply(id, gate.PermitReply{Refusal: magno.Refuse(magno.KindCancelled, "the caller went away")})
 	}
 }
 
 // end takes the end of a request.
-func (k *Keep) end(ctx context.Context, _ *wire.Peer, params json.RawMessage) (any, error) {
+func (k *Controller) end(ctx context.Context, _ *wire.Peer, params json.RawMessage) (any, error) {
 	var call gate.EndCall
 	if err := json.Unmarshal(params, &call); err != nil {
 		k.Log.Warn("end", "error", err)
@@ -119,39 +119,39 @@
 }
 
 // status takes what the entry knows and tells what this agent knows.
-func (k *Keep) status(ctx context.Context, _ *wire.Peer, params json.RawMessage) (any, error) {
+func (k *Controller) status(ctx context.Context, _ *wire.Peer, params json.RawMessage) (any, error) {
 	var call gate.StatusCall
 	if err := json.Unmarshal(params, &call); err != nil {
 		return nil, magno.Refuse(magno.KindMalformed, "%v", err)
 	}
 	ch := make(chan gate.StatusReply, 1)
-	if !k.post(ctx, func() { ch <- k.learn(&call) }) {
+	if !k.post(ctx, func() { ch <- k.applyStatus(&call) }) {
 		return nil, ctx.Err()
 	}
 	select {
 	case r := <-ch:
-		k.recent.Trim(&r, call.ListsHash)
+		k.listHistory.Trim(&r, call.ListsHash)
 		return r, nil
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
 }
 
-// learn runs on the gate's goroutine.
-func (k *Keep) learn(call *gate.StatusCall) gate.StatusReply {
-	k.specify(call.Spec, call.Revision, call.Entry)
-	return k.state()
+// applyStatus runs on the gate's goroutine.
+func (k *Controller) applyStatus(call *gate.StatusCall) gate.StatusReply {
+	k.updateSpec(call.Spec, call.Revision, call.Entry)
+	return k.currentStatus()
 }
 
-// specify takes what an entry tells of the engine, unless it is old or nothing.
+// updateSpec takes what an entry tells of the engine, unless it is old or nothing.
 // from is the entry, or its request.
-func (k *Keep) specify(spec *gate.Spec, revision int64, from string) {
-	if spec == nil || revision <= k.revision {
+func (k *Controller) updateSpec(spec *gate.Spec, revision int64, from string) {
+	if spec == nil || revision <= k.specRevision {
 		return
 	}
 	if was := k.gate.Spec().Replica; spec.Replica != was {
 		k.Log.Info("replica", "is", spec.Replica, "was", was, "rev", revision, "from", from)
 	}
-	k.revision = revision
+	k.specRevision = revision
 	k.gate.SetSpec(*spec)
 }
--- a/agent/keep/speak.go
+++ b/agent/keep/engine.go
@@ -9,15 +9,15 @@
 )
 
 const (
-	// reportEvery is how often the engine is asked for its state; that is free
+	// reportInterval is how often the engine is asked for its state; that is free
 	// from its own machine, and costs a third of a millisecond here.
-	reportEvery = 100 * magno.Millis(1)
-	// pressEvery is the same while requests wait, mostly for an adapter that
+	reportInterval = 100 * magno.Millis(1)
+	// waitingReportInterval is the same while requests wait, mostly for an adapter that
 	// takes 250 ms: they begin that much later than it came.
-	pressEvery = 30 * magno.Millis(1)
-	// callTime bounds a call of the engine. It answers within a few
+	waitingReportInterval = 30 * magno.Millis(1)
+	// engineTimeout bounds a call of the engine. It answers within a few
 	// milliseconds, or is dark.
-	callTime = 300 * magno.Millis(1)
+	engineTimeout = 300 * magno.Millis(1)
 	// downAfter is how many reports in a row must fail until the engine counts
 	// as down: one may meet a full queue of new connections.
 	downAfter = 2
@@ -26,43 +26,43 @@
 	fenceStep = 1000
 )
 
-// speaker is what the goroutine that speaks to the engine knows.
-type speaker struct {
-	*Keep
+// engineClient is what the goroutine that speaks to the engine knows.
+type engineClient struct {
+	*Controller
 	fence  int64
 	step   int64
 	misses int
 }
 
-// speak asks for reports and gives orders until ctx ends.
-func (k *Keep) speak(ctx context.Context) {
-	s := &speaker{Keep: k, fence: k.Fence, step: fenceStep}
+// serveEngine asks for reports and gives orders until ctx ends.
+func (k *Controller) serveEngine(ctx context.Context) {
+	s := &engineClient{Controller: k, fence: k.Fence, step: fenceStep}
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case list := <-k.doing:
+		case list := <-k.commands:
 			for _, c := range list {
 				s.order(ctx, c)
 			}
-			k.post(ctx, func() { k.busy = false })
+			k.post(ctx, func() { k.sending = false })
 		case <-timer.C:
 		}
 		s.report(ctx)
-		wait := reportEvery
-		if s.pressed.Load() {
-			wait = pressEvery
+		wait := reportInterval
+		if s.hasWaiting.Load() {
+			wait = waitingReportInterval
 		}
 		timer.Reset(wait.Span())
 	}
 }
 
 // report brings the engine's state to the gate.
-func (s *speaker) report(ctx context.Context) {
+func (s *engineClient) report(ctx context.Context) {
 	asked := s.Clock.Now()
-	call, cancel := context.WithTimeout(ctx, callTime.Span())
+	call, cancel := context.WithTimeout(ctx, engineTimeout.Span())
 	defer cancel()
 	r, err := s.Engine.Report(call)
 	if ctx.Err() != nil {
@@ -81,23 +81,23 @@
 	if back {
 		s.Log.Info("engine back", "born", r.Born)
 	}
-	s.post(ctx, func() { s.take(r, asked) })
+	s.post(ctx, func() { s.applyReport(r, asked) })
 }
 
-// take brings a report to the gate; it runs on the gate's goroutine.
-func (k *Keep) take(r *magno.Report, asked magno.Millis) {
-	if k.born != r.Born {
-		k.Log.Info("engine", "born", r.Born, "before", k.born, "models", len(r.Held))
+// applyReport brings a report to the gate; it runs on the gate's goroutine.
+func (k *Controller) applyReport(r *magno.Report, asked magno.Millis) {
+	if k.engineStart != r.Born {
+		k.Log.Info("engine", "born", r.Born, "before", k.engineStart, "models", len(r.Held))
 	}
-	k.born, k.asked, k.down = r.Born, asked, false
+	k.engineStart, k.reportAskedAt, k.down = r.Born, asked, false
 	k.gate.ApplyReport(r, asked)
 }
 
 // order gives one command and tells the gate what became of it.
-func (s *speaker) order(ctx context.Context, c magno.Command) {
+func (s *engineClient) order(ctx context.Context, c magno.Command) {
 	on := s.basis(ctx)
 	c.Replica, c.Holder, c.Fence = on.id, s.Self, s.fence
-	call, cancel := context.WithTimeout(ctx, callTime.Span())
+	call, cancel := context.WithTimeout(ctx, engineTimeout.Span())
 	defer cancel()
 	o, err := s.Engine.Order(call, c)
 	level := slog.LevelInfo
@@ -112,7 +112,7 @@
 		s.fence += s.step
 		s.step *= 2
 	}
-	s.served.orders.Inc()
+	s.stats.orders.Inc()
 	at := s.Clock.Now()
 	s.post(ctx, func() { s.gate.ApplyOutcome(c, o, at) })
 }
@@ -126,9 +126,9 @@
 }
 
 // basis asks the gate's goroutine.
-func (s *speaker) basis(ctx context.Context) basis {
+func (s *engineClient) basis(ctx context.Context) basis {
 	ch := make(chan basis, 1)
-	if !s.post(ctx, func() { ch <- basis{s.gate.Spec().ID, s.revision, s.age()} }) {
+	if !s.post(ctx, func() { ch <- basis{s.gate.Spec().ID, s.specRevision, s.reportAge()} }) {
 		return basis{}
 	}
 	select {
--- a/agent/keep/keep.go
+++ b/agent/keep/keep.go
@@ -22,18 +22,18 @@
 )
 
 const (
-	// workEvery is how often the gate is looked at while requests wait: a
+	// busyInterval is how often the gate is looked at while requests wait: a
 	// tenth of the window in which it spaces prompts.
-	workEvery = 20 * magno.Millis(1)
-	// idleEvery is how often it is looked at otherwise.
-	idleEvery = 200 * magno.Millis(1)
+	busyInterval = 20 * magno.Millis(1)
+	// idleInterval is how often it is looked at otherwise.
+	idleInterval = 200 * magno.Millis(1)
 	// inboxSize bounds the messages that wait for the gate; more than all
 	// entries have under way at once.
 	inboxSize = 1024
 )
 
-// Keep is the duty that owns the gate. Fields are set before Open.
-type Keep struct {
+// Controller is the duty that owns the gate. Fields are set before Open.
+type Controller struct {
 	// Self is this instance's name, the holder of its orders.
 	Self   string
 	Engine magno.Engineer
@@ -45,49 +45,49 @@
 
 	gate  gate.Gate
 	inbox chan func()
-	// doing takes commands for speak; at most one list is under way.
-	doing chan []magno.Command
-	busy  bool
-	// asks maps the ID of a waiting request to where its reply goes.
-	asks map[string]chan gate.PermitReply
-	// revision is that of the spec in force, born the engine's last report's,
+	// commands takes commands for speak; at most one list is under way.
+	commands chan []magno.Command
+	sending  bool
+	// waiting maps the ID of a waiting request to where its reply goes.
+	waiting map[string]chan gate.PermitReply
+	// specRevision is that of the spec in force, born the engine's last report's,
 	// which was asked for at asked.
-	revision int64
-	born     magno.Millis
-	asked    magno.Millis
-	down     bool
-	leaving  bool
-	// pressed is true while requests wait.
-	pressed atomic.Bool
-	served  served
-	// recent are the lists that entries may have.
-	recent gate.ListHistory
+	specRevision  int64
+	engineStart   magno.Millis
+	reportAskedAt magno.Millis
+	down          bool
+	leaving       bool
+	// hasWaiting is true while requests wait.
+	hasWaiting atomic.Bool
+	stats      stats
+	// listHistory are the lists that entries may have.
+	listHistory gate.ListHistory
 }
 
 // Open takes the methods on the mesh, before either runs.
-func (k *Keep) Open() {
+func (k *Controller) Open() {
 	k.gate.Clock = k.Clock
 	k.inbox = make(chan func(), inboxSize)
-	k.doing = make(chan []magno.Command, 1)
-	k.asks = map[string]chan gate.PermitReply{}
-	k.served.open()
+	k.commands = make(chan []magno.Command, 1)
+	k.waiting = map[string]chan gate.PermitReply{}
+	k.stats.open()
 	k.Mesh.Handle(gate.MethodPermit, k.permit)
 	k.Mesh.Handle(gate.MethodEnd, k.end)
 	k.Mesh.Handle(gate.MethodStatus, k.status)
 }
 
 // Name implements magno.Duty.
-func (k *Keep) Name() string { return "keep" }
+func (k *Controller) Name() string { return "keep" }
 
 // Run decides until ctx ends.
-func (k *Keep) Run(ctx context.Context) error {
+func (k *Controller) Run(ctx context.Context) error {
 	spoken := make(chan struct{})
 	go func() {
 		defer close(spoken)
-		k.speak(ctx)
+		k.serveEngine(ctx)
 	}()
 	defer func() { <-spoken }()
-	timer := time.NewTimer(idleEvery.Span())
+	timer := time.NewTimer(idleInterval.Span())
 	defer timer.Stop()
 	for {
 		select {
@@ -95,21 +95,21 @@
 			return nil
 		case f := <-k.inbox:
 			f()
-			k.drain()
+			k.drainInbox()
 		case <-timer.C:
 		}
-		k.step()
-		wait := idleEvery
-		if len(k.asks) > 0 {
-			wait = workEvery
+		k.applyDecisions()
+		wait := idleInterval
+		if len(k.waiting) > 0 {
+			wait = busyInterval
 		}
 		timer.Reset(wait.Span())
 	}
 }
 
-// drain takes what else is in the inbox, so that one look at the gate serves
+// drainInbox takes what else is in the inbox, so that one look at the gate serves
 // all of it.
-func (k *Keep) drain() {
+func (k *Controller) drainInbox() {
 	for {
 		select {
 		case f := <-k.inbox:
@@ -121,7 +121,7 @@
 }
 
 // post hands f to the goroutine that owns the gate.
-func (k *Keep) post(ctx context.Context, f func()) bool {
+func (k *Controller) post(ctx context.Context, f func()) bool {
 	select {
 	case k.inbox <- f:
 		return true
@@ -130,69 +130,69 @@
 	}
 }
 
-// step carries out what the gate decides.
-func (k *Keep) step() {
+// applyDecisions carries out what the gate decides.
+func (k *Controller) applyDecisions() {
 	s := k.gate.Decide()
 	for _, g := range s.Grants {
-		k.served.grants.Inc()
-		k.served.waited(g.Waited, &g.Waits)
+		k.stats.grants.Inc()
+		k.stats.recordWait(g.Waited, &g.Waits)
 		k.reply(g.ID, gate.PermitReply{Version: g.Version, Waits: g.Waits})
 	}
 	for _, t := range s.Rejections {
-		k.refused(t.ID, t.Refusal, t.Waits.LogArgs()...)
-		k.served.refusals.Inc()
+		k.logRefusal(t.ID, t.Refusal, t.Waits.LogArgs()...)
+		k.stats.refusals.Inc()
 		k.reply(t.ID, gate.PermitReply{Refusal: t.Refusal, Waits: t.Waits})
 	}
-	k.pressed.Store(len(k.asks) > 0)
-	if k.busy || k.down || k.leaving {
+	k.hasWaiting.Store(len(k.waiting) > 0)
+	if k.sending || k.down || k.leaving {
 		return
 	}
 	if list := k.gate.Commands(); len(list) > 0 {
-		k.busy = true
-		k.doing <- list
+		k.sending = true
+		k.commands <- list
 	}
 }
 
-// refused logs why a request doesn't begin here, and how old what that rests on
+// logRefusal logs why a request doesn't begin here, and how old what that rests on
 // is: the engine's report in ms, the revision of its description.
-func (k *Keep) refused(id string, r *magno.Refusal, more ...any) {
-	line := append([]any{"request", id, "kind", r.Kind, "why", r.Detail, "age", k.age(), "rev", k.revision}, more...)
+func (k *Controller) logRefusal(id string, r *magno.Refusal, more ...any) {
+	line := append([]any{"request", id, "kind", r.Kind, "why", r.Detail, "age", k.reportAge(), "rev", k.specRevision}, more...)
 	k.Log.Info("refused", line...)
 }
 
-// age is how old the engine's last report is.
-func (k *Keep) age() magno.Millis { return k.Clock.Now() - k.asked }
+// reportAge is how old the engine's last report is.
+func (k *Controller) reportAge() magno.Millis { return k.Clock.Now() - k.reportAskedAt }
 
 // reply ends the wait of a request.
-func (k *Keep) reply(id string, r gate.PermitReply) {
-	ch := k.asks[id]
+func (k *Controller) reply(id string, r gate.PermitReply) {
+	ch := k.waiting[id]
 	if ch == nil {
 		return
 	}
-	delete(k.asks, id)
-	r.Status = k.state()
+	delete(k.waiting, id)
+	r.Status = k.currentStatus()
 	ch <- r // it has room for one
 }
 
-// state is what entries are told.
-func (k *Keep) state() gate.StatusReply {
+// currentStatus is what entries are told.
+func (k *Controller) currentStatus() gate.StatusReply {
 	r := gate.StatusReply{
-		Replica: k.gate.Spec().Replica, Revision: k.revision, EngineStart: k.born,
+		Replica: k.gate.Spec().Replica, Revision: k.specRevision, EngineStart: k.engineStart,
 		Down: k.down, Leaving: k.leaving, Backlog: k.gate.Backlog(),
 	}
 	r.SetListsHash()
-	k.recent.Record(&r)
+	k.listHistory.Record(&r)
 	return r
 }
 
 // Leave refuses all that waits and comes from now on. Entries then send what
 // the engine holds without asking, so a stop of this process ends no request.
-func (k *Keep) Leave() {
+func (k *Controller) Leave() {
 	done := make(chan struct{})
 	k.inbox <- func() {
 		defer close(done)
 		k.leaving = true
-		for id := range k.asks {
+		for id := range k.waiting {
 			k.gate.Done(id, false)
 			k.reply(id, gate.PermitReply{Refusal: magno.Refuse(magno.KindLeaving, "this agent stops")})
 		}
--- a/agent/keep/keep_test.go
+++ b/agent/keep/keep_test.go
@@ -69,10 +69,10 @@
 
 // agent is a keep before an engine, with a mesh that calls it.
 type agent struct {
-	*Keep
+	*Controller
 	addr   string
 	caller *wire.Mesh
-	log    text
+	log    logBuffer
 }
 
 func start(t *testing.T, e *engine) *agent {
@@ -84,7 +84,7 @@
 		t.Fatal(err)
 	}
 	a.addr = mesh.Addr()
-	a.Keep = &Keep{Self: "a", Engine: e, Mesh: mesh, Clock: clock, Log: slog.New(slog.NewTextHandler(&a.log, nil)), Fence: 5}
+	a.Controller = &Controller{Self: "a", Engine: e, Mesh: mesh, Clock: clock, Log: slog.New(slog.NewTextHandler(&a.log, nil)), Fence: 5}
 	a.Open()
 	ctx, cancel := context.WithCancel(context.Background())
 	ends := make(chan error, 3)
@@ -99,7 +99,7 @@
 			}
 		}
 	})
-	a.tell(t, "r@1", 1)
+	a.sendStatus(t, "r@1", 1)
 	return a
 }
 
@@ -109,19 +109,19 @@
 	}}
 }
 
-// text is a log that may be read while it is written.
-type text struct {
+// logBuffer is a log that may be read while it is written.
+type logBuffer struct {
 	mu sync.Mutex
 	b  strings.Builder
 }
 
-func (x *text) Write(p []byte) (int, error) {
+func (x *logBuffer) Write(p []byte) (int, error) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	return x.b.Write(p)
 }
 
-func (x *text) lines(msg string) []string {
+func (x *logBuffer) lines(msg string) []string {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	var list []string
@@ -133,8 +133,8 @@
 	return list
 }
 
-// tell is what an entry does at each poll.
-func (a *agent) tell(t *testing.T, replica string, revision int64) gate.StatusReply {
+// sendStatus is what an entry does at each poll.
+func (a *agent) sendStatus(t *testing.T, replica string, revision int64) gate.StatusReply {
 	t.Helper()
 	var reply gate.StatusReply
 	call := gate.StatusCall{Entry: "e", Spec: spec(replica), Revision: revision}
@@ -172,7 +172,7 @@
 
 // What stands beside the agent changed, and a request brings word of it. It is not
 // refused for what the agent didn't know a moment ago; older word changes nothing.
-func TestPermitBringsWordOfTheEngine(t *testing.T) {
+func TestPermitUpdatesEngineSpec(t *testing.T) {
 	a := start(t, newEngine())
 	ask := func(revision int64, replica string) *magno.Refusal {
 		var reply gate.PermitReply
@@ -194,12 +194,12 @@
 
 // Whoever looks for the cause of an order or a refusal must see what it rested on:
 // a wrong one from a fresh report is another fault than one from an old report.
-func TestLinesTellTheAgeOfWhatTheyRestOn(t *testing.T) {
+func TestLogLinesHaveReportAgeAndRevision(t *testing.T) {
 	a := start(t, newEngine())
 	if _, err := a.permit(t, "1"); err != nil {
 		t.Fatal(err)
 	}
-	a.tell(t, "r@2", 7)
+	a.sendStatus(t, "r@2", 7)
 	if reply, err := a.permit(t, "2"); err != nil || reply.Refusal == nil {
 		t.Fatalf("got %+v, %v", reply, err)
 	}
@@ -220,7 +220,7 @@
 // An earlier start of this agent, with its clock ahead, gave orders. The engine
 // refuses lower fences; without learning a higher one, nothing could be loaded
 // any more.
-func TestFenceRisesUntilTheEngineHears(t *testing.T) {
+func TestFenceRisesUntilOrdersAreAccepted(t *testing.T) {
 	e := newEngine()
 	e.fence = 10_000
 	a := start(t, e)
@@ -234,7 +234,7 @@
 
 // The engine goes dark. Requests are sent elsewhere at once instead of waiting
 // for it, and are taken again when it is back.
-func TestDarkEngineRefusesAtOnce(t *testing.T) {
+func TestSilentEngineRefusesAtOnce(t *testing.T) {
 	e := newEngine()
 	a := start(t, e)
 	if _, err := a.permit(t, "1"); err != nil {
@@ -242,7 +242,7 @@
 	}
 	e.set(func() { e.fail = true })
 	for down := false; !down; {
-		down = a.tell(t, "r@1", 2).Down
+		down = a.sendStatus(t, "r@1", 2).Down
 	}
 	reply, err := a.permit(t, "2")
 	if err != nil || reply.Refusal == nil || reply.Refusal.Kind != magno.KindNoUpstream {
@@ -250,7 +250,7 @@
 	}
 	e.set(func() { e.fail = false })
 	for down := true; down; {
-		down = a.tell(t, "r@1", 3).Down
+		down = a.sendStatus(t, "r@1", 3).Down
 	}
 	if reply, err := a.permit(t, "3"); err != nil || reply.Refusal != nil {
 		t.Fatalf("got %+v, %v", reply, err)
@@ -259,17 +259,17 @@
 
 // An entry that was cut off tells of an engine that is gone. What is known to be
 // newer stays.
-func TestOlderWordOfTheEngineIsNotTaken(t *testing.T) {
+func TestOlderEngineSpecIsIgnored(t *testing.T) {
 	a := start(t, newEngine())
-	a.tell(t, "r@9", 9)
-	if got := a.tell(t, "r@1", 4).Replica; got != "r@9" {
+	a.sendStatus(t, "r@9", 9)
+	if got := a.sendStatus(t, "r@1", 4).Replica; got != "r@9" {
 		t.Errorf("the agent believes in %s, want r@9", got)
 	}
 }
 
 // Operators stop the agent while requests wait there. Each is sent elsewhere at
 // once.
-func TestStopTurnsAwayWhatWaits(t *testing.T) {
+func TestStopRefusesWaitingRequests(t *testing.T) {
 	e := newEngine()
 	e.fence = 1 << 60 // nothing can be loaded
 	a := start(t, e)
@@ -282,7 +282,7 @@
 		reply, err := a.permit(t, "1")
 		got <- result{reply, err}
 	}()
-	for a.tell(t, "r@1", 1).Backlog.Queued == 0 {
+	for a.sendStatus(t, "r@1", 1).Backlog.Queued == 0 {
 	}
 	a.Leave()
 	if r := <-got; r.err != nil || r.reply.Refusal == nil || r.reply.Refusal.Kind != magno.KindLeaving {
--- a/agent/loop/loop.go
+++ b/agent/loop/loop.go
@@ -22,33 +22,33 @@
 
 // Figures of the loop.
 const (
-	// ringSize bounds messages on their way to the scheduler; a full ring
+	// stepQueueSize bounds messages on their way to the scheduler; a full ring
 	// makes senders wait, which slows callers and not the engine.
-	ringSize = 1024
-	// tick is how often the scheduler looks at deadlines while jobs wait and
+	stepQueueSize = 1024
+	// tickInterval is how often the scheduler looks at deadlines while jobs wait and
 	// nothing else happens, in milliseconds: well under the shortest wait a
 	// caller states. While none waits the loop sleeps.
-	tick magno.Millis = 10
-	// orderLimit ends an order that the upstream never answers, so that a
+	tickInterval magno.Millis = 10
+	// defaultOrderTimeout ends an order that the upstream never answers, so that a
 	// slot in transition doesn't stay held by an order that is dead.
-	orderLimit = 30 * time.Second
-	// cutSpan is the time within which streams cut by one crash end, in
+	defaultOrderTimeout = 30 * time.Second
+	// crashWindow is the time within which streams cut by one crash end, in
 	// milliseconds.
-	cutSpan magno.Millis = 20
-	// settled is how long after an order the upstream's report may lag, in
+	crashWindow magno.Millis = 20
+	// reportLag is how long after an order the upstream's report may lag, in
 	// milliseconds.
-	settled = 5 * magno.Second
-	// restarts is how often a job that the upstream didn't begin is offered
+	reportLag = 5 * magno.Second
+	// maxOffers is how often a job that the upstream didn't begin is offered
 	// again.
-	restarts = 3
+	maxOffers = 3
 )
 
 // Loop runs jobs on one upstream. It implements magno.Duty.
 type Loop struct {
 	// These fields are set before Run.
-	Clock    *magno.Clock
-	Sched    magno.Scheduler
-	Upstream magno.Upstream
+	Clock     *magno.Clock
+	Scheduler magno.Scheduler
+	Upstream  magno.Upstream
 	// Fence grows with each start of an agent and goes with every order.
 	Fence  int64
 	Events *event.Ring
@@ -57,31 +57,31 @@
 	// nil.
 	Suspects *crash.Suspects
 
-	// limit is orderLimit but in tests.
-	limit time.Duration
-	ring  chan func()
-	// wanting holds one value while jobs wait for adapters.
-	wanting chan struct{}
-	// decide is true when a step since the last decisions may change them.
+	// orderTimeout is orderLimit but in tests.
+	orderTimeout time.Duration
+	steps        chan func()
+	// loadWanted holds one value while jobs wait for adapters.
+	loadWanted chan struct{}
+	// needsDecision is true when a step since the last decisions may change them.
 	// Only the loop's goroutine touches it.
-	decide bool
+	needsDecision bool
 	// ended is closed when Run returns; nothing is decided from then on.
 	ended chan struct{}
 	// waiting holds each job that was offered and has neither started nor
 	// been refused. Only the loop's goroutine touches it.
 	waiting map[string]*pending
-	// cut holds the fingerprints of streams that the upstream cut at about
+	// cutStreams holds the fingerprints of streams that the upstream cutStreams at about
 	// the same time, since cutAt.
-	cut   []uint64
-	cutAt magno.Millis
-	// loading ends the wait of Load; nil when nothing waits.
-	loading chan struct{}
-	// orders counts load and unload goroutines that have not reported;
+	cutStreams []uint64
+	firstCutAt magno.Millis
+	// turnEnded ends the wait of Load; nil when nothing waits.
+	turnEnded chan struct{}
+	// ordersInFlight counts load and unload goroutines that have not reported;
 	// ordersAt is when the last one did.
-	orders   int
-	ordersAt magno.Millis
-	// loads counts those that are loads.
-	loads int
+	ordersInFlight int
+	lastOrderAt    magno.Millis
+	// loadsInFlight counts those that are loadsInFlight.
+	loadsInFlight int
 	// backlog is the scheduler's latest, for readers on other goroutines.
 	backlog atomic.Pointer[magno.Backlog]
 }
@@ -89,37 +89,37 @@
 // pending is a job on its way to a start.
 type pending struct {
 	ref magno.Ref
-	// offered is when it came; loaded when its adapter was there, zero while
+	// offeredAt is when it came; loadedAt when its adapter was there, zero while
 	// it isn't.
-	offered, loaded magno.Millis
-	// verdict takes exactly one value.
-	verdict chan verdict
+	offeredAt, loadedAt magno.Millis
+	// decision takes exactly one value.
+	decision chan decision
 }
 
-// verdict ends the wait of a job: it may start unless refusal is set.
-type verdict struct {
+// decision ends the wait of a job: it may start unless refusal is set.
+type decision struct {
 	refusal *magno.Refusal
-	// queue is the whole wait, stall the part of it that the adapter's load
+	// queueTime is the whole wait, stallTime the part of it that the adapter's load
 	// took.
-	queue, stall magno.Millis
+	queueTime, stallTime magno.Millis
 }
 
 // New returns a loop ready for its fields.
 func New() *Loop {
 	return &Loop{
-		limit:   orderLimit,
-		ring:    make(chan func(), ringSize),
-		wanting: make(chan struct{}, 1),
-		ended:   make(chan struct{}),
-		waiting: map[string]*pending{},
+		orderTimeout: defaultOrderTimeout,
+		steps:        make(chan func(), stepQueueSize),
+		loadWanted:   make(chan struct{}, 1),
+		ended:        make(chan struct{}),
+		waiting:      map[string]*pending{},
 	}
 }
 
-// note hands over a step after which nothing need be decided. Tokens come by
+// postUpdate hands over a step after which nothing need be decided. Tokens come by
 // the thousand a second, and deciding after each cost more than the tokens.
-func (l *Loop) note(step func()) {
+func (l *Loop) postUpdate(step func()) {
 	select {
-	case l.ring <- step:
+	case l.steps <- step:
 	case <-l.ended:
 	}
 }
@@ -127,7 +127,7 @@
 // post hands a step to the loop's goroutine; false means that it has ended.
 func (l *Loop) post(step func()) bool {
 	select {
-	case l.ring <- func() { step(); l.decide = true }:
+	case l.steps <- func() { step(); l.needsDecision = true }:
 		return true
 	case <-l.ended:
 		return false
@@ -140,91 +140,91 @@
 // Run decides until ctx ends, then waits for the orders under way.
 func (l *Loop) Run(ctx context.Context) error {
 	defer close(l.ended)
-	timer := time.NewTimer(tick.Span())
+	timer := time.NewTimer(tickInterval.Span())
 	defer timer.Stop()
 	for {
 		var due <-chan time.Time
-		if len(l.waiting) > 0 || len(l.cut) > 0 {
-			timer.Reset(tick.Span())
+		if len(l.waiting) > 0 || len(l.cutStreams) > 0 {
+			timer.Reset(tickInterval.Span())
 			due = timer.C
 		}
 		select {
 		case <-ctx.Done():
 			l.finish()
 			return nil
-		case step := <-l.ring:
+		case step := <-l.steps:
 			step()
 		case <-due:
-			l.decide = true
+			l.needsDecision = true
 		}
-		l.more()
-		if !l.decide {
+		l.drainSteps()
+		if !l.needsDecision {
 			continue
 		}
-		l.decide = false
-		l.suspect()
-		l.carry(ctx)
+		l.needsDecision = false
+		l.reportSuspects()
+		l.applyOrders(ctx)
 	}
 }
 
-// more takes what else is in the ring, so that decisions are made on all that
+// drainSteps takes what else is in the ring, so that decisions are made on all that
 // is known and a burst costs one pass.
-func (l *Loop) more() {
-	for range len(l.ring) {
-		step := <-l.ring
+func (l *Loop) drainSteps() {
+	for range len(l.steps) {
+		step := <-l.steps
 		step()
 	}
 }
 
 func (l *Loop) finish() {
-	for l.orders > 0 {
-		step := <-l.ring
+	for l.ordersInFlight > 0 {
+		step := <-l.steps
 		step()
 	}
 	for id := range l.waiting {
-		l.tell(id, stopped())
+		l.resolve(id, endedRefusal())
 	}
 }
 
-func stopped() *magno.Refusal {
+func endedRefusal() *magno.Refusal {
 	return magno.Refuse(magno.KindLeaving, "the agent has ended").Later(magno.Second)
 }
 
-// carry carries out what the scheduler wants done.
-func (l *Loop) carry(ctx context.Context) {
-	for _, order := range l.Sched.Next() {
+// applyOrders carries out what the scheduler wants done.
+func (l *Loop) applyOrders(ctx context.Context) {
+	for _, order := range l.Scheduler.Next() {
 		switch order.Kind {
 		case magno.OrderStart:
-			l.tell(order.Job.ID, nil)
+			l.resolve(order.Job.ID, nil)
 		case magno.OrderRefuse:
-			l.tell(order.Job.ID, order.Refusal)
+			l.resolve(order.Job.ID, order.Refusal)
 		case magno.OrderLoad:
 			l.order(ctx, order)
 		case magno.OrderUnload:
 			l.order(ctx, order)
 		}
 	}
-	backlog := l.Sched.Backlog()
+	backlog := l.Scheduler.Backlog()
 	l.backlog.Store(&backlog)
 	if backlog.Loads > 0 {
 		select {
-		case l.wanting <- struct{}{}:
+		case l.loadWanted <- struct{}{}:
 		default:
 		}
 	}
 }
 
-func (l *Loop) tell(id string, refusal *magno.Refusal) {
+func (l *Loop) resolve(id string, refusal *magno.Refusal) {
 	p, ok := l.waiting[id]
 	if !ok {
 		return
 	}
 	delete(l.waiting, id)
-	v := verdict{refusal: refusal, queue: l.Clock.Now() - p.offered}
-	if p.loaded > 0 {
-		v.stall = p.loaded - p.offered
+	v := decision{refusal: refusal, queueTime: l.Clock.Now() - p.offeredAt}
+	if p.loadedAt > 0 {
+		v.stallTime = p.loadedAt - p.offeredAt
 	}
-	p.verdict <- v
+	p.decision <- v
 }
 
 // Do runs work and returns its result, or a *magno.Refusal. It returns when
@@ -239,9 +239,9 @@
 			l.Events.Add("refused", w.Job.ID, "kind="+string(v.refusal.Kind))
 			return magno.Result{}, v.refusal
 		}
-		result, err := l.once(ctx, w, v, emit)
+		result, err := l.execute(ctx, w, v, emit)
 		refusal, ok := err.(*magno.Refusal) //nolint:errorlint // once returns it bare
-		if !ok || refusal.Kind != magno.KindLoading || refusal.Run != magno.RunNo || try == restarts || ctx.Err() != nil {
+		if !ok || refusal.Kind != magno.KindLoading || refusal.Run != magno.RunNo || try == maxOffers || ctx.Err() != nil {
 			return result, err
 		}
 		// The upstream no longer has the adapter: it restarted, and the probe
@@ -251,15 +251,15 @@
 	}
 }
 
-// once runs work that may start.
-func (l *Loop) once(ctx context.Context, w magno.Work, v verdict, emit func(magno.Piece)) (magno.Result, error) {
-	l.Events.Add("start", w.Job.ID, fmt.Sprintf("ref=%s queue=%d stall=%d", w.Job.Ref, v.queue, v.stall))
+// execute runs work that may start.
+func (l *Loop) execute(ctx context.Context, w magno.Work, v decision, emit func(magno.Piece)) (magno.Result, error) {
+	l.Events.Add("start", w.Job.ID, fmt.Sprintf("ref=%s queue=%d stall=%d", w.Job.Ref, v.queueTime, v.stallTime))
 	result, err := l.Upstream.Run(ctx, w, func(p magno.Piece) {
-		l.note(func() { l.Sched.Tokens(w.Job.ID, p.Tokens) })
+		l.postUpdate(func() { l.Scheduler.Tokens(w.Job.ID, p.Tokens) })
 		emit(p)
 	})
-	result.Queue = v.queue
-	result.Stall = v.stall
+	result.Queue = v.queueTime
+	result.Stall = v.stallTime
 	if err == nil && result.Ref != w.Job.Ref {
 		err = magno.Refuse(magno.KindInternal, "the upstream ran %s instead of %s", result.Ref, w.Job.Ref).Ran(magno.RunYes)
 	}
@@ -270,91 +270,91 @@
 
 // done ends a job that was started.
 func (l *Loop) done(job magno.Job, err error) {
-	l.Sched.Done(job.ID, err == nil)
+	l.Scheduler.Done(job.ID, err == nil)
 	refusal, ok := err.(*magno.Refusal) //nolint:errorlint // once gives it bare
 	if !ok || refusal.Kind != magno.KindInterrupted || job.Print == 0 {
 		return
 	}
-	if len(l.cut) == 0 {
-		l.cutAt = l.Clock.Now()
+	if len(l.cutStreams) == 0 {
+		l.firstCutAt = l.Clock.Now()
 	}
-	l.cut = append(l.cut, job.Print)
+	l.cutStreams = append(l.cutStreams, job.Print)
 }
 
-// suspect takes all streams that were cut together for suspects of one crash.
+// reportSuspects takes all streams that were cut together for suspects of one crash.
 // The probe would tell of the restart too late: by then the callers' second
 // attempts have crashed another upstream.
-func (l *Loop) suspect() {
-	if len(l.cut) == 0 || l.Clock.Now() < l.cutAt+cutSpan {
+func (l *Loop) reportSuspects() {
+	if len(l.cutStreams) == 0 || l.Clock.Now() < l.firstCutAt+crashWindow {
 		return
 	}
 	if l.Suspects != nil {
-		l.Suspects.RecordCrash(l.cut)
+		l.Suspects.RecordCrash(l.cutStreams)
 	}
-	l.Events.Add("suspect", "", fmt.Sprintf("streams=%d", len(l.cut)))
-	l.cut = nil
+	l.Events.Add("suspect", "", fmt.Sprintf("streams=%d", len(l.cutStreams)))
+	l.cutStreams = nil
 }
 
 // offer waits until the job may start or is refused.
-func (l *Loop) offer(ctx context.Context, job magno.Job) verdict {
-	p := &pending{ref: job.Ref, verdict: make(chan verdict, 1)}
-	if !l.post(func() { l.take(job, p) }) {
-		return verdict{refusal: stopped()}
+func (l *Loop) offer(ctx context.Context, job magno.Job) decision {
+	p := &pending{ref: job.Ref, decision: make(chan decision, 1)}
+	if !l.post(func() { l.enqueue(job, p) }) {
+		return decision{refusal: endedRefusal()}
 	}
 	select {
-	case v := <-p.verdict:
+	case v := <-p.decision:
 		return v
 	case <-l.ended:
-		return l.last(p)
+		return l.finalDecision(p)
 	case <-ctx.Done():
 	}
 	l.post(func() {
 		if l.waiting[job.ID] == p {
-			l.Sched.Cancel(job.ID)
-			l.tell(job.ID, magno.Refuse(magno.KindCancelled, "the caller went away").Ran(magno.RunNo))
+			l.Scheduler.Cancel(job.ID)
+			l.resolve(job.ID, magno.Refuse(magno.KindCancelled, "the caller went away").Ran(magno.RunNo))
 		}
 	})
 	select {
-	case v := <-p.verdict:
+	case v := <-p.decision:
 		return v
 	case <-l.ended:
-		return l.last(p)
+		return l.finalDecision(p)
 	}
 }
 
-// last is the verdict of a job when the loop has ended: what it was told, or
+// finalDecision is the verdict of a job when the loop has ended: what it was told, or
 // else that it will not run.
-func (l *Loop) last(p *pending) verdict {
+func (l *Loop) finalDecision(p *pending) decision {
 	select {
-	case v := <-p.verdict:
+	case v := <-p.decision:
 		return v
 	default:
-		return verdict{refusal: stopped()}
+		return decision{refusal: endedRefusal()}
 	}
 }
 
-// take offers a job to the scheduler.
-func (l *Loop) take(job magno.Job, p *pending) {
+// enqueue offers a job to the scheduler.
+func (l *Loop) enqueue(job magno.Job, p *pending) {
 	if l.waiting[job.ID] != nil {
 		// A peer that sends one attempt twice would leave the first without a
 		// verdict, waiting until the loop ends.
 		refusal := magno.Refuse(magno.KindInternal, "the attempt %s waits here already", job.ID)
-		p.verdict <- verdict{refusal: refusal.Ran(magno.RunNo)}
+		p.decision <- decision{refusal: refusal.Ran(magno.RunNo)}
 		return
 	}
-	p.offered = l.Clock.Now()
+	p.offeredAt = l.Clock.Now()
 	l.waiting[job.ID] = p
-	if refusal := l.Sched.Offer(job); refusal != nil {
-		l.tell(job.ID, refusal)
+	if refusal := l.Scheduler.Offer(job); refusal != nil {
+		l.resolve(job.ID, refusal)
 	}
 }
 
-// arrived notes when the jobs that wait for ref got it: from here on they
+// markLoaded notes when the jobs that wait for ref got it: from here on they
 // wait for a place, which is no load stall.
-func (l *Loop) arrived(ref magno.Ref) {
+func (l *Loop) markLoaded(ref magno.Ref) {
 	for _, p := range l.waiting {
-		if p.ref == ref && p.loaded == 0 {
-			p.loaded = l.Clock.Now()
+		if p.ref == ref && p.loadedAt == 0 {
+			p.loadedAt = l.Clock.Now()
 		}
 	}
 }
--- a/agent/loop/loop_test.go
+++ b/agent/loop/loop_test.go
@@ -108,25 +108,25 @@
 func (e *engine) Unload(context.Context, magno.Ref, int64) error       { return nil }
 func (e *engine) Probe(context.Context) (magno.Probe, error)           { return magno.Probe{}, nil }
 
-func well(_ context.Context, w magno.Work) (magno.Result, error) {
+func succeed(_ context.Context, w magno.Work) (magno.Result, error) {
 	return magno.Result{Ref: w.Job.Ref}, nil
 }
 
-// untilEnd runs until its caller goes away.
-func untilEnd(ctx context.Context, _ magno.Work) (magno.Result, error) {
+// runUntilCancelled runs until its caller goes away.
+func runUntilCancelled(ctx context.Context, _ magno.Work) (magno.Result, error) {
 	<-ctx.Done()
 	return magno.Result{}, magno.Refuse(magno.KindCancelled, "the request was cancelled")
 }
 
-// bench is a loop that runs until end is called.
-type bench struct {
+// fixture is a loop that runs until end is called.
+type fixture struct {
 	*Loop
 	sched *fifo
 	eng   *engine
 	end   func()
 }
 
-func start(t *testing.T, sched *fifo, eng *engine) *bench {
+func start(t *testing.T, sched *fifo, eng *engine) *fixture {
 	t.Helper()
 	sched.running = map[string]bool{}
 	if sched.held == nil {
@@ -134,23 +134,23 @@
 	}
 	sched.width = max(sched.width, 1)
 	if eng.run == nil {
-		eng.run = well
+		eng.run = succeed
 	}
 	if eng.load == nil {
 		eng.load = func(context.Context) error { return nil }
 	}
 	l := New()
-	l.Clock, l.Sched, l.Upstream, l.Log = &magno.Clock{}, sched, eng, slog.New(slog.DiscardHandler)
+	l.Clock, l.Scheduler, l.Upstream, l.Log = &magno.Clock{}, sched, eng, slog.New(slog.DiscardHandler)
 	l.Suspects = &crash.Suspects{Clock: l.Clock}
 	ctx, cancel := context.WithCancel(context.Background())
 	go func() { _ = l.Run(ctx) }()
 	end := func() { cancel(); <-l.ended }
 	t.Cleanup(end)
-	return &bench{Loop: l, sched: sched, eng: eng, end: end}
+	return &fixture{Loop: l, sched: sched, eng: eng, end: end}
 }
 
 // do runs a job and gives its refusal, nil for an answer.
-func (b *bench) do(ctx context.Context, id string) chan *magno.Refusal {
+func (b *fixture) do(ctx context.Context, id string) chan *magno.Refusal {
 	got := make(chan *magno.Refusal, 1)
 	go func() {
 		_, err := b.Do(ctx, magno.Work{Job: magno.Job{ID: id, Print: uint64(len(id))}}, func(magno.Piece) {})
@@ -160,8 +160,8 @@
 	return got
 }
 
-// until waits for a condition, a minute at most.
-func until(t *testing.T, what string, met func() bool) {
+// await waits for a condition, a minute at most.
+func await(t *testing.T, what string, met func() bool) {
 	t.Helper()
 	for end := time.Now().Add(time.Minute); !met(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
@@ -170,9 +170,9 @@
 	}
 }
 
-func (b *bench) counts(t *testing.T, queued, running int) {
+func (b *fixture) awaitBacklog(t *testing.T, queued, running int) {
 	t.Helper()
-	until(t, "jobs queued and running", func() bool {
+	await(t, "jobs queued and running", func() bool {
 		got := b.Backlog()
 		return got.Queued == queued && got.Running == running
 	})
@@ -189,19 +189,19 @@
 // must never reach the engine, and both places must be free for others: kept,
 // they would add up until nothing starts any more.
 func TestCancel(t *testing.T) {
-	b := start(t, &fifo{}, &engine{run: untilEnd})
+	b := start(t, &fifo{}, &engine{run: runUntilCancelled})
 	running, cancelRunning := context.WithCancel(context.Background())
 	queued, cancelQueued := context.WithCancel(context.Background())
 	first := b.do(running, "first")
-	b.counts(t, 0, 1)
+	b.awaitBacklog(t, 0, 1)
 	second := b.do(queued, "second")
-	b.counts(t, 1, 1)
+	b.awaitBacklog(t, 1, 1)
 	cancelQueued()
 	expect(t, <-second, magno.KindCancelled, magno.RunNo)
-	b.counts(t, 0, 1)
+	b.awaitBacklog(t, 0, 1)
 	cancelRunning()
 	expect(t, <-first, magno.KindCancelled, magno.RunUnknown)
-	b.counts(t, 0, 0)
+	b.awaitBacklog(t, 0, 0)
 	if len(b.eng.ran) != 1 {
 		t.Errorf("ran %v", b.eng.ran)
 	}
@@ -224,7 +224,7 @@
 		run     magno.Run
 	}{
 		{"back after one", []*magno.Refusal{unloaded, nil}, nil, 2, "", ""},
-		{"never back", []*magno.Refusal{unloaded}, nil, restarts, magno.KindLoading, magno.RunNo},
+		{"never back", []*magno.Refusal{unloaded}, nil, maxOffers, magno.KindLoading, magno.RunNo},
 		{"perhaps begun", []*magno.Refusal{begun, nil}, nil, 1, magno.KindLoading, magno.RunUnknown},
 		{"the scheduler's word", nil, unloaded, 1, magno.KindLoading, magno.RunNo},
 	}
@@ -237,7 +237,7 @@
 			if answer != nil {
 				return magno.Result{}, answer
 			}
-			return well(context.Background(), w)
+			return succeed(context.Background(), w)
 		}}
 		b := start(t, &fifo{refuse: tt.refuse}, eng)
 		expect(t, <-b.do(context.Background(), tt.name), tt.kind, tt.run)
@@ -251,16 +251,16 @@
 // The agent's process ends while jobs run and wait. Everyone who waits must
 // hear that the job won't run, or callers sit until their deadline for nothing.
 func TestEndAnswersEveryone(t *testing.T) {
-	b := start(t, &fifo{}, &engine{run: untilEnd})
+	b := start(t, &fifo{}, &engine{run: runUntilCancelled})
 	ctx, cancel := context.WithCancel(context.Background())
 	first := b.do(ctx, "first")
-	b.counts(t, 0, 1)
+	b.awaitBacklog(t, 0, 1)
 	const most = 50
 	var waiting []chan *magno.Refusal
 	for i := range most {
 		waiting = append(waiting, b.do(context.Background(), string(rune('A'+i))))
 		if i == most/2 {
-			b.counts(t, most/2+1, 1)
+			b.awaitBacklog(t, most/2+1, 1)
 			go b.end()
 		}
 	}
@@ -285,9 +285,9 @@
 		<-ctx.Done()
 		return ctx.Err()
 	}})
-	b.post(func() { b.limit = time.Millisecond })
+	b.post(func() { b.orderTimeout = time.Millisecond })
 	expect(t, <-b.do(context.Background(), "first"), magno.KindLoading, magno.RunNo)
-	b.post(func() { b.limit = orderLimit })
+	b.post(func() { b.orderTimeout = defaultOrderTimeout })
 	expect(t, <-b.do(context.Background(), "second"), "", "")
 }
 
@@ -302,13 +302,13 @@
 		return magno.Result{}, cut
 	}})
 	one, two := b.do(context.Background(), "x"), b.do(context.Background(), "yy")
-	b.counts(t, 0, 2)
+	b.awaitBacklog(t, 0, 2)
 	close(both)
 	expect(t, <-one, magno.KindInterrupted, magno.RunUnknown)
 	expect(t, <-two, magno.KindInterrupted, magno.RunUnknown)
-	until(t, "suspects", func() bool { return b.Suspects.MustRunAlone(1) && b.Suspects.MustRunAlone(2) })
+	await(t, "suspects", func() bool { return b.Suspects.MustRunAlone(1) && b.Suspects.MustRunAlone(2) })
 	expect(t, <-b.do(context.Background(), "x"), magno.KindInterrupted, magno.RunUnknown)
-	until(t, "the one that was alone", func() bool { return b.Suspects.MustRefuse(1) })
+	await(t, "the one that was alone", func() bool { return b.Suspects.MustRefuse(1) })
 	if b.Suspects.MustRefuse(2) {
 		t.Error("a stream beside the crash is refused")
 	}
@@ -323,7 +323,7 @@
 	expect(t, <-b.do(context.Background(), "x"), magno.KindInternal, magno.RunYes)
 	c := start(t, &fifo{held: map[magno.Ref]bool{}, turns: true}, &engine{})
 	first := c.do(context.Background(), "x")
-	c.counts(t, 1, 0)
+	c.awaitBacklog(t, 1, 0)
 	expect(t, <-c.do(context.Background(), "x"), magno.KindInternal, magno.RunNo)
 	c.Load(context.Background(), magno.Minute)
 	expect(t, <-first, "", "")
@@ -340,7 +340,7 @@
 	}
 	b.post(func() { b.sched.turn = false })
 	job := b.do(context.Background(), "x")
-	until(t, "a wish", func() bool { _, _, ok := b.Want(context.Background()); return ok })
+	await(t, "a wish", func() bool { _, _, ok := b.Want(context.Background()); return ok })
 	over := make(chan struct{})
 	go func() { defer close(over); b.Load(context.Background(), magno.Minute) }()
 	loads <- struct{}{}
--- a/agent/loop/order.go
+++ b/agent/loop/order.go
@@ -12,30 +12,30 @@
 // order sends a load or an unload and posts its end. The deadline is the
 // agent's own: an upstream that never answers would hold the slot for ever.
 func (l *Loop) order(ctx context.Context, order magno.Order) {
-	l.orders++
+	l.ordersInFlight++
 	if order.Kind == magno.OrderLoad {
-		l.loads++
+		l.loadsInFlight++
 	}
-	ctx, cancel := context.WithTimeout(ctx, l.limit)
+	ctx, cancel := context.WithTimeout(ctx, l.orderTimeout)
 	go func() {
 		defer cancel()
 		begin := l.Clock.Now()
-		err := l.send(ctx, order)
+		err := l.callUpstream(ctx, order)
 		took := l.Clock.Now() - begin
-		l.ring <- func() { l.ordered(order, took, err); l.decide = true } // Run waits for it
+		l.steps <- func() { l.orderEnded(order, took, err); l.needsDecision = true } // Run waits for it
 	}()
 }
 
-func (l *Loop) send(ctx context.Context, order magno.Order) error {
+func (l *Loop) callUpstream(ctx context.Context, order magno.Order) error {
 	if order.Kind == magno.OrderUnload {
 		return l.Upstream.Unload(ctx, order.Ref, l.Fence)
 	}
 	return l.Upstream.Load(ctx, order.Ref, l.Fence)
 }
 
-func (l *Loop) ordered(order magno.Order, took magno.Millis, err error) {
-	l.orders--
-	l.ordersAt = l.Clock.Now()
+func (l *Loop) orderEnded(order magno.Order, took magno.Millis, err error) {
+	l.ordersInFlight--
+	l.lastOrderAt = l.Clock.Now()
 	text := fmt.Sprintf("ref=%s took=%d ok=%t", order.Ref, took, err == nil)
 	l.Events.Add(string(order.Kind), "", text)
 	metrics.GetOrCreateCounter(fmt.Sprintf(`magno_orders_total{order=%q,ok="%t"}`, order.Kind, err == nil)).Inc()
@@ -43,15 +43,15 @@
 		l.Log.Warn("order", "kind", order.Kind, "ref", order.Ref.String(), "error", err)
 	}
 	if order.Kind == magno.OrderLoad {
-		l.loads--
-		l.turnOver()
-		l.Sched.Loaded(order.Ref, err == nil)
+		l.loadsInFlight--
+		l.endTurn()
+		l.Scheduler.Loaded(order.Ref, err == nil)
 		if err == nil {
-			l.arrived(order.Ref)
+			l.markLoaded(order.Ref)
 		}
 		return
 	}
 	// A refused eviction leaves the slot as it was; Seen tells the scheduler
 	// what is truly loaded.
-	l.Sched.Unloaded(order.Ref)
+	l.Scheduler.Unloaded(order.Ref)
 }
--- a/agent/loop/state.go
+++ b/agent/loop/state.go
@@ -10,8 +10,8 @@
 // holds.
 func (l *Loop) Reset(probe magno.Probe) {
 	l.post(func() {
-		ran := l.Sched.Reset()
-		if tuner, ok := l.Sched.(magno.Tuner); ok {
+		ran := l.Scheduler.Reset()
+		if tuner, ok := l.Scheduler.(magno.Tuner); ok {
 			tuner.SetLimits(probe.Limits)
 			tuner.Adopt(probe.Loaded)
 		}
@@ -19,27 +19,27 @@
 	})
 }
 
-// Seen compares what the upstream says it holds with what the scheduler
+// Reconcile compares what the upstream says it holds with what the scheduler
 // believes. Where an order's end was lost, or somebody else gave one, starts
 // on an adapter that has gone would be refused for ever, and a slot that is
 // taken would be loaded into in vain. A report lags, so it counts only when
 // no order ended lately.
-func (l *Loop) Seen(probe magno.Probe) {
-	l.note(func() {
-		if l.orders > 0 || l.Clock.Now() < l.ordersAt+settled || l.agrees(probe.Loaded) {
+func (l *Loop) Reconcile(probe magno.Probe) {
+	l.postUpdate(func() {
+		if l.ordersInFlight > 0 || l.Clock.Now() < l.lastOrderAt+reportLag || l.holdsExactly(probe.Loaded) {
 			return
 		}
-		if tuner, ok := l.Sched.(magno.Tuner); ok {
+		if tuner, ok := l.Scheduler.(magno.Tuner); ok {
 			l.Events.Add("adopt", "", fmt.Sprintf("held=%d", len(probe.Loaded)))
 			tuner.Adopt(probe.Loaded)
-			l.decide = true
+			l.needsDecision = true
 		}
 	})
 }
 
-// agrees tells whether the scheduler holds just the adapters given.
-func (l *Loop) agrees(held []magno.Ref) bool {
-	known := l.Sched.Holds()
+// holdsExactly tells whether the scheduler holds just the adapters given.
+func (l *Loop) holdsExactly(held []magno.Ref) bool {
+	known := l.Scheduler.Holds()
 	for _, ref := range held {
 		if _, ok := known[ref]; !ok {
 			return false
@@ -51,7 +51,7 @@
 // SetWeights tells the customers' shares.
 func (l *Loop) SetWeights(weights map[string]float64) {
 	l.post(func() {
-		if tuner, ok := l.Sched.(magno.Tuner); ok {
+		if tuner, ok := l.Scheduler.(magno.Tuner); ok {
 			tuner.SetWeights(weights)
 		}
 	})
@@ -70,7 +70,7 @@
 // what only operators read.
 func (l *Loop) Holds() map[magno.Ref]bool {
 	got := make(chan map[magno.Ref]bool, 1)
-	l.note(func() { got <- l.Sched.Holds() })
+	l.postUpdate(func() { got <- l.Scheduler.Holds() })
 	select {
 	case holds := <-got:
 		return holds
--- a/agent/loop/turn.go
+++ b/agent/loop/turn.go
@@ -7,30 +7,30 @@
 	"magnoliastall.example/magno"
 )
 
-// turnUse is how long a turn may stay unused, in milliseconds: the wait that
+// turnUseTimeout is how long a turn may stay unused, in milliseconds: the wait that
 // it was for may have ended meanwhile, and others wait for it.
-const turnUse magno.Millis = 300
+const turnUseTimeout magno.Millis = 300
 
-// want is a scheduler's wish for a load.
-type want struct {
+// wantedLoad is a scheduler's wish for a load.
+type wantedLoad struct {
 	ref  magno.Ref
 	harm float64
 	ok   bool
 }
 
-// Wanting gives a value when jobs wait for adapters.
-func (l *Loop) Wanting() <-chan struct{} { return l.wanting }
+// LoadWanted gives a value when jobs wait for adapters.
+func (l *Loop) LoadWanted() <-chan struct{} { return l.loadWanted }
 
 // Want tells the load that the scheduler wants most; ok is false when it
 // wants none, or needs no turn.
 func (l *Loop) Want(ctx context.Context) (ref magno.Ref, harm float64, ok bool) {
-	turner, is := l.Sched.(magno.Turner)
+	turner, is := l.Scheduler.(magno.Turner)
 	if !is {
 		return magno.Ref{}, 0, false
 	}
-	got := make(chan want, 1)
+	got := make(chan wantedLoad, 1)
 	asked := l.post(func() {
-		var w want
+		var w wantedLoad
 		w.ref, w.harm, w.ok = turner.Want()
 		got <- w
 	})
@@ -49,16 +49,16 @@
 // Load lets the scheduler order one load and returns when it has ended, when
 // left has passed, or when the scheduler made no use of the turn.
 func (l *Loop) Load(ctx context.Context, left magno.Millis) {
-	turner, is := l.Sched.(magno.Turner)
+	turner, is := l.Scheduler.(magno.Turner)
 	if !is {
 		return
 	}
 	over := make(chan struct{})
 	l.post(func() {
-		l.loading = over
-		turner.Turn(l.Clock.Now() + min(left, turnUse))
+		l.turnEnded = over
+		turner.Turn(l.Clock.Now() + min(left, turnUseTimeout))
 	})
-	unused := time.NewTimer(turnUse.Span())
+	unused := time.NewTimer(turnUseTimeout.Span())
 	defer unused.Stop()
 	limit := time.NewTimer(left.Span())
 	defer limit.Stop()
@@ -67,7 +67,7 @@
 		case <-over:
 			return
 		case <-unused.C:
-			if !l.used(ctx, over) {
+			if !l.loadStarted(ctx, over) {
 				return
 			}
 		case <-limit.C:
@@ -80,13 +80,13 @@
 	}
 }
 
-// used tells whether a load is under way.
-func (l *Loop) used(ctx context.Context, over chan struct{}) bool {
+// loadStarted tells whether a load is under way.
+func (l *Loop) loadStarted(ctx context.Context, over chan struct{}) bool {
 	got := make(chan bool, 1)
 	l.post(func() {
-		busy := l.loads > 0
-		if !busy && l.loading == over {
-			l.loading = nil
+		busy := l.loadsInFlight > 0
+		if !busy && l.turnEnded == over {
+			l.turnEnded = nil
 		}
 		got <- busy
 	})
@@ -99,10 +99,10 @@
 	return false
 }
 
-// turnOver ends the wait of Load.
-func (l *Loop) turnOver() {
-	if l.loading != nil {
-		close(l.loading)
-		l.loading = nil
+// endTurn ends the wait of Load.
+func (l *Loop) endTurn() {
+	if l.turnEnded != nil {
+		close(l.turnEnded)
+		l.turnEnded = nil
 	}
 }
--- a/agent/probe/probe.go
+++ b/agent/probe/probe.go
@@ -11,19 +11,19 @@
 	"magnoliastall.example/magno"
 )
 
-// callLimit bounds one probe; an upstream that is slower counts as down.
-const callLimit = time.Second
+// probeTimeout bounds one probe; an upstream that is slower counts as down.
+const probeTimeout = time.Second
 
 // Probe asks the upstream at intervals. It implements magno.Duty.
 type Probe struct {
 	Upstream magno.Upstream
-	Every    magno.Millis
+	Interval magno.Millis
 	Log      *slog.Logger
-	// Restarted is called with the first answer and after each restart: the
+	// OnRestart is called with the first answer and after each restart: the
 	// upstream then holds just what the probe says.
-	Restarted func(p magno.Probe)
-	// Seen is called with every further answer.
-	Seen func(p magno.Probe)
+	OnRestart func(p magno.Probe)
+	// OnReport is called with every further answer.
+	OnReport func(p magno.Probe)
 
 	last atomic.Pointer[magno.Probe]
 	up   atomic.Bool
@@ -40,10 +40,10 @@
 
 // Run probes until ctx ends.
 func (p *Probe) Run(ctx context.Context) error {
-	ticker := time.NewTicker(p.Every.Span())
+	ticker := time.NewTicker(p.Interval.Span())
 	defer ticker.Stop()
 	for {
-		p.look(ctx)
+		p.poll(ctx)
 		select {
 		case <-ctx.Done():
 			return nil
@@ -52,8 +52,8 @@
 	}
 }
 
-func (p *Probe) look(ctx context.Context) {
-	call, cancel := context.WithTimeout(ctx, callLimit)
+func (p *Probe) poll(ctx context.Context) {
+	call, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	probe, err := p.Upstream.Probe(call)
 	if ctx.Err() != nil {
@@ -68,8 +68,8 @@
 	before := p.last.Swap(&probe)
 	if before == nil || before.Boot != probe.Boot {
 		p.Log.Info("upstream", "boot", probe.Boot, "held", len(probe.Loaded))
-		p.Restarted(probe)
+		p.OnRestart(probe)
 		return
 	}
-	p.Seen(probe)
+	p.OnReport(probe)
 }
--- a/agent/serve/serve.go
+++ b/agent/serve/serve.go
@@ -27,12 +27,12 @@
 	"magnoliastall.example/magno/wire"
 )
 
-// retryLeaving is when a caller may come back to another instance.
-const retryLeaving magno.Millis = 50
+// leavingRetryDelay is when a caller may come back to another instance.
+const leavingRetryDelay magno.Millis = 50
 
-// keyedSlack is how long after its deadline a keyed run may still end, in
+// keyedGrace is how long after its deadline a keyed run may still end, in
 // milliseconds. It bounds what a planned stop waits for.
-const keyedSlack = 30 * magno.Second
+const keyedGrace = 30 * magno.Second
 
 // Server answers calls. Fields are set before Register.
 type Server struct {
@@ -42,8 +42,8 @@
 	Events *event.Ring
 	// Suspects is shared with the scheduler.
 	Suspects *crash.Suspects
-	// Version returns the configuration version in force.
-	Version func() int64
+	// ConfigVersion returns the configuration version in force.
+	ConfigVersion func() int64
 	// Retired tells whether ref is retired for an entry that decided by the
 	// configuration version given.
 	Retired func(ref magno.Ref, version int64) bool
@@ -53,8 +53,8 @@
 	// leaving is true once the instance takes no new work.
 	leaving atomic.Bool
 	drained atomic.Bool
-	// listed is true while the platform's list says that the instance leaves.
-	listed atomic.Bool
+	// listedLeaving is true while the platform's list says that the instance leaves.
+	listedLeaving atomic.Bool
 	// busy counts runs; a planned stop waits until it is zero.
 	busy atomic.Int64
 
@@ -74,17 +74,19 @@
 // Leave makes the agent refuse new work for good.
 func (s *Server) Leave() { s.leaving.Store(true) }
 
-// Drain sets whether operators have drained the instance.
-func (s *Server) Drain(drained bool) { s.drained.Store(drained) }
+// SetDrained sets whether operators have drained the instance.
+func (s *Server) SetDrained(drained bool) { s.drained.Store(drained) }
 
-// Listed sets whether the platform's list says that the instance leaves.
-func (s *Server) Listed(leaving bool) { s.listed.Store(leaving) }
+// SetListedLeaving sets whether the platform's list says that the instance leaves.
+func (s *Server) SetListedLeaving(leaving bool) { s.listedLeaving.Store(leaving) }
 
 // Drained tells whether operators have drained the instance.
 func (s *Server) Drained() bool { return s.drained.Load() }
 
 // Leaving tells whether new work is refused.
-func (s *Server) Leaving() bool { return s.leaving.Load() || s.drained.Load() || s.listed.Load() }
+func (s *Server) Leaving() bool {
+	return s.leaving.Load() || s.drained.Load() || s.listedLeaving.Load()
+}
 
 // Busy counts the runs under way.
 func (s *Server) Busy() int64 { return s.busy.Load() }
@@ -96,9 +98,9 @@
 	}
 	s.busy.Add(1)
 	defer s.busy.Add(-1)
-	reply := s.answer(ctx, peer, &call)
+	reply := s.dispatch(ctx, peer, &call)
 	reply.Backlog = s.Loop.Backlog()
-	reply.Config = s.Version()
+	reply.Config = s.ConfigVersion()
 	outcome := "ok"
 	if reply.Refusal != nil {
 		outcome = string(reply.Refusal.Kind)
@@ -107,27 +109,27 @@
 	return reply, nil
 }
 
-// answer refuses what must not be taken, then runs the rest.
-func (s *Server) answer(ctx context.Context, peer *wire.Peer, call *magno.RunCall) magno.RunReply {
+// dispatch refuses what must not be taken, then runs the rest.
+func (s *Server) dispatch(ctx context.Context, peer *wire.Peer, call *magno.RunCall) magno.RunReply {
 	if call.Key != "" {
 		return s.keyed(ctx, peer, call)
 	}
 	if refusal := s.refusal(call); refusal != nil {
-		return refuse(refusal)
+		return refusalReply(refusal)
 	}
-	s.arrive(call)
-	s.suspect(call)
+	s.setLocalTimes(call)
+	s.mergeCrashes(call)
 	ctx, cancel := context.WithTimeout(ctx, call.Left.Span())
 	defer cancel()
-	defer s.remember(call.Call, cancel)()
-	return s.once(ctx, peer, call)
+	defer s.registerCancel(call.Call, cancel)()
+	return s.execute(ctx, peer, call)
 }
 
 // refusal says why new work is not taken, nil when it is.
 func (s *Server) refusal(call *magno.RunCall) *magno.Refusal {
 	switch {
 	case s.Leaving():
-		return magno.Refuse(magno.KindLeaving, "the instance takes no new work").Later(retryLeaving)
+		return magno.Refuse(magno.KindLeaving, "the instance takes no new work").Later(leavingRetryDelay)
 	case !s.Ready():
 		return magno.Refuse(magno.KindStarting, "the agent has no upstream or configuration yet")
 	case s.Retired(call.Work.Job.Ref, call.Config):
@@ -138,14 +140,14 @@
 	return nil
 }
 
-// arrive puts the job's times in this process's clock.
-func (s *Server) arrive(call *magno.RunCall) {
+// setLocalTimes puts the job's times in this process's clock.
+func (s *Server) setLocalTimes(call *magno.RunCall) {
 	call.Work.Job.Arrived = s.Clock.Now()
 	call.Work.Job.Deadline = call.Work.Job.Arrived + call.Left
 }
 
-// suspect takes what the entry saw of the request.
-func (s *Server) suspect(call *magno.RunCall) {
+// mergeCrashes takes what the entry saw of the request.
+func (s *Server) mergeCrashes(call *magno.RunCall) {
 	print := call.Work.Job.Print
 	if call.Crashes == 0 || print == 0 {
 		return
@@ -166,18 +168,18 @@
 		BodyHash: xxhash.Sum64String(call.Work.Job.Profile + "\x00" + call.Work.Path + "\x00" + call.Work.Body),
 	}
 	if refusal := s.refusal(call); refusal != nil && !s.Ledger.Has(keyed) {
-		return refuse(refusal.Ran(magno.RunUnknown))
+		return refusalReply(refusal.Ran(magno.RunUnknown))
 	}
-	s.arrive(call)
-	s.suspect(call)
+	s.setLocalTimes(call)
+	s.mergeCrashes(call)
 	reply := s.Ledger.Do(ctx, keyed, func(run context.Context) magno.RunReply {
 		s.busy.Add(1)
 		defer s.busy.Add(-1)
 		// A run that was begun is let finish after the deadline, for its end
 		// is worth more to the caller who asks again than the place it holds.
-		run, cancel := context.WithTimeout(run, (call.Left + keyedSlack).Span())
+		run, cancel := context.WithTimeout(run, (call.Left + keyedGrace).Span())
 		defer cancel()
-		return s.once(run, peer, call)
+		return s.execute(run, peer, call)
 	})
 	if reply.Replay {
 		reply.Parts = 0
@@ -186,10 +188,10 @@
 	return reply
 }
 
-// once runs work on the upstream and streams its parts.
-func (s *Server) once(ctx context.Context, peer *wire.Peer, call *magno.RunCall) magno.RunReply {
+// execute runs work on the upstream and streams its parts.
+func (s *Server) execute(ctx context.Context, peer *wire.Peer, call *magno.RunCall) magno.RunReply {
 	parts := 0
-	stream := &gather.Gather{Clock: s.Clock, Send: func(p magno.Piece) {
+	stream := &gather.Coalescer{Clock: s.Clock, Send: func(p magno.Piece) {
 		parts++
 		// A part that can't be sent is no reason to stop: the reply says how
 		// many there were, and the entry notices the gap.
@@ -202,7 +204,7 @@
 	})
 	stream.Close()
 	if err != nil {
-		return refuse(asRefusal(err))
+		return refusalReply(asRefusal(err))
 	}
 	return magno.RunReply{Result: &result, Parts: parts, Sum: xxhash.Sum64String(result.Text)}
 }
@@ -210,7 +212,7 @@
 // ticket gives a key that only this process runs.
 func (s *Server) ticket(context.Context, *wire.Peer, json.RawMessage) (any, error) {
 	if s.Leaving() || !s.Ready() {
-		return nil, magno.Refuse(magno.KindLeaving, "the instance takes no new work").Later(retryLeaving)
+		return nil, magno.Refuse(magno.KindLeaving, "the instance takes no new work").Later(leavingRetryDelay)
 	}
 	key, err := ticket.NewKey()
 	if err != nil {
@@ -232,8 +234,8 @@
 	return struct{}{}, nil
 }
 
-// remember lets a call be cancelled until the returned function is called.
-func (s *Server) remember(call string, cancel context.CancelFunc) func() {
+// registerCancel lets a call be cancelled until the returned function is called.
+func (s *Server) registerCancel(call string, cancel context.CancelFunc) func() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.cancels[call] = cancel
@@ -244,7 +246,7 @@
 	}
 }
 
-func refuse(refusal *magno.Refusal) magno.RunReply { return magno.RunReply{Refusal: refusal} }
+func refusalReply(refusal *magno.Refusal) magno.RunReply { return magno.RunReply{Refusal: refusal} }
 
 func asRefusal(err error) *magno.Refusal {
 	var refusal *magno.Refusal
--- a/agent/site/site.go
+++ b/agent/site/site.go
@@ -19,8 +19,8 @@
 	_ "magnoliastall.example/platform"
 )
 
-// stopTime bounds a planned stop; nothing of a request passes this process.
-const stopTime = magno.Second
+// stopTimeout bounds a planned stop; nothing of a request passes this process.
+const stopTimeout = magno.Second
 
 // Main runs an agent on the named site and returns its exit code.
 func Main(name string) int { return start.Site("agent", name, run) }
@@ -33,7 +33,7 @@
 		log.Error("start", "error", err)
 		return start.ExitFailed
 	}
-	k := &keep.Keep{
+	k := &keep.Controller{
 		Self: set.Name, Engine: site.Engine(set.Upstream), Mesh: mesh, Clock: clock, Log: log, Fence: int64(clock.Now()),
 	}
 	k.Open()
@@ -44,7 +44,7 @@
 			Ready: func() bool { return true }, Status: func() any { return k.Self },
 			Events: &event.Ring{Process: set.Name, Size: 1},
 		}},
-		Log: log, Leave: k.Leave, Busy: func() int64 { return 0 }, Drain: stopTime, Reload: start.Reload(site, set, log),
+		Log: log, Leave: k.Leave, Busy: func() int64 { return 0 }, Drain: stopTimeout, Reload: start.Reload(site, set, log),
 	}
 	return d.Run()
 }
--- a/agent/turns/fuzz_test.go
+++ b/agent/turns/fuzz_test.go
@@ -15,20 +15,20 @@
 		f.Add([]byte(seed))
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
-		var a ask
-		var e ended
+		var a turnRequest
+		var e turnEnd
 		if json.Unmarshal(data, &a) != nil || json.Unmarshal(data, &e) != nil {
 			return
 		}
 		clock := magno.NewClock(magno.Hour)
-		k := newKeeper(&Turns{Clock: clock, Terms: func() (float64, int) { return 1, 1 }, Load: func() magno.Millis { return 1 }})
+		k := newCoordinator(&Turns{Clock: clock, LoadLimits: func() (float64, int) { return 1, 1 }, LoadTime: func() magno.Millis { return 1 }})
 		first, second := make(chan turn.Turn, 2), make(chan turn.Turn, 2)
-		k.take(a, first)
-		k.decide()
+		k.submit(a, first)
+		k.grant()
 		clock.Advance(magno.Second)
-		k.take(ask{Agent: "other"}, second)
-		k.decide()
-		k.kept.Release(e.ID)
+		k.submit(turnRequest{Agent: "other"}, second)
+		k.grant()
+		k.leases.Release(e.ID)
 		if len(first)+len(second) > 1 {
 			t.Errorf("%q: two turns", data)
 		}
--- a/agent/turns/turns.go
+++ b/agent/turns/turns.go
@@ -28,16 +28,16 @@
 
 // Figures of the exchange, in milliseconds.
 const (
-	// look is how long nothing is asked after a load was not wanted.
-	look magno.Millis = 20
-	// askWait is how long one call waits for its turn; then the ask is made
+	// retryPause is how long nothing is asked after a load was not wanted.
+	retryPause magno.Millis = 20
+	// requestWait is how long one call waits for its turn; then the ask is made
 	// again with the harm of that time.
-	askWait = magno.Second
-	// callSlack is the time beyond askWait after which the keeper counts as
+	requestWait = magno.Second
+	// callMargin is the time beyond askWait after which the keeper counts as
 	// unreachable.
-	callSlack magno.Millis = 500
-	// ringSize bounds asks on their way to the keeper's goroutine.
-	ringSize = 256
+	callMargin magno.Millis = 500
+	// stepQueueSize bounds asks on their way to the keeper's goroutine.
+	stepQueueSize = 256
 )
 
 // Turns asks for turns and keeps them. It implements magno.Duty; fields are
@@ -50,30 +50,30 @@
 	Mesh  *wire.Mesh
 	Fleet *fleet.Fleet
 	Log   *slog.Logger
-	// Terms returns what the weight store allows the pool now.
-	Terms func() (rate float64, width int)
-	// Load is the time of a load at full speed.
-	Load func() magno.Millis
-
-	keeper *keeper
-	// alone is when a load without a keeper's turn may begin.
-	alone magno.Millis
+	// LoadLimits returns what the weight store allows the pool now.
+	LoadLimits func() (rate float64, width int)
+	// LoadTime is the time of a load at full speed.
+	LoadTime func() magno.Millis
+
+	coordinator *coordinator
+	// fallbackAt is when a load without a keeper's turn may begin.
+	fallbackAt magno.Millis
 }
 
-// ask is the call of an agent that wants a turn.
-type ask struct {
-	Agent string    `json:"agent"`
-	Ref   magno.Ref `json:"ref"`
-	Harm  float64   `json:"harm"`
+// turnRequest is the call of an agent that wants a turn.
+type turnRequest struct {
+	Agent     string    `json:"agent"`
+	Ref       magno.Ref `json:"ref"`
+	DelayCost float64   `json:"harm"`
 }
 
-// given is its answer; a zero ID means that no turn came in time.
-type given struct {
+// turnReply is its answer; a zero ID means that no turn came in time.
+type turnReply struct {
 	Turn turn.Turn `json:"turn"`
 }
 
-// ended tells that a turn is over.
-type ended struct {
+// turnEnd tells that a turn is over.
+type turnEnd struct {
 	ID uint64 `json:"id"`
 }
 
@@ -82,20 +82,20 @@
 
 // Register names the handlers on the mesh and makes the keeper.
 func (t *Turns) Register() {
-	t.keeper = newKeeper(t)
+	t.coordinator = newCoordinator(t)
 	t.Mesh.Handle(magno.MethodTurn, func(ctx context.Context, _ *wire.Peer, params json.RawMessage) (any, error) {
-		var a ask
+		var a turnRequest
 		if err := json.Unmarshal(params, &a); err != nil {
 			return nil, magno.Refuse(magno.KindMalformed, "%v", err)
 		}
-		return given{Turn: t.keeper.wait(ctx, a)}, nil
+		return turnReply{Turn: t.coordinator.wait(ctx, a)}, nil
 	})
 	t.Mesh.Handle(magno.MethodTurnEnd, func(_ context.Context, _ *wire.Peer, params json.RawMessage) (any, error) {
-		var e ended
+		var e turnEnd
 		if err := json.Unmarshal(params, &e); err != nil {
 			return nil, magno.Refuse(magno.KindMalformed, "%v", err)
 		}
-		t.keeper.end(e.ID)
+		t.coordinator.release(e.ID)
 		return struct{}{}, nil
 	})
 }
@@ -105,37 +105,37 @@
 	kept := make(chan struct{})
 	go func() {
 		defer close(kept)
-		t.keeper.run(ctx)
+		t.coordinator.run(ctx)
 	}()
 	for ctx.Err() == nil {
 		select {
 		case <-ctx.Done():
-		case <-t.Loop.Wanting():
-			t.wanted(ctx)
+		case <-t.Loop.LoadWanted():
+			t.requestLoad(ctx)
 		}
 	}
 	<-kept
 	return nil
 }
 
-// wanted asks for a turn if a load could begin.
-func (t *Turns) wanted(ctx context.Context) {
+// requestLoad asks for a turn if a load could begin.
+func (t *Turns) requestLoad(ctx context.Context) {
 	ref, harm, ok := t.Loop.Want(ctx)
 	if ok {
-		t.one(ctx, ask{Agent: t.Self, Ref: ref, Harm: harm})
+		t.useTurn(ctx, turnRequest{Agent: t.Self, Ref: ref, DelayCost: harm})
 		return
 	}
-	magno.Pause(ctx, look)
+	magno.Pause(ctx, retryPause)
 }
 
-// one gets one turn and gives it back when the load that it was for has
+// useTurn gets useTurn turn and gives it back when the load that it was for has
 // ended. The keeper takes it back at its own deadline in any case.
-func (t *Turns) one(ctx context.Context, a ask) {
-	name, address := t.choose()
-	got, err := t.ask(ctx, name, address, a)
+func (t *Turns) useTurn(ctx context.Context, a turnRequest) {
+	name, address := t.selectCoordinator()
+	got, err := t.requestTurn(ctx, name, address, a)
 	if err != nil {
 		if ctx.Err() == nil {
-			t.byItself(ctx, err)
+			t.loadWithoutTurn(ctx, err)
 		}
 		return
 	}
@@ -143,52 +143,52 @@
 		return
 	}
 	t.Loop.Load(ctx, got.Left)
-	t.give(ctx, name, address, got.ID)
+	t.releaseTurn(ctx, name, address, got.ID)
 }
 
-func (t *Turns) ask(ctx context.Context, name, address string, a ask) (turn.Turn, error) {
+func (t *Turns) requestTurn(ctx context.Context, name, address string, a turnRequest) (turn.Turn, error) {
 	if name == t.Self {
-		ctx, cancel := context.WithTimeout(ctx, askWait.Span())
+		ctx, cancel := context.WithTimeout(ctx, requestWait.Span())
 		defer cancel()
-		return t.keeper.wait(ctx, a), nil
+		return t.coordinator.wait(ctx, a), nil
 	}
 	if address == "" {
 		return turn.Turn{}, errors.New("the list names no agent of the pool")
 	}
-	ctx, cancel := context.WithTimeout(ctx, (askWait + callSlack).Span())
+	ctx, cancel := context.WithTimeout(ctx, (requestWait + callMargin).Span())
 	defer cancel()
-	var g given
+	var g turnReply
 	err := t.Mesh.Call(ctx, address, magno.MethodTurn, a, &g)
 	return g.Turn, err
 }
 
-func (t *Turns) give(ctx context.Context, name, address string, id uint64) {
+func (t *Turns) releaseTurn(ctx context.Context, name, address string, id uint64) {
 	if name == t.Self {
-		t.keeper.end(id)
+		t.coordinator.release(id)
 		return
 	}
-	_ = t.Mesh.Notify(ctx, address, magno.MethodTurnEnd, ended{ID: id})
+	_ = t.Mesh.Notify(ctx, address, magno.MethodTurnEnd, turnEnd{ID: id})
 }
 
-// byItself loads without a turn, at this agent's static share of the rate: a
+// loadWithoutTurn loads without a turn, at this agent's static share of the rate: a
 // keeper that can't be reached must not stop all loads, and agents that each
 // took the whole rate would make the store refuse most of them.
-func (t *Turns) byItself(ctx context.Context, err error) {
+func (t *Turns) loadWithoutTurn(ctx context.Context, err error) {
 	now := t.Clock.Now()
-	if now < t.alone {
+	if now < t.fallbackAt {
 		return
 	}
-	rate, width := t.Terms()
-	k := turn.Coordinator{Clock: t.Clock, Rate: rate, MaxLoads: width, LoadTime: t.Load()}
-	t.alone = now + k.FallbackInterval(len(t.Fleet.LiveAgents(t.Pool)))
+	rate, width := t.LoadLimits()
+	k := turn.Coordinator{Clock: t.Clock, Rate: rate, MaxLoads: width, LoadTime: t.LoadTime()}
+	t.fallbackAt = now + k.FallbackInterval(len(t.Fleet.LiveAgents(t.Pool)))
 	t.Log.Info("turns", "keeper", "unreachable", "error", err)
 	metrics.GetOrCreateCounter(`magno_turns_total{from="share"}`).Inc()
 	t.Loop.Load(ctx, k.LeaseTime())
 }
 
-// choose returns the pool's keeper: the agent whose name hashes lowest, so
+// selectCoordinator returns the pool's keeper: the agent whose name hashes lowest, so
 // that it changes only when that agent comes or goes.
-func (t *Turns) choose() (name, address string) {
+func (t *Turns) selectCoordinator() (name, address string) {
 	least := ^uint64(0)
 	for _, in := range t.Fleet.LiveAgents(t.Pool) {
 		if h := xxhash.Sum64String(t.Pool + "\x00" + in.Name); h <= least {
--- a/agent/turns/turns_test.go
+++ b/agent/turns/turns_test.go
@@ -90,7 +90,7 @@
 	log, eng := slog.New(slog.DiscardHandler), &engine{}
 	f := &fleet.Fleet{URL: server.URL, Clock: &magno.Clock{}, Log: log}
 	l := loop.New()
-	l.Clock, l.Sched, l.Upstream, l.Log = &magno.Clock{}, &single{}, eng, log
+	l.Clock, l.Scheduler, l.Upstream, l.Log = &magno.Clock{}, &single{}, eng, log
 	mesh := &wire.Mesh{}
 	run(f)
 	run(l)
@@ -101,54 +101,54 @@
 	}
 	tr := &Turns{
 		Self: self, Pool: "p", Clock: clock, Loop: l, Mesh: mesh, Fleet: f, Log: log,
-		Terms: func() (float64, int) { return 1000, 1 }, Load: func() magno.Millis { return magno.Minute },
+		LoadLimits: func() (float64, int) { return 1000, 1 }, LoadTime: func() magno.Millis { return magno.Minute },
 	}
 	tr.Register()
 	run(mesh)
 	return tr, eng, run
 }
 
-// keeping is the keeper's goroutine as a duty.
-type keeping struct{ *keeper }
+// coordinatorDuty is the keeper's goroutine as a duty.
+type coordinatorDuty struct{ *coordinator }
 
-func (k keeping) Name() string                  { return "keeper" }
-func (k keeping) Run(ctx context.Context) error { k.run(ctx); return nil }
+func (k coordinatorDuty) Name() string                  { return "keeper" }
+func (k coordinatorDuty) Run(ctx context.Context) error { k.run(ctx); return nil }
 
-// warm takes the keeper past the quiet time with which it begins.
-func warm(t *testing.T, tr *Turns, run func(magno.Duty)) {
+// passQuietTime takes the keeper past the quiet time with which it begins.
+func passQuietTime(t *testing.T, tr *Turns, run func(magno.Duty)) {
 	t.Helper()
-	run(keeping{tr.keeper})
+	run(coordinatorDuty{tr.coordinator})
 	begun := make(chan struct{})
-	tr.keeper.ring <- func() {
-		tr.keeper.take(ask{Agent: "first"}, make(chan turn.Turn, 1))
-		tr.keeper.kept.Grant()
-		tr.keeper.kept.Cancel("first")
+	tr.coordinator.steps <- func() {
+		tr.coordinator.submit(turnRequest{Agent: "first"}, make(chan turn.Turn, 1))
+		tr.coordinator.leases.Grant()
+		tr.coordinator.leases.Cancel("first")
 		close(begun)
 	}
 	<-begun
 	tr.Clock.Advance(magno.Hour)
 }
 
-// awaited asks until a turn comes, a few times the keeper's own wait at most,
+// awaitTurn asks until a turn comes, a few times the keeper's own wait at most,
 // for a busy machine may let one wait pass.
-func awaited(tr *Turns, agent string) (got turn.Turn) {
+func awaitTurn(tr *Turns, agent string) (got turn.Turn) {
 	for n := 0; n < 20 && got.ID == 0; n++ {
-		got = tr.keeper.wait(context.Background(), ask{Agent: agent})
+		got = tr.coordinator.wait(context.Background(), turnRequest{Agent: agent})
 	}
 	return got
 }
 
 // The agent that keeps the turns is gone, and the list still names it. Loads
 // must go on at a small share, or callers of cold adapters wait for ever.
-func TestKeeperGone(t *testing.T) {
+func TestCoordinatorUnreachable(t *testing.T) {
 	tr, eng, run := agent(t, &magno.Clock{}, map[string]string{})
 	for _, name := range []string{"a", "b", "c", "d", "e", "f", "g", "h"} {
 		tr, eng, run = agent(t, &magno.Clock{}, map[string]string{name: "127.0.0.1:1"})
-		if keeper, _ := tr.choose(); keeper == name {
+		if keeper, _ := tr.selectCoordinator(); keeper == name {
 			break
 		}
 	}
-	if keeper, _ := tr.choose(); keeper == "self" {
+	if keeper, _ := tr.selectCoordinator(); keeper == "self" {
 		t.Fatal("no name hashes before self")
 	}
 	run(tr)
@@ -170,7 +170,7 @@
 	}{{"used", true, 1}, {"unused", false, 0}}
 	for _, tt := range tests {
 		tr, eng, run := agent(t, magno.NewClock(magno.Hour), nil)
-		warm(t, tr, run)
+		passQuietTime(t, tr, run)
 		ctx := context.Background()
 		if tt.wanted {
 			go func() { _, _ = tr.Loop.Do(ctx, magno.Work{Job: magno.Job{ID: "x"}}, func(magno.Piece) {}) }()
@@ -178,12 +178,12 @@
 				time.Sleep(time.Millisecond)
 			}
 		}
-		tr.one(ctx, ask{Agent: "self", Harm: 1})
+		tr.useTurn(ctx, turnRequest{Agent: "self", DelayCost: 1})
 		if eng.loads.Load() != tt.loads {
 			t.Errorf("%s: %d loads", tt.name, eng.loads.Load())
 		}
 		tr.Clock.Advance(magno.Second) // the rate's next load, not the lease's end
-		if got := awaited(tr, "other"); got.ID == 0 {
+		if got := awaitTurn(tr, "other"); got.ID == 0 {
 			t.Errorf("%s: the turn did not come back", tt.name)
 		}
 	}
@@ -191,21 +191,21 @@
 
 // An agent asks and dies while it waits. Its turn must go to the next agent
 // and not to nobody.
-func TestAskerGone(t *testing.T) {
+func TestRequesterGone(t *testing.T) {
 	tr, _, run := agent(t, magno.NewClock(magno.Hour), nil)
-	warm(t, tr, run)
-	held := awaited(tr, "a")
+	passQuietTime(t, tr, run)
+	held := awaitTurn(tr, "a")
 	gone, cancel := context.WithCancel(context.Background())
 	waited := make(chan turn.Turn, 1)
-	go func() { waited <- tr.keeper.wait(gone, ask{Agent: "b", Harm: 9}) }()
+	go func() { waited <- tr.coordinator.wait(gone, turnRequest{Agent: "b", DelayCost: 9}) }()
 	cancel()
 	if got := <-waited; held.ID == 0 || got.ID != 0 {
 		t.Fatalf("held %v, given %v", held, got)
 	}
 	tr.Clock.Advance(magno.Second)
 	next := make(chan turn.Turn, 1)
-	go func() { next <- awaited(tr, "c") }()
-	tr.keeper.end(held.ID)
+	go func() { next <- awaitTurn(tr, "c") }()
+	tr.coordinator.release(held.ID)
 	if got := <-next; got.Agent != "c" {
 		t.Errorf("the turn went to %q", got.Agent)
 	}
