--- a/agent/probe/probe.go
+++ b/agent/probe/probe.go
@@ -1,5 +1,5 @@
-// Package probe watches an agent's upstream: what it holds, and whether it
-// restarted.
+// Package probe polls an agent's upstream for the adapters that it holds and detects its
+// restarts.
 package probe
 
 import (
@@ -11,18 +11,18 @@
 	"magnoliastall.example/magno"
 )
 
-// probeTimeout bounds one probe; an upstream that is slower counts as down.
+// probeTimeout bounds one probe. An upstream that takes longer counts as down.
 const probeTimeout = time.Second
 
-// Probe asks the upstream at intervals. It implements magno.Duty.
+// Probe polls the upstream at a fixed interval. It implements magno.Duty.
 type Probe struct {
 	Upstream magno.Upstream
 	Interval magno.Millis
 	Log      *slog.Logger
-	// OnRestart is called with the first answer and after each restart: the
-	// upstream then holds just what the probe says.
+	// OnRestart is called with the first answer and with the first one after each restart, when
+	// the upstream holds exactly the adapters that the probe lists.
 	OnRestart func(p magno.Probe)
-	// OnReport is called with every further answer.
+	// OnReport is called with every other answer.
 	OnReport func(p magno.Probe)
 
 	last atomic.Pointer[magno.Probe]
@@ -32,13 +32,13 @@
 // Name implements magno.Duty.
 func (p *Probe) Name() string { return "probe" }
 
-// Up tells whether the upstream answered lately.
+// Up reports whether the upstream answered the latest probe.
 func (p *Probe) Up() bool { return p.up.Load() }
 
-// Last returns the latest answer, nil before the first.
+// Last returns the latest answer, or nil before the first.
 func (p *Probe) Last() *magno.Probe { return p.last.Load() }
 
-// Run probes until ctx ends.
+// Run polls the upstream until ctx is done.
 func (p *Probe) Run(ctx context.Context) error {
 	ticker := time.NewTicker(p.Interval.Span())
 	defer ticker.Stop()
@@ -60,14 +60,14 @@
 		return
 	}
 	if up := err == nil; p.up.Swap(up) != up {
-		p.Log.Info("upstream", "up", up, "error", err)
+		p.Log.Info("upstream availability changed", "up", up, "error", err)
 	}
 	if err != nil {
 		return
 	}
-	before := p.last.Swap(&probe)
-	if before == nil || before.Boot != probe.Boot {
-		p.Log.Info("upstream", "boot", probe.Boot, "held", len(probe.Loaded))
+	previous := p.last.Swap(&probe)
+	if previous == nil || previous.Boot != probe.Boot {
+		p.Log.Info("upstream started", "boot", probe.Boot, "held", len(probe.Loaded))
 		p.OnRestart(probe)
 		return
 	}
