--- a/agent/daemon/daemon.go
+++ b/agent/daemon/daemon.go
@@ -1,4 +1,4 @@
-// Package daemon assembles an agent.
+// Package daemon assembles the components of an agent.
 //
 //	platform --> reader, fleet --> Store ---------------+
 //	                                                    v
@@ -31,23 +31,22 @@
 	"magnoliastall.example/magno/start"
 	"magnoliastall.example/magno/witns"
 
-	// Plug-ins that settings name.
+	// Plug-ins that can be selected in the settings.
 	_ "magnoliastall.example/magno/model"
 	_ "magnoliastall.example/magno/plain"
 	_ "magnoliastall.example/magno/sched"
 )
 
-// Figures of an agent.
 const (
-	// witnessTimeout bounds a round of asking witnesses, in milliseconds: several
-	// round trips between data centres, and short enough that a caller on
-	// the line still gets its answer when one of them is cut off.
+	// witnessTimeout bounds a round of requests to the witnesses. It allows for several round
+	// trips between data centres, and lets a caller still get its answer in time if one of the
+	// data centres is cut off.
 	witnessTimeout magno.Millis = 250
-	// maxLedgerBytes is the most text of answers kept for replay.
+	// maxLedgerBytes bounds the text of the answers that are kept for replay.
 	maxLedgerBytes = 32 << 20
 )
 
-// agent is the process, put together.
+// agent holds the components of the process.
 type agent struct {
 	*proc.Process
 	opts    *option.Option
@@ -58,11 +57,11 @@
 	witness *witns.Witness
 	turns   *turns.Turns
 	history history
-	// witnessStart is when the witness's memory was empty.
+	// witnessStart is when the witness started, without any keys.
 	witnessStart magno.Millis
 }
 
-// Main runs an agent and returns its exit code.
+// Main runs an agent and returns the exit code of the process.
 func Main(args []string) int {
 	opts := option.Default()
 	if code, ok := start.Options("agent", args, opts); !ok {
@@ -71,7 +70,7 @@
 	log := start.Log(os.Stdout, opts.Name)
 	a, err := assemble(opts, log)
 	if err != nil {
-		log.Error("start", "error", err)
+		log.Error("agent failed to start", "error", err)
 		return start.ExitFailed
 	}
 	log.Info("listening", "addr", a.Mesh.Addr(), "pool", opts.Pool, "dc", opts.DataCentre)
@@ -81,9 +80,8 @@
 	return d.Run()
 }
 
-// assemble puts the parts together. The port is bound first: whoever holds it
-// commands the upstream, so a second agent for the same upstream ends here,
-// before it sends a single order.
+// assemble creates and connects the components. It binds the port first, which serves as a lock
+// on the upstream: a second agent for the same upstream fails here, before it sends an order.
 func assemble(opts *option.Option, log *slog.Logger) (*agent, error) {
 	a := &agent{opts: opts, Process: &proc.Process{
 		Self: magno.Instance{Name: opts.Name, Role: magno.RoleAgent, DataCentre: opts.DataCentre,
@@ -94,7 +92,8 @@
 		return nil, err
 	}
 	a.Follow = a.applyConfig
-	// Each start gets a higher fence than the one before, as clocks go.
+	// The fence is the time of the start, so that a later start has a higher one unless the clock
+	// was set back.
 	fence := int64(a.Clock.Now())
 	if err := a.openUpstream(fence); err != nil {
 		return nil, err
@@ -117,9 +116,9 @@
 	return a, nil
 }
 
-// applyListedState takes what the platform's list says of this instance. An entry that
-// is cut off from the list would go on sending work to an instance that is
-// about to be taken away; the agent itself refuses it.
+// applyListedState applies the state of this instance in the platform's list. An entry that is
+// cut off from the list would go on sending work to an instance that is about to be removed, so
+// the agent itself refuses it.
 func (a *agent) applyListedState() {
 	list, _ := a.Fleet.PlatformList()
 	for _, in := range list {
@@ -129,32 +128,32 @@
 	}
 }
 
-// openUpstream makes the loop and the probe of the openUpstream.
+// openUpstream creates the loop and the probe of the upstream.
 func (a *agent) openUpstream(fence int64) error {
-	made, err := magno.Plugin(magno.SortUpstream, a.opts.Kind)
+	plugin, err := magno.Plugin(magno.SortUpstream, a.opts.Kind)
 	if err != nil {
 		return err
 	}
-	up, ok := made.(magno.Upstream)
+	up, ok := plugin.(magno.Upstream)
 	if !ok {
-		return errors.Newf("plug-in %q is no upstream", a.opts.Kind)
+		return errors.Newf("plug-in %q does not implement magno.Upstream", a.opts.Kind)
 	}
-	if addressed, ok := made.(magno.Addressed); ok {
+	if addressed, ok := plugin.(magno.Addressed); ok {
 		addressed.SetAddress(a.opts.Upstream, fence)
 	}
-	if made, err = magno.Plugin(magno.SortScheduler, a.opts.Scheduler); err != nil {
+	if plugin, err = magno.Plugin(magno.SortScheduler, a.opts.Scheduler); err != nil {
 		return err
 	}
-	sched, ok := made.(magno.Scheduler)
+	sched, ok := plugin.(magno.Scheduler)
 	if !ok {
-		return errors.Newf("plug-in %q is no scheduler", a.opts.Scheduler)
+		return errors.Newf("plug-in %q does not implement magno.Scheduler", a.opts.Scheduler)
 	}
-	if tuner, ok := made.(magno.Tuner); ok {
+	if tuner, ok := plugin.(magno.Tuner); ok {
 		tuner.SetClock(a.Clock)
 		tuner.SetTurns(a.opts.Kind == string(magno.PoolEngine))
 	}
-	if sharer, ok := made.(interface{ SetSuspects(*crash.Suspects) }); ok {
-		sharer.SetSuspects(a.Suspects)
+	if user, ok := plugin.(interface{ SetSuspects(*crash.Suspects) }); ok {
+		user.SetSuspects(a.Suspects)
 	}
 	a.loop = loop.New()
 	a.loop.Clock, a.loop.Scheduler, a.loop.Upstream, a.loop.Fence = a.Clock, sched, up, fence
@@ -163,8 +162,8 @@
 	return nil
 }
 
-// openLedger makes the memory of idempotency openLedger. Each key has several witnesses and
-// one home, so a witness holds as many times the openLedger of a ledger.
+// openLedger creates the ledger of idempotency keys and the witness. Each key has one home and
+// roster.SetSize witnesses, so a witness holds that many times the keys of a ledger.
 func (a *agent) openLedger() {
 	retention, skew := magno.Millis(a.opts.Retention), magno.Millis(a.opts.Skew)
 	a.witness = &witns.Witness{Self: a.opts.Name, Clock: a.Clock, Retention: retention, MaxSkew: skew,
@@ -178,14 +177,16 @@
 	}
 }
 
-// Terms that hold where the configuration names none.
+// Load limits of a pool for which the configuration states none, and the load time of an upstream
+// that reports none.
 const (
 	defaultLoadRate              = 1.0
 	defaultMaxLoads              = 1
 	defaultLoadTime magno.Millis = 500
 )
 
-// loadLimits is what the weight store allows the pool.
+// loadLimits returns the loads per second and the number of concurrent loads that the weight
+// store allows the pool.
 func (a *agent) loadLimits() (rate float64, width int) {
 	if now := a.Store.Current(); now != nil {
 		if p, ok := now.Pool(a.opts.Pool); ok && p.LoadRate > 0 {
@@ -195,7 +196,7 @@
 	return defaultLoadRate, defaultMaxLoads
 }
 
-// loadTime is the time of a load at full speed, as the upstream states it.
+// loadTime returns the time of a load at full speed, as the upstream reports it.
 func (a *agent) loadTime() magno.Millis {
 	if p := a.probe.Last(); p != nil && p.Limits.Load > 0 {
 		return p.Limits.Load
@@ -203,27 +204,28 @@
 	return defaultLoadTime
 }
 
-// retired tells whether ref is retired for an entry with that version.
+// retired reports whether ref must be refused as retired to an entry that has the given version
+// of the configuration.
 func (a *agent) retired(ref magno.Ref, version int64) bool {
 	return a.history.outdated(version, a.Clock.Now()) && a.Store.Retired(ref)
 }
 
-// leave begins a planned stop. Peers hear of it from here, seconds before the
-// platform's list tells them.
+// leave starts a planned stop and announces it to the peers, seconds before they learn it from
+// the platform's list.
 func (a *agent) leave() {
 	a.server.Leave()
 	a.Node.Leave()
 }
 
-// ready tells whether new work can be taken.
+// ready reports whether the agent can accept new work.
 func (a *agent) ready() bool {
 	return a.Node.Synced() && a.probe.Last() != nil
 }
 
-// witnessReady tells whether keys issued now are ones that this process's witness
-// can give: those issued before or shortly after its start it must refuse,
-// for an earlier process in the slot may have given them away. A fleet that
-// starts all at once would refuse its first calls if it were ready sooner.
+// witnessReady reports whether the witness of this process can grant keys that are issued now.
+// It has to refuse keys issued before or shortly after its start, because an earlier process of
+// the instance may have granted them. If agents were ready sooner, a fleet that starts all at once
+// would refuse its first calls.
 func (a *agent) witnessReady() bool {
 	return a.Clock.Now() > a.witnessStart+2*magno.Millis(a.opts.Skew)
 }
@@ -236,7 +238,7 @@
 	})
 }
 
-// applyConfig brings a new version to the parts that keep a copy.
+// applyConfig passes a new version of the configuration to the components that keep a copy.
 func (a *agent) applyConfig(snap *config.Snapshot) {
 	a.history.add(snap.Version, a.Clock.Now())
 	weights := map[string]float64{}
@@ -246,7 +248,7 @@
 	a.loop.SetWeights(weights)
 	drained := snap.Drained(a.opts.Name)
 	if drained != a.server.Drained() {
-		a.Log.Info("drained", "value", drained)
+		a.Log.Info("drain state changed", "value", drained)
 	}
 	a.server.SetDrained(drained)
 	a.Events.Add("config", "", fmt.Sprintf("version=%d drained=%t", snap.Version, drained))
--- a/agent/daemon/history.go
+++ b/agent/daemon/history.go
@@ -6,23 +6,21 @@
 	"magnoliastall.example/magno"
 )
 
-// Figures of the grace for entries that are behind.
 const (
-	// maxVersions covers the grace many times over at 54,000 changes a day.
+	// maxVersions covers staleVersionGrace many times over at 54,000 changes a day.
 	maxVersions = 64
-	// staleVersionGrace is how long an entry may decide by a version that this
-	// agent has already replaced, in milliseconds: the time within which a
-	// change is to be in force everywhere.
+	// staleVersionGrace is how long an entry may still use a version that this agent has already
+	// replaced. It is the time within which a change has to be in force everywhere.
 	staleVersionGrace = 4 * magno.Second
 )
 
-// history remembers when the latest versions came into force here. Without it
-// each change that retires something would refuse the requests of all entries
-// that hear of it some milliseconds later than the agent; with no limit, an
-// entry that is cut off would run retired versions for as long.
+// history records when the latest versions came into force here. If there were no grace, each
+// change that retires a version would fail the requests of all entries that learn of it some
+// milliseconds later than the agent. If the grace were unlimited, an entry that is cut off would
+// run retired versions for as long as it is.
 type history struct {
 	mu sync.Mutex
-	// versions is in ascending order, at most versionsKept long.
+	// versions is in ascending order and has at most maxVersions elements.
 	versions []activation
 }
 
@@ -40,8 +38,8 @@
 	}
 }
 
-// outdated tells whether whoever has version missed its successor for longer than
-// the limit.
+// outdated reports whether the successor of version came into force longer than
+// staleVersionGrace ago.
 func (h *history) outdated(version int64, now magno.Millis) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/agent/daemon/history_test.go
+++ b/agent/daemon/history_test.go
@@ -6,9 +6,9 @@
 	"magnoliastall.example/magno"
 )
 
-// An operator retires a version. Entries hear of it a moment after the agent
-// and must not lose their requests for that; an entry that is cut off must not
-// run it for long, or receipts are read by what was retired for a reason.
+// An operator retires a version. Entries that learn of it a moment after the agent must not lose
+// requests because of that, but an entry that is cut off must not run the retired version for
+// long, as it may have been retired because its answers are wrong.
 func TestHistoryGivesEntriesTheTimeToFollow(t *testing.T) {
 	h := &history{}
 	h.add(1, 1000)
@@ -27,10 +27,10 @@
 	}
 	for _, tt := range tests {
 		if got := h.outdated(tt.version, 0); got {
-			t.Errorf("version %d is late at once", tt.version)
+			t.Errorf("version %d is outdated at once", tt.version)
 		}
 		if got := h.outdated(tt.version, tt.now); got != tt.late {
-			t.Errorf("version %d at %d: late %t", tt.version, tt.now, got)
+			t.Errorf("version %d at %d: outdated %t", tt.version, tt.now, got)
 		}
 	}
 }
--- a/agent/daemon/status.go
+++ b/agent/daemon/status.go
@@ -7,7 +7,7 @@
 	"magnoliastall.example/magno/config"
 )
 
-// Status is an agent's state, as its administration API gives it.
+// Status is the state of an agent as the administration API returns it.
 type Status struct {
 	Name       string        `json:"name"`
 	Role       magno.Role    `json:"role"`
@@ -20,14 +20,14 @@
 	Drained    bool          `json:"drained"`
 	Config     config.Status `json:"config"`
 	Backlog    magno.Backlog `json:"backlog"`
-	// Held lists the adapters in slots, Pinned those in use.
+	// Held lists the adapters in slots, Pinned those of them that are in use.
 	Held   []string `json:"held"`
 	Pinned []string `json:"pinned"`
-	// Busy counts runs, Keys and Grants what the ledger and the witness hold.
+	// Busy counts runs under way, Keys the keys in the ledger, Grants those in the witness.
 	Busy   int64 `json:"busy"`
 	Keys   int   `json:"keys"`
 	Grants int   `json:"grants"`
-	// Suspects counts requests that crashed upstreams or may have.
+	// Suspects counts requests that have crashed, or may have crashed, an upstream.
 	Suspects int          `json:"suspects"`
 	Probe    *magno.Probe `json:"probe,omitempty"`
 }
