--- a/agent/serve/serve.go
+++ b/agent/serve/serve.go
@@ -1,9 +1,8 @@
-// Package serve answers the calls that entries and other agents make to an
-// agent.
+// Package serve handles the calls from entries and other agents to an agent.
 //
 //	run -----> leaving? -> deadline -> ledger (calls with a key) -> loop -> upstream
 //	           parts <----------------------------------------------'
-//	cancel --> ends the context of a run
+//	cancel --> cancels the context of a run
 package serve
 
 import (
@@ -27,14 +26,14 @@
 	"magnoliastall.example/magno/wire"
 )
 
-// leavingRetryDelay is when a caller may come back to another instance.
+// leavingRetryDelay is how long a caller should wait before it tries another instance.
 const leavingRetryDelay magno.Millis = 50
 
-// keyedGrace is how long after its deadline a keyed run may still end, in
-// milliseconds. It bounds what a planned stop waits for.
+// keyedGrace is how long after its deadline a run with an idempotency key may continue. It bounds
+// how long a planned stop waits for such runs.
 const keyedGrace = 30 * magno.Second
 
-// Server answers calls. Fields are set before Register.
+// Server handles calls. Its fields must be set before Register.
 type Server struct {
 	Clock  *magno.Clock
 	Loop   *loop.Loop
@@ -42,28 +41,28 @@
 	Events *event.Ring
 	// Suspects is shared with the scheduler.
 	Suspects *crash.Suspects
-	// ConfigVersion returns the configuration version in force.
+	// ConfigVersion returns the version of the configuration in force.
 	ConfigVersion func() int64
-	// Retired tells whether ref is retired for an entry that decided by the
-	// configuration version given.
+	// Retired reports whether ref is retired for an entry that used the given version of the
+	// configuration.
 	Retired func(ref magno.Ref, version int64) bool
-	// Ready tells whether the upstream and the configuration are known.
+	// Ready reports whether the upstream and the configuration are known.
 	Ready func() bool
 
-	// leaving is true once the instance takes no new work.
+	// leaving is true once the instance accepts no new work.
 	leaving atomic.Bool
 	drained atomic.Bool
-	// listedLeaving is true while the platform's list says that the instance leaves.
+	// listedLeaving is true while the platform's list states that the instance is leaving.
 	listedLeaving atomic.Bool
-	// busy counts runs; a planned stop waits until it is zero.
+	// busy counts the runs under way. A planned stop waits until it is zero.
 	busy atomic.Int64
 
 	mu sync.Mutex
-	// cancels maps a call to the end of its context.
+	// cancels maps the ID of a call to the cancel function of its context.
 	cancels map[string]context.CancelFunc
 }
 
-// Register names the handlers on a mesh.
+// Register registers the handlers on a mesh.
 func (s *Server) Register(m *wire.Mesh) {
 	s.cancels = map[string]context.CancelFunc{}
 	m.Handle(magno.MethodRun, s.run)
@@ -71,24 +70,24 @@
 	m.Handle(magno.MethodTicket, s.ticket)
 }
 
-// Leave makes the agent refuse new work for good.
+// Leave makes the agent refuse new work permanently.
 func (s *Server) Leave() { s.leaving.Store(true) }
 
 // SetDrained sets whether operators have drained the instance.
 func (s *Server) SetDrained(drained bool) { s.drained.Store(drained) }
 
-// SetListedLeaving sets whether the platform's list says that the instance leaves.
+// SetListedLeaving sets whether the platform's list states that the instance is leaving.
 func (s *Server) SetListedLeaving(leaving bool) { s.listedLeaving.Store(leaving) }
 
-// Drained tells whether operators have drained the instance.
+// Drained reports whether operators have drained the instance.
 func (s *Server) Drained() bool { return s.drained.Load() }
 
-// Leaving tells whether new work is refused.
+// Leaving reports whether new work is refused.
 func (s *Server) Leaving() bool {
 	return s.leaving.Load() || s.drained.Load() || s.listedLeaving.Load()
 }
 
-// Busy counts the runs under way.
+// Busy returns the number of runs under way.
 func (s *Server) Busy() int64 { return s.busy.Load() }
 
 func (s *Server) run(ctx context.Context, peer *wire.Peer, params json.RawMessage) (any, error) {
@@ -109,7 +108,7 @@
 	return reply, nil
 }
 
-// dispatch refuses what must not be taken, then runs the rest.
+// dispatch refuses a call that must not be accepted and runs any other.
 func (s *Server) dispatch(ctx context.Context, peer *wire.Peer, call *magno.RunCall) magno.RunReply {
 	if call.Key != "" {
 		return s.keyed(ctx, peer, call)
@@ -125,7 +124,7 @@
 	return s.execute(ctx, peer, call)
 }
 
-// refusal says why new work is not taken, nil when it is.
+// refusal returns the reason why new work is refused, or nil if it is accepted.
 func (s *Server) refusal(call *magno.RunCall) *magno.Refusal {
 	switch {
 	case s.Leaving():
@@ -140,13 +139,13 @@
 	return nil
 }
 
-// setLocalTimes puts the job's times in this process's clock.
+// setLocalTimes sets the job's arrival and deadline by the clock of this process.
 func (s *Server) setLocalTimes(call *magno.RunCall) {
 	call.Work.Job.Arrived = s.Clock.Now()
 	call.Work.Job.Deadline = call.Work.Job.Arrived + call.Left
 }
 
-// mergeCrashes takes what the entry saw of the request.
+// mergeCrashes merges the number of crashes that the entry has counted for the request.
 func (s *Server) mergeCrashes(call *magno.RunCall) {
 	print := call.Work.Job.Print
 	if call.Crashes == 0 || print == 0 {
@@ -155,12 +154,11 @@
 	s.Suspects.Merge([]crash.Record{{Fingerprint: print, Crashes: call.Crashes, UpdatedAt: s.Clock.Now()}})
 }
 
-// keyed runs a call that may not be repeated. Its context is not the
-// connection's: when the entry goes away the run goes on, for the caller will
-// ask again and must find the answer. A key that is recorded here is answered
-// also while the agent leaves, since nobody else can answer for it; a new one
-// is turned away before it is recorded, and that says nothing of earlier
-// copies.
+// keyed runs a call with an idempotency key, which must not be executed twice. The run does not
+// end with the connection: if the entry disconnects it continues, because the caller will retry
+// and must get the answer. A call whose key is recorded here is answered also while the agent is
+// leaving, since no other instance can do so. A call with a new key is refused before the key is
+// recorded; as earlier copies of it may have run elsewhere, the refusal says RunUnknown.
 func (s *Server) keyed(ctx context.Context, peer *wire.Peer, call *magno.RunCall) magno.RunReply {
 	keyed := once.Call{
 		Key:      call.Key,
@@ -175,8 +173,8 @@
 	reply := s.Ledger.Do(ctx, keyed, func(run context.Context) magno.RunReply {
 		s.busy.Add(1)
 		defer s.busy.Add(-1)
-		// A run that was begun is let finish after the deadline, for its end
-		// is worth more to the caller who asks again than the place it holds.
+		// A run that has started may finish after the deadline: a retry of the caller can then
+		// be answered, which is worth more than the capacity that the run occupies.
 		run, cancel := context.WithTimeout(run, (call.Left + keyedGrace).Span())
 		defer cancel()
 		return s.execute(run, peer, call)
@@ -188,13 +186,13 @@
 	return reply
 }
 
-// execute runs work on the upstream and streams its parts.
+// execute runs work on the upstream and streams the parts of the result.
 func (s *Server) execute(ctx context.Context, peer *wire.Peer, call *magno.RunCall) magno.RunReply {
 	parts := 0
 	stream := &gather.Coalescer{Clock: s.Clock, Send: func(p magno.Piece) {
 		parts++
-		// A part that can't be sent is no reason to stop: the reply says how
-		// many there were, and the entry notices the gap.
+		// An error does not stop the run: the reply states the number of parts, so the entry
+		// detects a missing one.
 		_ = peer.Notify(ctx, magno.MethodPart, magno.RunPart{Call: call.Call, Seq: parts, Piece: p})
 	}}
 	result, err := s.Loop.Do(ctx, call.Work, func(p magno.Piece) {
@@ -209,7 +207,7 @@
 	return magno.RunReply{Result: &result, Parts: parts, Sum: xxhash.Sum64String(result.Text)}
 }
 
-// ticket gives a key that only this process runs.
+// ticket issues a key for calls that only this process runs.
 func (s *Server) ticket(context.Context, *wire.Peer, json.RawMessage) (any, error) {
 	if s.Leaving() || !s.Ready() {
 		return nil, magno.Refuse(magno.KindLeaving, "the instance takes no new work").Later(leavingRetryDelay)
@@ -234,7 +232,7 @@
 	return struct{}{}, nil
 }
 
-// registerCancel lets a call be cancelled until the returned function is called.
+// registerCancel makes a call cancellable until the returned function is called.
 func (s *Server) registerCancel(call string, cancel context.CancelFunc) func() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
