--- a/agent/ask/ask.go
+++ b/agent/ask/ask.go
@@ -1,5 +1,5 @@
-// Package ask carries questions about idempotency keys to the witnesses of
-// other instances.
+// Package ask sends grant requests for idempotency keys to the witnesses of other instances and
+// handles those that arrive.
 package ask
 
 import (
@@ -14,14 +14,14 @@
 	"magnoliastall.example/magno/witns"
 )
 
-// Asker implements magno.Asker and answers for the witness of this process.
+// Asker implements magno.Asker and serves the witness of this process.
 type Asker struct {
 	Mesh    *wire.Mesh
 	Fleet   *fleet.Fleet
 	Witness *witns.Witness
 }
 
-// Register names the handler on the mesh.
+// Register registers the handler on the mesh.
 func (a *Asker) Register() {
 	a.Mesh.Handle(magno.MethodGrant, func(_ context.Context, _ *wire.Peer, params json.RawMessage) (any, error) {
 		var call magno.GrantCall
@@ -32,15 +32,14 @@
 	})
 }
 
-// Ask implements magno.Asker. The process's own witness is asked without the
-// network.
+// Ask implements magno.Asker. It calls the witness of this process directly.
 func (a *Asker) Ask(ctx context.Context, member string, call magno.GrantCall) (magno.GrantReply, error) {
 	if member == a.Witness.Self {
 		return a.Witness.Grant(call), nil
 	}
 	in, ok := a.Fleet.Find(member)
 	if !ok {
-		return magno.GrantReply{}, errors.Newf("witness %s is on no list", member)
+		return magno.GrantReply{}, errors.Newf("witness %s is not in the instance list", member)
 	}
 	var reply magno.GrantReply
 	err := a.Mesh.Call(ctx, in.Address, magno.MethodGrant, call, &reply)
--- a/agent/ask/ask_test.go
+++ b/agent/ask/ask_test.go
@@ -8,8 +8,8 @@
 	"magnoliastall.example/magno/witns"
 )
 
-// FuzzGrant feeds a witness what an agent may send: it gives the key to one
-// holder, or says why to nobody, and a second holder never gets it too.
+// FuzzGrant sends arbitrary grant calls to a witness. The reply must name either a holder or a
+// reason, and once a key is granted, a second holder must not get it.
 func FuzzGrant(f *testing.F) {
 	for _, seed := range []string{
 		`{}`, `{"member": "w", "key": "0191e0f4-0000-7000-8000-000000000000", "holder": "a/1"}`,
--- a/agent/main.go
+++ b/agent/main.go
@@ -1,8 +1,7 @@
-// Command agent runs beside one upstream and is the only process that sends
-// it work and orders.
+// Command agent runs beside one upstream and is the only process that sends it work and orders.
 //
-//	agent [flags]      with settings of the product's own
-//	agent site NAME    on a platform that the plug-in of that name speaks for
+//	agent [flags]      configured by the settings of this system
+//	agent site NAME    configured by a platform, through the site plug-in NAME
 package main
 
 import (
--- a/agent/option/option.go
+++ b/agent/option/option.go
@@ -6,8 +6,8 @@
 	"magnoliastall.example/magno/setup"
 )
 
-// Option is what an agent is told at its start. Each field is a key of the
-// settings file and a flag.
+// Option holds the settings that an agent reads at its start. Each field is a key in the settings
+// file and a command-line flag.
 type Option struct {
 	Name       string   `json:"name" help:"name of the instance, the slot that outlives the process"`
 	DataCentre string   `json:"dc" help:"data centre of the instance"`
@@ -27,7 +27,7 @@
 	Ledger     int      `json:"ledger" help:"most idempotency keys that are remembered"`
 }
 
-// Default returns settings for one agent on this machine.
+// Default returns the settings of a single agent on the local machine.
 func Default() *Option {
 	return &Option{
 		Name: "agent", DataCentre: "local", Pool: "reading", Kind: string(magno.PoolEngine),
--- a/agent/option/option_test.go
+++ b/agent/option/option_test.go
@@ -7,11 +7,11 @@
 	"magnoliastall.example/magno/setup"
 )
 
-// Operators look the settings up on the page. A key, default or range that
-// the code no longer has would end their process at its next start.
+// Operators look up settings in OPERATIONS.md. A key or value that it documents but the code
+// rejects would keep their process from starting.
 func TestPage(t *testing.T) {
-	// The name is a link within the module: go test otherwise gives an old result
-	// again when the page alone has changed.
+	// The file is a symbolic link within the module: go test caches results and would otherwise
+	// not notice a change of the page alone.
 	text, err := os.ReadFile("testdata/OPERATIONS.md")
 	if err != nil {
 		t.Fatal(err)
--- a/agent/site/site.go
+++ b/agent/site/site.go
@@ -1,4 +1,4 @@
-// Package site assembles an agent on a platform that a plug-in speaks for.
+// Package site assembles an agent for a platform, which a site plug-in implements.
 //
 //	entries <--> mesh <--> keep <--> engine on this machine
 package site
@@ -15,14 +15,15 @@
 	"magnoliastall.example/magno/start"
 	"magnoliastall.example/magno/wire"
 
-	// The site that deployments name.
+	// The site plug-in of deployments.
 	_ "magnoliastall.example/platform"
 )
 
-// stopTimeout bounds a planned stop; nothing of a request passes this process.
+// stopTimeout bounds a planned stop. It is short because no request data passes through this
+// process.
 const stopTimeout = magno.Second
 
-// Main runs an agent on the named site and returns its exit code.
+// Main runs an agent on the named site and returns the exit code of the process.
 func Main(name string) int { return start.Site("agent", name, run) }
 
 func run(site magno.Site, set *magno.SiteSettings, out *lines.Writer) int {
@@ -30,7 +31,7 @@
 	clock := magno.NewSteady()
 	mesh := &wire.Mesh{Listen: net.JoinHostPort(set.IP, strconv.Itoa(set.Inner)), Allow: []string{start.Anyone}, Clock: clock, Log: log}
 	if err := mesh.Open(); err != nil {
-		log.Error("start", "error", err)
+		log.Error("agent failed to start", "error", err)
 		return start.ExitFailed
 	}
 	k := &keep.Controller{
