--- a/agent/gather/gather.go
+++ b/agent/gather/gather.go
@@ -1,10 +1,9 @@
-// Package gather joins the pieces of a stream that come close together into
-// one message.
+// Package gather coalesces pieces of a stream that arrive in quick succession into one message.
 //
-// The load is 13 million tokens a second at the peak. An engine makes a token
-// each few milliseconds, and a message of its own for each costs two processes
-// far more than the token itself. The first piece goes out at once, for a
-// caller waits for it; later ones wait for others, at most Window.
+// The peak load is 13 million tokens per second. An engine emits a token every few milliseconds,
+// and a separate message for each would cost two processes far more than the token itself. The
+// first piece is sent at once, because a caller waits for it; later ones are delayed by at most
+// Window.
 package gather
 
 import (
@@ -15,71 +14,71 @@
 	"magnoliastall.example/magno"
 )
 
-// Window is how long a piece may wait, in milliseconds: well under the 70 ms
-// between tokens that callers are promised, and four steps of today's engines.
+// Window is the longest delay of a piece. It is well below the 70 ms between tokens that callers
+// are promised, and spans four steps of current engines.
 const Window magno.Millis = 20
 
-// Coalescer joins pieces. Send is set before the first Add and called by one
-// goroutine at a time, in order.
+// Coalescer joins pieces. Send must be set before the first Add. It is called in order and never
+// concurrently.
 type Coalescer struct {
 	Clock *magno.Clock
 	Send  func(magno.Piece)
 
 	mu sync.Mutex
-	// text and tokens are what waits; tokens is zero when nothing does.
+	// text and tokens are the buffered pieces.
 	text   strings.Builder
 	tokens int
-	// last is when Send was last called; zero before.
-	last  magno.Millis
-	timer *time.Timer
-	// ended is true after Close: a timer that fires late sends nothing.
-	ended bool
+	// lastSend is when Send was last called, or zero before the first call.
+	lastSend magno.Millis
+	timer    *time.Timer
+	// closed is true after Close, so that a timer that fires later sends nothing.
+	closed bool
 }
 
-// Add takes a piece.
-func (g *Coalescer) Add(p magno.Piece) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.text.WriteString(p.Text)
-	g.tokens += p.Tokens
-	wait := g.last + Window - g.Clock.Now()
+// Add buffers a piece and sends the buffer if the last message is at least Window ago.
+func (c *Coalescer) Add(p magno.Piece) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.text.WriteString(p.Text)
+	c.tokens += p.Tokens
+	wait := c.lastSend + Window - c.Clock.Now()
 	if wait <= 0 {
-		g.flush()
+		c.flush()
 		return
 	}
-	if g.timer == nil {
-		g.timer = time.AfterFunc(wait.Span(), g.late)
+	if c.timer == nil {
+		c.timer = time.AfterFunc(wait.Span(), c.onTimer)
 	}
 }
 
-// Close sends what waits; nothing is sent after it.
-func (g *Coalescer) Close() {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.flush()
-	g.ended = true
+// Close sends the buffered pieces. Nothing is sent after it.
+func (c *Coalescer) Close() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.flush()
+	c.closed = true
 }
 
-// late sends what has waited for its time.
-func (g *Coalescer) late() {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if !g.ended {
-		g.flush()
+// onTimer is called by the timer and sends the buffered pieces.
+func (c *Coalescer) onTimer() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if !c.closed {
+		c.flush()
 	}
 }
 
-func (g *Coalescer) flush() {
-	if g.timer != nil {
-		g.timer.Stop()
-		g.timer = nil
+func (c *Coalescer) flush() {
+	if c.timer != nil {
+		c.timer.Stop()
+		c.timer = nil
 	}
-	if g.text.Len() == 0 {
+	if c.text.Len() == 0 {
 		return
 	}
-	p := magno.Piece{Text: g.text.String(), Tokens: g.tokens}
-	g.text.Reset()
-	g.tokens = 0
-	g.last = g.Clock.Now()
-	g.Send(p)
+	p := magno.Piece{Text: c.text.String(), Tokens: c.tokens}
+	c.text.Reset()
+	c.tokens = 0
+	c.lastSend = c.Clock.Now()
+	c.Send(p)
 }
--- a/agent/gather/gather_test.go
+++ b/agent/gather/gather_test.go
@@ -8,9 +8,8 @@
 	"magnoliastall.example/magno"
 )
 
-// Tokens come faster than messages should go out. The first must not wait,
-// none may be lost or change places, and what waits at the end must go out
-// before the answer is called whole.
+// Tokens arrive faster than messages should be sent. The first must be sent at once, none may be
+// lost or reordered, and Close must send the ones that are still buffered.
 func TestGatherKeepsAllInOrder(t *testing.T) {
 	clock := magno.NewClock(1_000_000)
 	var sent []magno.Piece
@@ -22,12 +21,12 @@
 		want.WriteString(text)
 		g.Add(magno.Piece{Text: text, Tokens: 1})
 		if i == 0 && len(sent) != 1 {
-			t.Fatal("the first piece waited")
+			t.Fatal("the first piece was not sent at once")
 		}
 		clock.Advance(step)
 	}
 	g.Close()
-	g.late() // a timer that fires after the end
+	g.onTimer() // a timer that fires after Close
 	var got strings.Builder
 	n := 0
 	for _, p := range sent {
