--- a/agent/loop/loop.go
+++ b/agent/loop/loop.go
@@ -1,11 +1,11 @@
-// Package loop carries out a scheduler's decisions for one upstream.
+// Package loop runs the event loop of a scheduler for one upstream and carries out its decisions.
 //
-//	serve ----Do----> ring --+--> loop: Scheduler.Offer, Next ... --+--> start: caller's goroutine runs the upstream
-//	probe --reset---> ring --|                                     |--> load, unload: a goroutine each
-//	loads --ended---> ring --+                                     +--> refuse: final answer at once
+//	serve ----Do----> steps --+--> loop: Scheduler.Offer, Next ... --+--> start: caller's goroutine runs the upstream
+//	probe --reset---> steps --|                                      |--> load, unload: a goroutine each
+//	loads --ended---> steps --+                                      +--> refuse: final answer at once
 //
-// One goroutine owns the scheduler, so that its decisions need no locks and
-// read like the single-threaded code that the experiments run.
+// One goroutine owns the scheduler, so that schedulers need no locks and the same single-threaded
+// code runs in simulations.
 package loop
 
 import (
@@ -20,91 +20,85 @@
 	"magnoliastall.example/magno/event"
 )
 
-// Figures of the loop.
 const (
-	// stepQueueSize bounds messages on their way to the scheduler; a full ring
-	// makes senders wait, which slows callers and not the engine.
+	// stepQueueSize bounds the queue of steps for the loop's goroutine. If it is full, senders
+	// block, which slows down callers but not the engine.
 	stepQueueSize = 1024
-	// tickInterval is how often the scheduler looks at deadlines while jobs wait and
-	// nothing else happens, in milliseconds: well under the shortest wait a
-	// caller states. While none waits the loop sleeps.
+	// tickInterval is how often the scheduler checks deadlines while jobs wait and nothing else
+	// happens. It is well below the shortest wait that callers allow. While no job waits, the loop
+	// sleeps.
 	tickInterval magno.Millis = 10
-	// defaultOrderTimeout ends an order that the upstream never answers, so that a
-	// slot in transition doesn't stay held by an order that is dead.
+	// defaultOrderTimeout bounds an order, so that one that the upstream never answers does not
+	// occupy a slot forever.
 	defaultOrderTimeout = 30 * time.Second
-	// crashWindow is the time within which streams cut by one crash end, in
-	// milliseconds.
+	// crashWindow is the time within which all streams that are interrupted by one crash end.
 	crashWindow magno.Millis = 20
-	// reportLag is how long after an order the upstream's report may lag, in
-	// milliseconds.
+	// reportLag is how long after an order the upstream's report may still show the state before
+	// it.
 	reportLag = 5 * magno.Second
-	// maxOffers is how often a job that the upstream didn't begin is offered
-	// again.
+	// maxOffers is how often a job is offered in total if the upstream does not start it.
 	maxOffers = 3
 )
 
 // Loop runs jobs on one upstream. It implements magno.Duty.
 type Loop struct {
-	// These fields are set before Run.
+	// These fields must be set before Run.
 	Clock     *magno.Clock
 	Scheduler magno.Scheduler
 	Upstream  magno.Upstream
-	// Fence grows with each start of an agent and goes with every order.
+	// Fence is sent with every order. Each start of an agent has a higher one.
 	Fence  int64
 	Events *event.Ring
 	Log    *slog.Logger
-	// Suspects is told of requests whose streams the upstream cut. It may be
-	// nil.
+	// Suspects records requests whose streams were interrupted by a crash. It may be nil.
 	Suspects *crash.Suspects
 
-	// orderTimeout is orderLimit but in tests.
+	// orderTimeout is defaultOrderTimeout except in tests.
 	orderTimeout time.Duration
 	steps        chan func()
 	// loadWanted holds one value while jobs wait for adapters.
 	loadWanted chan struct{}
-	// needsDecision is true when a step since the last decisions may change them.
-	// Only the loop's goroutine touches it.
+	// needsDecision is true if a step since the last call of Scheduler.Next may change its result.
+	// Only the loop's goroutine accesses it.
 	needsDecision bool
-	// ended is closed when Run returns; nothing is decided from then on.
+	// ended is closed when Run returns. There are no decisions after that.
 	ended chan struct{}
-	// waiting holds each job that was offered and has neither started nor
-	// been refused. Only the loop's goroutine touches it.
+	// waiting maps the ID of each job that has neither started nor been refused. Only the loop's
+	// goroutine accesses it.
 	waiting map[string]*pending
-	// cutStreams holds the fingerprints of streams that the upstream cutStreams at about
-	// the same time, since cutAt.
-	cutStreams []uint64
-	firstCutAt magno.Millis
-	// turnEnded ends the wait of Load; nil when nothing waits.
+	// interrupted holds the fingerprints of streams that were interrupted since firstInterruptedAt,
+	// presumably by the same crash.
+	interrupted        []uint64
+	firstInterruptedAt magno.Millis
+	// turnEnded is closed to end the wait in Load. It is nil if there is none.
 	turnEnded chan struct{}
-	// ordersInFlight counts load and unload goroutines that have not reported;
-	// ordersAt is when the last one did.
+	// ordersInFlight counts the loads and unloads under way; lastOrderAt is when the latest one
+	// ended.
 	ordersInFlight int
 	lastOrderAt    magno.Millis
-	// loadsInFlight counts those that are loadsInFlight.
+	// loadsInFlight counts the loads among ordersInFlight.
 	loadsInFlight int
-	// backlog is the scheduler's latest, for readers on other goroutines.
+	// backlog is the scheduler's latest backlog, for other goroutines.
 	backlog atomic.Pointer[magno.Backlog]
 }
 
-// pending is a job on its way to a start.
+// pending is a job that waits to be started.
 type pending struct {
 	ref magno.Ref
-	// offeredAt is when it came; loadedAt when its adapter was there, zero while
-	// it isn't.
+	// offeredAt is when the job was offered, loadedAt when its adapter was loaded, zero until then.
 	offeredAt, loadedAt magno.Millis
-	// decision takes exactly one value.
+	// decision receives exactly one value.
 	decision chan decision
 }
 
-// decision ends the wait of a job: it may start unless refusal is set.
+// decision ends the wait of a job. The job may start unless refusal is set.
 type decision struct {
 	refusal *magno.Refusal
-	// queueTime is the whole wait, stallTime the part of it that the adapter's load
-	// took.
+	// queueTime is the whole wait, stallTime the part of it spent on loading the adapter.
 	queueTime, stallTime magno.Millis
 }
 
-// New returns a loop ready for its fields.
+// New returns a loop whose exported fields have yet to be set.
 func New() *Loop {
 	return &Loop{
 		orderTimeout: defaultOrderTimeout,
@@ -115,8 +109,8 @@
 	}
 }
 
-// postUpdate hands over a step after which nothing need be decided. Tokens come by
-// the thousand a second, and deciding after each cost more than the tokens.
+// postUpdate queues a step that does not require a new decision. Thousands of token updates
+// arrive per second, and a decision after each cost more than the tokens themselves.
 func (l *Loop) postUpdate(step func()) {
 	select {
 	case l.steps <- step:
@@ -124,7 +118,7 @@
 	}
 }
 
-// post hands a step to the loop's goroutine; false means that it has ended.
+// post queues a step for the loop's goroutine. It returns false if the loop has ended.
 func (l *Loop) post(step func()) bool {
 	select {
 	case l.steps <- func() { step(); l.needsDecision = true }:
@@ -137,14 +131,14 @@
 // Name implements magno.Duty.
 func (l *Loop) Name() string { return "loop" }
 
-// Run decides until ctx ends, then waits for the orders under way.
+// Run runs the event loop until ctx is done, then waits for the orders under way.
 func (l *Loop) Run(ctx context.Context) error {
 	defer close(l.ended)
 	timer := time.NewTimer(tickInterval.Span())
 	defer timer.Stop()
 	for {
 		var due <-chan time.Time
-		if len(l.waiting) > 0 || len(l.cutStreams) > 0 {
+		if len(l.waiting) > 0 || len(l.interrupted) > 0 {
 			timer.Reset(tickInterval.Span())
 			due = timer.C
 		}
@@ -167,8 +161,8 @@
 	}
 }
 
-// drainSteps takes what else is in the ring, so that decisions are made on all that
-// is known and a burst costs one pass.
+// drainSteps executes all queued steps, so that a burst of them requires only one decision, which
+// is based on all of them.
 func (l *Loop) drainSteps() {
 	for range len(l.steps) {
 		step := <-l.steps
@@ -190,7 +184,7 @@
 	return magno.Refuse(magno.KindLeaving, "the agent has ended").Later(magno.Second)
 }
 
-// applyOrders carries out what the scheduler wants done.
+// applyOrders carries out the scheduler's orders.
 func (l *Loop) applyOrders(ctx context.Context) {
 	for _, order := range l.Scheduler.Next() {
 		switch order.Kind {
@@ -220,46 +214,46 @@
 		return
 	}
 	delete(l.waiting, id)
-	v := decision{refusal: refusal, queueTime: l.Clock.Now() - p.offeredAt}
+	d := decision{refusal: refusal, queueTime: l.Clock.Now() - p.offeredAt}
 	if p.loadedAt > 0 {
-		v.stallTime = p.loadedAt - p.offeredAt
+		d.stallTime = p.loadedAt - p.offeredAt
 	}
-	p.decision <- v
+	p.decision <- d
 }
 
-// Do runs work and returns its result, or a *magno.Refusal. It returns when
-// the work has ended, also when ctx ends before.
+// Do runs work and returns its result or a *magno.Refusal. It returns only after the work has
+// ended, even if ctx is done earlier.
 func (l *Loop) Do(ctx context.Context, w magno.Work, emit func(magno.Piece)) (magno.Result, error) {
 	id := w.Job.ID
 	for try := 1; ; try++ {
-		v := l.offer(ctx, w.Job)
-		if v.refusal != nil {
-			// The scheduler's word is final: offered again, a job that can't
-			// be loaded in time would wait as long once more.
-			l.Events.Add("refused", w.Job.ID, "kind="+string(v.refusal.Kind))
-			return magno.Result{}, v.refusal
+		d := l.offer(ctx, w.Job)
+		if d.refusal != nil {
+			// A refusal by the scheduler is final: if a job whose adapter cannot be loaded in time
+			// were offered again, it would wait as long once more.
+			l.Events.Add("refused", w.Job.ID, "kind="+string(d.refusal.Kind))
+			return magno.Result{}, d.refusal
 		}
-		result, err := l.execute(ctx, w, v, emit)
-		refusal, ok := err.(*magno.Refusal) //nolint:errorlint // once returns it bare
+		result, err := l.execute(ctx, w, d, emit)
+		refusal, ok := err.(*magno.Refusal) //nolint:errorlint // execute returns it unwrapped
 		if !ok || refusal.Kind != magno.KindLoading || refusal.Run != magno.RunNo || try == maxOffers || ctx.Err() != nil {
 			return result, err
 		}
-		// The upstream no longer has the adapter: it restarted, and the probe
-		// has not noticed yet. It did not begin, so the job may wait again.
+		// The upstream no longer has the adapter, because it has restarted and the probe has not
+		// detected that yet. It has not started the job, so the job may be offered again.
 		l.Events.Add("again", id, "reason="+string(refusal.Kind))
 		w.Job.ID = fmt.Sprintf("%s.%d", id, try)
 	}
 }
 
 // execute runs work that may start.
-func (l *Loop) execute(ctx context.Context, w magno.Work, v decision, emit func(magno.Piece)) (magno.Result, error) {
-	l.Events.Add("start", w.Job.ID, fmt.Sprintf("ref=%s queue=%d stall=%d", w.Job.Ref, v.queueTime, v.stallTime))
+func (l *Loop) execute(ctx context.Context, w magno.Work, d decision, emit func(magno.Piece)) (magno.Result, error) {
+	l.Events.Add("start", w.Job.ID, fmt.Sprintf("ref=%s queue=%d stall=%d", w.Job.Ref, d.queueTime, d.stallTime))
 	result, err := l.Upstream.Run(ctx, w, func(p magno.Piece) {
 		l.postUpdate(func() { l.Scheduler.Tokens(w.Job.ID, p.Tokens) })
 		emit(p)
 	})
-	result.Queue = v.queueTime
-	result.Stall = v.stallTime
+	result.Queue = d.queueTime
+	result.Stall = d.stallTime
 	if err == nil && result.Ref != w.Job.Ref {
 		err = magno.Refuse(magno.KindInternal, "the upstream ran %s instead of %s", result.Ref, w.Job.Ref).Ran(magno.RunYes)
 	}
@@ -268,42 +262,42 @@
 	return result, err
 }
 
-// done ends a job that was started.
+// done handles the end of a job that was started.
 func (l *Loop) done(job magno.Job, err error) {
 	l.Scheduler.Done(job.ID, err == nil)
-	refusal, ok := err.(*magno.Refusal) //nolint:errorlint // once gives it bare
+	refusal, ok := err.(*magno.Refusal) //nolint:errorlint // execute returns it unwrapped
 	if !ok || refusal.Kind != magno.KindInterrupted || job.Print == 0 {
 		return
 	}
-	if len(l.cutStreams) == 0 {
-		l.firstCutAt = l.Clock.Now()
+	if len(l.interrupted) == 0 {
+		l.firstInterruptedAt = l.Clock.Now()
 	}
-	l.cutStreams = append(l.cutStreams, job.Print)
+	l.interrupted = append(l.interrupted, job.Print)
 }
 
-// reportSuspects takes all streams that were cut together for suspects of one crash.
-// The probe would tell of the restart too late: by then the callers' second
-// attempts have crashed another upstream.
+// reportSuspects records all streams that were interrupted within crashWindow as suspects of the
+// same crash. The probe would detect the restart too late: by then, second attempts could have
+// crashed another upstream.
 func (l *Loop) reportSuspects() {
-	if len(l.cutStreams) == 0 || l.Clock.Now() < l.firstCutAt+crashWindow {
+	if len(l.interrupted) == 0 || l.Clock.Now() < l.firstInterruptedAt+crashWindow {
 		return
 	}
 	if l.Suspects != nil {
-		l.Suspects.RecordCrash(l.cutStreams)
+		l.Suspects.RecordCrash(l.interrupted)
 	}
-	l.Events.Add("suspect", "", fmt.Sprintf("streams=%d", len(l.cutStreams)))
-	l.cutStreams = nil
+	l.Events.Add("suspect", "", fmt.Sprintf("streams=%d", len(l.interrupted)))
+	l.interrupted = nil
 }
 
-// offer waits until the job may start or is refused.
+// offer offers a job to the scheduler and waits until it may start or is refused.
 func (l *Loop) offer(ctx context.Context, job magno.Job) decision {
 	p := &pending{ref: job.Ref, decision: make(chan decision, 1)}
 	if !l.post(func() { l.enqueue(job, p) }) {
 		return decision{refusal: endedRefusal()}
 	}
 	select {
-	case v := <-p.decision:
-		return v
+	case d := <-p.decision:
+		return d
 	case <-l.ended:
 		return l.finalDecision(p)
 	case <-ctx.Done():
@@ -315,29 +309,29 @@
 		}
 	})
 	select {
-	case v := <-p.decision:
-		return v
+	case d := <-p.decision:
+		return d
 	case <-l.ended:
 		return l.finalDecision(p)
 	}
 }
 
-// finalDecision is the verdict of a job when the loop has ended: what it was told, or
-// else that it will not run.
+// finalDecision returns the decision on a job after the loop has ended: the one that was sent, or
+// else a refusal.
 func (l *Loop) finalDecision(p *pending) decision {
 	select {
-	case v := <-p.decision:
-		return v
+	case d := <-p.decision:
+		return d
 	default:
 		return decision{refusal: endedRefusal()}
 	}
 }
 
-// enqueue offers a job to the scheduler.
+// enqueue passes a job to the scheduler.
 func (l *Loop) enqueue(job magno.Job, p *pending) {
 	if l.waiting[job.ID] != nil {
-		// A peer that sends one attempt twice would leave the first without a
-		// verdict, waiting until the loop ends.
+		// If a peer sends an attempt twice, the second must not replace the first, which would then
+		// wait until the loop ends.
 		refusal := magno.Refuse(magno.KindInternal, "the attempt %s waits here already", job.ID)
 		p.decision <- decision{refusal: refusal.Ran(magno.RunNo)}
 		return
@@ -349,8 +343,8 @@
 	}
 }
 
-// markLoaded notes when the jobs that wait for ref got it: from here on they
-// wait for a place, which is no load stall.
+// markLoaded records for the jobs that wait for ref that it is loaded. From then on they wait for
+// capacity, which does not count as load stall.
 func (l *Loop) markLoaded(ref magno.Ref) {
 	for _, p := range l.waiting {
 		if p.ref == ref && p.loadedAt == 0 {
--- a/agent/loop/loop_test.go
+++ b/agent/loop/loop_test.go
@@ -11,7 +11,7 @@
 	"magnoliastall.example/magno/crash"
 )
 
-// fifo is a scheduler that runs width jobs at once, first come first.
+// fifo is a scheduler that runs up to width jobs concurrently, in order of arrival.
 type fifo struct {
 	width   int
 	queue   []magno.Job
@@ -19,10 +19,10 @@
 	held    map[magno.Ref]bool
 	loading bool
 	orders  []magno.Order
-	// refuse is what Offer returns, offers counts its calls.
+	// refuse is the result of Offer, offers the number of its calls.
 	refuse *magno.Refusal
 	offers int
-	// turns is true when a load needs one; turn is the one given.
+	// turns is true if loads need turns; turn is true while there is one.
 	turns, turn bool
 }
 
@@ -89,7 +89,7 @@
 	return magno.Ref{}, 0, false
 }
 
-// engine runs what run and load say.
+// engine is an upstream whose calls are implemented by run and load.
 type engine struct {
 	run  func(ctx context.Context, w magno.Work) (magno.Result, error)
 	load func(ctx context.Context) error
@@ -112,7 +112,7 @@
 	return magno.Result{Ref: w.Job.Ref}, nil
 }
 
-// runUntilCancelled runs until its caller goes away.
+// runUntilCancelled runs until ctx is done.
 func runUntilCancelled(ctx context.Context, _ magno.Work) (magno.Result, error) {
 	<-ctx.Done()
 	return magno.Result{}, magno.Refuse(magno.KindCancelled, "the request was cancelled")
@@ -149,23 +149,23 @@
 	return &fixture{Loop: l, sched: sched, eng: eng, end: end}
 }
 
-// do runs a job and gives its refusal, nil for an answer.
+// do runs a job in the background. The channel receives its refusal, or nil for a result.
 func (b *fixture) do(ctx context.Context, id string) chan *magno.Refusal {
 	got := make(chan *magno.Refusal, 1)
 	go func() {
 		_, err := b.Do(ctx, magno.Work{Job: magno.Job{ID: id, Print: uint64(len(id))}}, func(magno.Piece) {})
-		refusal, _ := err.(*magno.Refusal) //nolint:errorlint // Do returns it bare
+		refusal, _ := err.(*magno.Refusal) //nolint:errorlint // Do returns it unwrapped
 		got <- refusal
 	}()
 	return got
 }
 
-// await waits for a condition, a minute at most.
+// await waits up to a minute for a condition.
 func await(t *testing.T, what string, met func() bool) {
 	t.Helper()
 	for end := time.Now().Add(time.Minute); !met(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("in vain: " + what)
+			t.Fatal("timed out waiting for: " + what)
 		}
 	}
 }
@@ -185,9 +185,9 @@
 	}
 }
 
-// Callers give up, one whose job waits and one whose job runs. The first job
-// must never reach the engine, and both places must be free for others: kept,
-// they would add up until nothing starts any more.
+// Two callers cancel, one whose job waits and one whose job runs. The waiting job must never reach
+// the engine, and the capacity of both must be released; otherwise it would leak until no job
+// could start.
 func TestCancel(t *testing.T) {
 	b := start(t, &fifo{}, &engine{run: runUntilCancelled})
 	running, cancelRunning := context.WithCancel(context.Background())
@@ -207,16 +207,15 @@
 	}
 }
 
-// An engine restarts and its slots are empty, but the agent has not noticed.
-// The engine refuses the job unbegun; the caller should see a wait, no error.
-// What the scheduler itself refuses is refused at once.
+// An engine has restarted with empty slots and the agent has not detected it. The engine refuses a
+// job before it starts; the caller should get a delay, not an error. A refusal by the scheduler
+// itself is final.
 func TestOfferedAgain(t *testing.T) {
 	unloaded := magno.Refuse(magno.KindLoading, "not loaded")
 	begun := magno.Refuse(magno.KindLoading, "lost").Ran(magno.RunUnknown)
 	tests := []struct {
 		name string
-		// answers are the engine's, the last for ever; refuse is the
-		// scheduler's.
+		// answers are the engine's, of which the last one repeats; refuse is the scheduler's.
 		answers []*magno.Refusal
 		refuse  *magno.Refusal
 		offers  int
@@ -248,8 +247,8 @@
 	}
 }
 
-// The agent's process ends while jobs run and wait. Everyone who waits must
-// hear that the job won't run, or callers sit until their deadline for nothing.
+// The agent stops while jobs run and wait. Every waiting job must be refused at once; otherwise
+// callers would wait in vain until their deadline.
 func TestEndAnswersEveryone(t *testing.T) {
 	b := start(t, &fifo{}, &engine{run: runUntilCancelled})
 	ctx, cancel := context.WithCancel(context.Background())
@@ -273,8 +272,8 @@
 	expect(t, <-first, magno.KindCancelled, magno.RunUnknown)
 }
 
-// The weight store hangs and the engine never answers an order to load. The
-// slot must come free again; otherwise each such order takes one for good.
+// The weight store hangs and the engine never answers a load order. The slot must be released;
+// otherwise each such order would occupy one forever.
 func TestOrderWithoutAnswer(t *testing.T) {
 	hang := true
 	b := start(t, &fifo{held: map[magno.Ref]bool{}}, &engine{load: func(ctx context.Context) error {
@@ -291,9 +290,8 @@
 	expect(t, <-b.do(context.Background(), "second"), "", "")
 }
 
-// A request crashes its engine and cuts every stream beside it. The one that
-// was alone is refused after its second time; those beside it are suspects and
-// no more, or an innocent caller would be turned away.
+// A request crashes its engine, which interrupts all concurrent streams. They become suspects. A
+// request that crashes the engine again while it runs alone is refused; the others must not be.
 func TestCutStreamsAreSuspects(t *testing.T) {
 	cut := magno.Refuse(magno.KindInterrupted, "cut")
 	both := make(chan struct{})
@@ -308,14 +306,14 @@
 	expect(t, <-two, magno.KindInterrupted, magno.RunUnknown)
 	await(t, "suspects", func() bool { return b.Suspects.MustRunAlone(1) && b.Suspects.MustRunAlone(2) })
 	expect(t, <-b.do(context.Background(), "x"), magno.KindInterrupted, magno.RunUnknown)
-	await(t, "the one that was alone", func() bool { return b.Suspects.MustRefuse(1) })
+	await(t, "the request that ran alone to be refused", func() bool { return b.Suspects.MustRefuse(1) })
 	if b.Suspects.MustRefuse(2) {
-		t.Error("a stream beside the crash is refused")
+		t.Error("a request that only ran beside the culprit is refused")
 	}
 }
 
-// An engine that runs another version than was asked for gives a good-looking
-// answer; a peer that sends an attempt twice must not leave the first waiting.
+// An engine that runs another adapter than requested returns a plausible answer, which must be
+// refused. A peer that sends an attempt twice must not leave the first one waiting.
 func TestWrongAnswers(t *testing.T) {
 	b := start(t, &fifo{}, &engine{run: func(context.Context, magno.Work) (magno.Result, error) {
 		return magno.Result{Ref: magno.Ref{Adapter: "other"}}, nil
@@ -329,18 +327,18 @@
 	expect(t, <-first, "", "")
 }
 
-// A turn is for one load. It is over when the load has ended, and soon when
-// nothing wants a load any more: others wait for it.
+// A turn is for one load. It ends with the load, or shortly after it was given if no load is needed
+// any more, because other agents wait for it.
 func TestTurn(t *testing.T) {
 	loads := make(chan struct{})
 	b := start(t, &fifo{held: map[magno.Ref]bool{}, turns: true}, &engine{load: func(context.Context) error { <-loads; return nil }})
-	b.Load(context.Background(), magno.Minute) // nobody wants it
+	b.Load(context.Background(), magno.Minute) // no load is needed
 	if _, _, ok := b.Want(context.Background()); ok {
 		t.Error("wants a load without a job")
 	}
 	b.post(func() { b.sched.turn = false })
 	job := b.do(context.Background(), "x")
-	await(t, "a wish", func() bool { _, _, ok := b.Want(context.Background()); return ok })
+	await(t, "a wanted load", func() bool { _, _, ok := b.Want(context.Background()); return ok })
 	over := make(chan struct{})
 	go func() { defer close(over); b.Load(context.Background(), magno.Minute) }()
 	loads <- struct{}{}
--- a/agent/loop/order.go
+++ b/agent/loop/order.go
@@ -9,8 +9,8 @@
 	"magnoliastall.example/magno"
 )
 
-// order sends a load or an unload and posts its end. The deadline is the
-// agent's own: an upstream that never answers would hold the slot for ever.
+// order sends a load or an unload and posts its end. It has a timeout because an upstream that
+// never answers would occupy the slot forever.
 func (l *Loop) order(ctx context.Context, order magno.Order) {
 	l.ordersInFlight++
 	if order.Kind == magno.OrderLoad {
@@ -51,7 +51,7 @@
 		}
 		return
 	}
-	// A refused eviction leaves the slot as it was; Seen tells the scheduler
-	// what is truly loaded.
+	// An unload that failed has no effect on the slot. Reconcile later informs the scheduler of
+	// what is really loaded.
 	l.Scheduler.Unloaded(order.Ref)
 }
--- a/agent/loop/state.go
+++ b/agent/loop/state.go
@@ -6,8 +6,7 @@
 	"magnoliastall.example/magno"
 )
 
-// Reset tells that the upstream started: what it states of itself and what it
-// holds.
+// Reset handles a start of the upstream. The probe has its limits and the adapters that it holds.
 func (l *Loop) Reset(probe magno.Probe) {
 	l.post(func() {
 		ran := l.Scheduler.Reset()
@@ -19,11 +18,11 @@
 	})
 }
 
-// Reconcile compares what the upstream says it holds with what the scheduler
-// believes. Where an order's end was lost, or somebody else gave one, starts
-// on an adapter that has gone would be refused for ever, and a slot that is
-// taken would be loaded into in vain. A report lags, so it counts only when
-// no order ended lately.
+// Reconcile corrects the scheduler's view if the adapters that the upstream reports differ from
+// it. They differ if the result of an order was lost or if another process gave one. Without the
+// correction, starts on an adapter that is gone would always be refused, and loads into an
+// occupied slot would always fail. Reports lag, so they are ignored until reportLag after the
+// latest order.
 func (l *Loop) Reconcile(probe magno.Probe) {
 	l.postUpdate(func() {
 		if l.ordersInFlight > 0 || l.Clock.Now() < l.lastOrderAt+reportLag || l.holdsExactly(probe.Loaded) {
@@ -37,7 +36,7 @@
 	})
 }
 
-// holdsExactly tells whether the scheduler holds just the adapters given.
+// holdsExactly reports whether the adapters that the scheduler considers loaded are those in held.
 func (l *Loop) holdsExactly(held []magno.Ref) bool {
 	known := l.Scheduler.Holds()
 	for _, ref := range held {
@@ -48,7 +47,7 @@
 	return len(known) == len(held)
 }
 
-// SetWeights tells the customers' shares.
+// SetWeights sets the customers' weights.
 func (l *Loop) SetWeights(weights map[string]float64) {
 	l.post(func() {
 		if tuner, ok := l.Scheduler.(magno.Tuner); ok {
@@ -57,7 +56,7 @@
 	})
 }
 
-// Backlog returns the scheduler's latest state.
+// Backlog returns the scheduler's latest backlog.
 func (l *Loop) Backlog() magno.Backlog {
 	if b := l.backlog.Load(); b != nil {
 		return *b
@@ -65,9 +64,8 @@
 	return magno.Backlog{}
 }
 
-// Holds returns the adapters in slots and whether each is pinned. It is made
-// when asked for: listing them at each decision would cost every request for
-// what only operators read.
+// Holds returns the adapters in slots and whether each is pinned. The map is created on demand:
+// only operators read it, and creating it at each decision would slow down every request.
 func (l *Loop) Holds() map[magno.Ref]bool {
 	got := make(chan map[magno.Ref]bool, 1)
 	l.postUpdate(func() { got <- l.Scheduler.Holds() })
--- a/agent/loop/turn.go
+++ b/agent/loop/turn.go
@@ -7,23 +7,23 @@
 	"magnoliastall.example/magno"
 )
 
-// turnUseTimeout is how long a turn may stay unused, in milliseconds: the wait that
-// it was for may have ended meanwhile, and others wait for it.
+// turnUseTimeout is how long a turn may stay unused. The job that it was requested for may no
+// longer wait, and other agents need the turn.
 const turnUseTimeout magno.Millis = 300
 
-// wantedLoad is a scheduler's wish for a load.
+// wantedLoad is the result of magno.Turner.Want.
 type wantedLoad struct {
 	ref  magno.Ref
-	harm float64
+	cost float64
 	ok   bool
 }
 
-// LoadWanted gives a value when jobs wait for adapters.
+// LoadWanted returns a channel that receives a value while jobs wait for adapters.
 func (l *Loop) LoadWanted() <-chan struct{} { return l.loadWanted }
 
-// Want tells the load that the scheduler wants most; ok is false when it
-// wants none, or needs no turn.
-func (l *Loop) Want(ctx context.Context) (ref magno.Ref, harm float64, ok bool) {
+// Want returns the load that the scheduler needs most and the cost of its delay. It returns false
+// if the scheduler needs no load or no turn for it.
+func (l *Loop) Want(ctx context.Context) (ref magno.Ref, cost float64, ok bool) {
 	turner, is := l.Scheduler.(magno.Turner)
 	if !is {
 		return magno.Ref{}, 0, false
@@ -31,7 +31,7 @@
 	got := make(chan wantedLoad, 1)
 	asked := l.post(func() {
 		var w wantedLoad
-		w.ref, w.harm, w.ok = turner.Want()
+		w.ref, w.cost, w.ok = turner.Want()
 		got <- w
 	})
 	if !asked {
@@ -39,23 +39,23 @@
 	}
 	select {
 	case w := <-got:
-		return w.ref, w.harm, w.ok
+		return w.ref, w.cost, w.ok
 	case <-ctx.Done():
 	case <-l.ended:
 	}
 	return magno.Ref{}, 0, false
 }
 
-// Load lets the scheduler order one load and returns when it has ended, when
-// left has passed, or when the scheduler made no use of the turn.
+// Load gives the scheduler a turn for one load. It returns when the load has ended, when left has
+// passed, or when the scheduler has not used the turn within turnUseTimeout.
 func (l *Loop) Load(ctx context.Context, left magno.Millis) {
 	turner, is := l.Scheduler.(magno.Turner)
 	if !is {
 		return
 	}
-	over := make(chan struct{})
+	done := make(chan struct{})
 	l.post(func() {
-		l.turnEnded = over
+		l.turnEnded = done
 		turner.Turn(l.Clock.Now() + min(left, turnUseTimeout))
 	})
 	unused := time.NewTimer(turnUseTimeout.Span())
@@ -64,10 +64,10 @@
 	defer limit.Stop()
 	for {
 		select {
-		case <-over:
+		case <-done:
 			return
 		case <-unused.C:
-			if !l.loadStarted(ctx, over) {
+			if !l.loadStarted(ctx, done) {
 				return
 			}
 		case <-limit.C:
@@ -80,12 +80,12 @@
 	}
 }
 
-// loadStarted tells whether a load is under way.
-func (l *Loop) loadStarted(ctx context.Context, over chan struct{}) bool {
+// loadStarted reports whether a load is under way. If none is, it ends the wait for one.
+func (l *Loop) loadStarted(ctx context.Context, done chan struct{}) bool {
 	got := make(chan bool, 1)
 	l.post(func() {
 		busy := l.loadsInFlight > 0
-		if !busy && l.turnEnded == over {
+		if !busy && l.turnEnded == done {
 			l.turnEnded = nil
 		}
 		got <- busy
@@ -99,7 +99,7 @@
 	return false
 }
 
-// endTurn ends the wait of Load.
+// endTurn ends the wait in Load.
 func (l *Loop) endTurn() {
 	if l.turnEnded != nil {
 		close(l.turnEnded)
