--- a/agent/turns/coordinator.go
+++ b/agent/turns/coordinator.go
@@ -10,15 +10,15 @@
 	"magnoliastall.example/magno/turn"
 )
 
-// idleInterval is how long the keeper sleeps when nobody asks, in milliseconds.
+// idleInterval is how long the coordinator sleeps while no request is pending.
 const idleInterval = magno.Second
 
-// coordinator runs a turn.Coordinator on one goroutine, for calls that wait.
+// coordinator runs a turn.Coordinator on one goroutine and serves calls that wait for a turn.
 type coordinator struct {
 	turns *Turns
 	steps chan func()
-	// waiters maps an agent to the call that waits for its turn. Only the
-	// goroutine of run touches it.
+	// waiters maps an agent to the call that waits for its turn. Only the goroutine of run
+	// accesses it.
 	waiters map[string]chan turn.Turn
 	leases  *turn.Coordinator
 }
@@ -27,54 +27,54 @@
 	return &coordinator{turns: t, steps: make(chan func(), stepQueueSize), waiters: map[string]chan turn.Turn{}}
 }
 
-// run decides until ctx ends.
-func (k *coordinator) run(ctx context.Context) {
+// run grants turns until ctx is done.
+func (c *coordinator) run(ctx context.Context) {
 	for {
-		timer := time.NewTimer(k.sleepTime().Span())
+		timer := time.NewTimer(c.sleepTime().Span())
 		select {
 		case <-ctx.Done():
 			timer.Stop()
 			return
-		case step := <-k.steps:
+		case step := <-c.steps:
 			step()
 		case <-timer.C:
 		}
 		timer.Stop()
-		k.grant()
+		c.grant()
 	}
 }
 
-// sleepTime is how long nothing need be decided.
-func (k *coordinator) sleepTime() magno.Millis {
-	if k.leases == nil || k.leases.Pending() == 0 {
+// sleepTime returns the time until grant has to be called again.
+func (c *coordinator) sleepTime() magno.Millis {
+	if c.leases == nil || c.leases.Pending() == 0 {
 		return idleInterval
 	}
-	return max(k.leases.NextWake()-k.turns.Clock.Now(), 1)
+	return max(c.leases.NextWake()-c.turns.Clock.Now(), 1)
 }
 
-// grant hands out the turns that begin now.
-func (k *coordinator) grant() {
-	if k.leases == nil {
+// grant grants the turns that can start now.
+func (c *coordinator) grant() {
+	if c.leases == nil {
 		return
 	}
-	k.leases.Rate, k.leases.MaxLoads = k.turns.LoadLimits()
-	for _, t := range k.leases.Grant() {
-		waiter := k.waiters[t.Agent]
+	c.leases.Rate, c.leases.MaxLoads = c.turns.LoadLimits()
+	for _, t := range c.leases.Grant() {
+		waiter := c.waiters[t.Agent]
 		if waiter == nil {
-			k.leases.Release(t.ID)
+			c.leases.Release(t.ID)
 			continue
 		}
-		delete(k.waiters, t.Agent)
+		delete(c.waiters, t.Agent)
 		metrics.GetOrCreateCounter(`magno_turns_total{from="keeper"}`).Inc()
 		waiter <- t
 	}
 }
 
-// wait asks for a turn and waits for it, askWait at most. An ask whose call
-// has gone is dropped, so that no turn is given to nobody.
-func (k *coordinator) wait(ctx context.Context, a turnRequest) turn.Turn {
+// wait submits a request and waits for its turn, at most requestWait. It cancels the request when
+// the call has ended, so that no turn is granted without a waiter.
+func (c *coordinator) wait(ctx context.Context, r turnRequest) turn.Turn {
 	got := make(chan turn.Turn, 1)
-	if !k.post(ctx, func() { k.submit(a, got) }) {
+	if !c.post(ctx, func() { c.submit(r, got) }) {
 		return turn.Turn{}
 	}
 	timer := time.NewTimer(requestWait.Span())
@@ -85,32 +85,32 @@
 	case <-timer.C:
 	case <-ctx.Done():
 	}
-	k.cancel(a.Agent, got)
+	c.cancel(r.Agent, got)
 	select {
 	case t := <-got:
-		k.release(t.ID)
+		c.release(t.ID)
 	default:
 	}
 	return turn.Turn{}
 }
 
-func (k *coordinator) submit(a turnRequest, got chan turn.Turn) {
-	if k.leases == nil {
-		rate, width := k.turns.LoadLimits()
-		k.leases = &turn.Coordinator{Clock: k.turns.Clock, Rate: rate, MaxLoads: width, LoadTime: k.turns.LoadTime()}
+func (c *coordinator) submit(r turnRequest, got chan turn.Turn) {
+	if c.leases == nil {
+		rate, maxLoads := c.turns.LoadLimits()
+		c.leases = &turn.Coordinator{Clock: c.turns.Clock, Rate: rate, MaxLoads: maxLoads, LoadTime: c.turns.LoadTime()}
 	}
-	k.waiters[a.Agent] = got
-	k.leases.Submit(turn.Request{Agent: a.Agent, Ref: a.Ref, DelayCost: a.DelayCost})
+	c.waiters[r.Agent] = got
+	c.leases.Submit(turn.Request{Agent: r.Agent, Ref: r.Ref, DelayCost: r.DelayCost})
 }
 
-// cancel forgets an ask and returns once it is forgotten.
-func (k *coordinator) cancel(agent string, got chan turn.Turn) {
+// cancel removes a request and returns once it is removed.
+func (c *coordinator) cancel(agent string, got chan turn.Turn) {
 	done := make(chan struct{})
-	ok := k.post(context.Background(), func() {
+	ok := c.post(context.Background(), func() {
 		defer close(done)
-		if k.waiters[agent] == got {
-			delete(k.waiters, agent)
-			k.leases.Cancel(agent)
+		if c.waiters[agent] == got {
+			delete(c.waiters, agent)
+			c.leases.Cancel(agent)
 		}
 	})
 	if ok {
@@ -122,19 +122,20 @@
 }
 
 // release ends a turn.
-func (k *coordinator) release(id uint64) {
-	k.post(context.Background(), func() {
-		if k.leases != nil {
-			k.leases.Release(id)
+func (c *coordinator) release(id uint64) {
+	c.post(context.Background(), func() {
+		if c.leases != nil {
+			c.leases.Release(id)
 		}
 	})
 }
 
-// post hands a step to the keeper's goroutine. A full ring means that it has
-// ended or is far behind; the turn's deadline then does what the step would.
-func (k *coordinator) post(ctx context.Context, step func()) bool {
+// post queues a step for the coordinator's goroutine. It returns false if the queue is full, which
+// means that the goroutine has ended or is overloaded. The deadline of a turn then replaces its
+// release.
+func (c *coordinator) post(ctx context.Context, step func()) bool {
 	select {
-	case k.steps <- step:
+	case c.steps <- step:
 		return true
 	case <-ctx.Done():
 		return false
--- a/agent/turns/fuzz_test.go
+++ b/agent/turns/fuzz_test.go
@@ -8,8 +8,8 @@
 	"magnoliastall.example/magno/turn"
 )
 
-// FuzzAsk feeds a keeper what an agent may send. It gives no more turns than
-// the width, and none to who didn't ask.
+// FuzzAsk sends arbitrary requests to a coordinator. It must not grant more turns at a time than
+// the limit allows, and none to an agent that did not request one.
 func FuzzAsk(f *testing.F) {
 	for _, seed := range []string{`{}`, `null`, `{"agent": "a", "harm": -1e308}`, `{"agent": "", "ref": {"adapter": "x"}, "harm": 1e308}`, `{"id": 7}`} {
 		f.Add([]byte(seed))
--- a/agent/turns/turns.go
+++ b/agent/turns/turns.go
@@ -1,13 +1,13 @@
-// Package turns brings the shared turns to load adapters to an agent, and
-// keeps them for the others while this agent is the pool's keeper.
+// Package turns requests turns to load adapters from the pool's coordinator, and is that
+// coordinator on the agent that is selected for it.
 //
-//	loop: Want --> asker --MethodTurn, waits--> keeper of the pool
-//	loop: Turn <-- asker <------ turn.Turn ------'
-//	load ended --> asker --MethodTurnEnd------> keeper
+//	loop: Want --> Turns --MethodTurn, waits--> coordinator of the pool
+//	loop: Load <-- Turns <------ turn.Turn ------'
+//	load ended --> Turns --MethodTurnEnd------> coordinator
 //
-// The keeper is the first agent of the pool in the order of its name's hash,
-// as each agent sees the list. Two agents that see different lists may ask two
-// keepers for a while; the weight store then refuses what is over its rate.
+// The coordinator is the agent of the pool whose name has the lowest hash, by the instance list of
+// each agent. Agents with different lists may use two coordinators for a while; the weight store
+// then refuses loads beyond its rate.
 package turns
 
 import (
@@ -26,22 +26,20 @@
 	"magnoliastall.example/magno/wire"
 )
 
-// Figures of the exchange, in milliseconds.
 const (
-	// retryPause is how long nothing is asked after a load was not wanted.
+	// retryPause is the pause after the scheduler turned out to need no load.
 	retryPause magno.Millis = 20
-	// requestWait is how long one call waits for its turn; then the ask is made
-	// again with the harm of that time.
+	// requestWait is how long one call waits for its turn. After that the request is repeated with
+	// the delay cost of that time.
 	requestWait = magno.Second
-	// callMargin is the time beyond askWait after which the keeper counts as
-	// unreachable.
+	// callMargin is the time beyond requestWait after which the coordinator counts as unreachable.
 	callMargin magno.Millis = 500
-	// stepQueueSize bounds asks on their way to the keeper's goroutine.
+	// stepQueueSize bounds the queue of steps for the coordinator's goroutine.
 	stepQueueSize = 256
 )
 
-// Turns asks for turns and keeps them. It implements magno.Duty; fields are
-// set before Register and Run.
+// Turns requests and coordinates turns. It implements magno.Duty. Its fields must be set before
+// Register and Run.
 type Turns struct {
 	Self  string
 	Pool  string
@@ -50,29 +48,30 @@
 	Mesh  *wire.Mesh
 	Fleet *fleet.Fleet
 	Log   *slog.Logger
-	// LoadLimits returns what the weight store allows the pool now.
-	LoadLimits func() (rate float64, width int)
-	// LoadTime is the time of a load at full speed.
+	// LoadLimits returns the loads per second and the concurrent loads that the weight store
+	// currently allows the pool.
+	LoadLimits func() (rate float64, maxLoads int)
+	// LoadTime returns the time of a load at full speed.
 	LoadTime func() magno.Millis
 
 	coordinator *coordinator
-	// fallbackAt is when a load without a keeper's turn may begin.
+	// fallbackAt is when the next load without a turn may start.
 	fallbackAt magno.Millis
 }
 
-// turnRequest is the call of an agent that wants a turn.
+// turnRequest holds the parameters of MethodTurn.
 type turnRequest struct {
 	Agent     string    `json:"agent"`
 	Ref       magno.Ref `json:"ref"`
 	DelayCost float64   `json:"harm"`
 }
 
-// turnReply is its answer; a zero ID means that no turn came in time.
+// turnReply is the result of MethodTurn. The ID of the turn is zero if none was granted in time.
 type turnReply struct {
 	Turn turn.Turn `json:"turn"`
 }
 
-// turnEnd tells that a turn is over.
+// turnEnd holds the parameters of MethodTurnEnd.
 type turnEnd struct {
 	ID uint64 `json:"id"`
 }
@@ -80,31 +79,31 @@
 // Name implements magno.Duty.
 func (t *Turns) Name() string { return "turns" }
 
-// Register names the handlers on the mesh and makes the keeper.
+// Register creates the coordinator and registers the handlers on the mesh.
 func (t *Turns) Register() {
 	t.coordinator = newCoordinator(t)
 	t.Mesh.Handle(magno.MethodTurn, func(ctx context.Context, _ *wire.Peer, params json.RawMessage) (any, error) {
-		var a turnRequest
-		if err := json.Unmarshal(params, &a); err != nil {
+		var r turnRequest
+		if err := json.Unmarshal(params, &r); err != nil {
 			return nil, magno.Refuse(magno.KindMalformed, "%v", err)
 		}
-		return turnReply{Turn: t.coordinator.wait(ctx, a)}, nil
+		return turnReply{Turn: t.coordinator.wait(ctx, r)}, nil
 	})
 	t.Mesh.Handle(magno.MethodTurnEnd, func(_ context.Context, _ *wire.Peer, params json.RawMessage) (any, error) {
-		var e turnEnd
-		if err := json.Unmarshal(params, &e); err != nil {
+		var end turnEnd
+		if err := json.Unmarshal(params, &end); err != nil {
 			return nil, magno.Refuse(magno.KindMalformed, "%v", err)
 		}
-		t.coordinator.release(e.ID)
+		t.coordinator.release(end.ID)
 		return struct{}{}, nil
 	})
 }
 
-// Run asks and keeps until ctx ends.
+// Run requests and coordinates turns until ctx is done.
 func (t *Turns) Run(ctx context.Context) error {
-	kept := make(chan struct{})
+	done := make(chan struct{})
 	go func() {
-		defer close(kept)
+		defer close(done)
 		t.coordinator.run(ctx)
 	}()
 	for ctx.Err() == nil {
@@ -114,25 +113,25 @@
 			t.requestLoad(ctx)
 		}
 	}
-	<-kept
+	<-done
 	return nil
 }
 
-// requestLoad asks for a turn if a load could begin.
+// requestLoad requests a turn if the scheduler needs a load.
 func (t *Turns) requestLoad(ctx context.Context) {
-	ref, harm, ok := t.Loop.Want(ctx)
+	ref, cost, ok := t.Loop.Want(ctx)
 	if ok {
-		t.useTurn(ctx, turnRequest{Agent: t.Self, Ref: ref, DelayCost: harm})
+		t.useTurn(ctx, turnRequest{Agent: t.Self, Ref: ref, DelayCost: cost})
 		return
 	}
 	magno.Pause(ctx, retryPause)
 }
 
-// useTurn gets useTurn turn and gives it back when the load that it was for has
-// ended. The keeper takes it back at its own deadline in any case.
-func (t *Turns) useTurn(ctx context.Context, a turnRequest) {
+// useTurn obtains one turn, uses it for a load, and releases it when the load has ended. The
+// coordinator itself ends the turn at its deadline.
+func (t *Turns) useTurn(ctx context.Context, r turnRequest) {
 	name, address := t.selectCoordinator()
-	got, err := t.requestTurn(ctx, name, address, a)
+	got, err := t.requestTurn(ctx, name, address, r)
 	if err != nil {
 		if ctx.Err() == nil {
 			t.loadWithoutTurn(ctx, err)
@@ -146,20 +145,20 @@
 	t.releaseTurn(ctx, name, address, got.ID)
 }
 
-func (t *Turns) requestTurn(ctx context.Context, name, address string, a turnRequest) (turn.Turn, error) {
+func (t *Turns) requestTurn(ctx context.Context, name, address string, r turnRequest) (turn.Turn, error) {
 	if name == t.Self {
 		ctx, cancel := context.WithTimeout(ctx, requestWait.Span())
 		defer cancel()
-		return t.coordinator.wait(ctx, a), nil
+		return t.coordinator.wait(ctx, r), nil
 	}
 	if address == "" {
-		return turn.Turn{}, errors.New("the list names no agent of the pool")
+		return turn.Turn{}, errors.New("instance list has no agent of the pool")
 	}
 	ctx, cancel := context.WithTimeout(ctx, (requestWait + callMargin).Span())
 	defer cancel()
-	var g turnReply
-	err := t.Mesh.Call(ctx, address, magno.MethodTurn, a, &g)
-	return g.Turn, err
+	var reply turnReply
+	err := t.Mesh.Call(ctx, address, magno.MethodTurn, r, &reply)
+	return reply.Turn, err
 }
 
 func (t *Turns) releaseTurn(ctx context.Context, name, address string, id uint64) {
@@ -170,24 +169,24 @@
 	_ = t.Mesh.Notify(ctx, address, magno.MethodTurnEnd, turnEnd{ID: id})
 }
 
-// loadWithoutTurn loads without a turn, at this agent's static share of the rate: a
-// keeper that can't be reached must not stop all loads, and agents that each
-// took the whole rate would make the store refuse most of them.
+// loadWithoutTurn loads at this agent's static share of the rate. Loads must not stop because the
+// coordinator is unreachable, and if each agent used the whole rate, the store would refuse most
+// of the loads.
 func (t *Turns) loadWithoutTurn(ctx context.Context, err error) {
 	now := t.Clock.Now()
 	if now < t.fallbackAt {
 		return
 	}
-	rate, width := t.LoadLimits()
-	k := turn.Coordinator{Clock: t.Clock, Rate: rate, MaxLoads: width, LoadTime: t.LoadTime()}
-	t.fallbackAt = now + k.FallbackInterval(len(t.Fleet.LiveAgents(t.Pool)))
-	t.Log.Info("turns", "keeper", "unreachable", "error", err)
+	rate, maxLoads := t.LoadLimits()
+	c := turn.Coordinator{Clock: t.Clock, Rate: rate, MaxLoads: maxLoads, LoadTime: t.LoadTime()}
+	t.fallbackAt = now + c.FallbackInterval(len(t.Fleet.LiveAgents(t.Pool)))
+	t.Log.Info("no turn from the coordinator, loading at the fallback rate", "keeper", "unreachable", "error", err)
 	metrics.GetOrCreateCounter(`magno_turns_total{from="share"}`).Inc()
-	t.Loop.Load(ctx, k.LeaseTime())
+	t.Loop.Load(ctx, c.LeaseTime())
 }
 
-// selectCoordinator returns the pool's keeper: the agent whose name hashes lowest, so
-// that it changes only when that agent comes or goes.
+// selectCoordinator returns the agent of the pool whose name has the lowest hash. It changes only
+// if that agent leaves or one with a lower hash joins.
 func (t *Turns) selectCoordinator() (name, address string) {
 	least := ^uint64(0)
 	for _, in := range t.Fleet.LiveAgents(t.Pool) {
--- a/agent/turns/turns_test.go
+++ b/agent/turns/turns_test.go
@@ -18,7 +18,7 @@
 	"magnoliastall.example/magno/wire"
 )
 
-// single is a scheduler of one job that waits for its adapter.
+// single is a scheduler for one job, which waits for its adapter.
 type single struct {
 	job    *magno.Job
 	turn   bool
@@ -66,8 +66,8 @@
 func (e *engine) Unload(context.Context, magno.Ref, int64) error { return nil }
 func (e *engine) Probe(context.Context) (magno.Probe, error)     { return magno.Probe{}, nil }
 
-// agent is an agent's turns over a loop that runs; others of the pool are at
-// the addresses given.
+// agent returns the Turns of an agent with a running loop. Others maps the names of the other
+// agents of the pool to their addresses.
 func agent(t *testing.T, clock *magno.Clock, others map[string]string) (*Turns, *engine, func(magno.Duty)) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -96,7 +96,7 @@
 	run(l)
 	for end := time.Now().Add(time.Minute); len(f.LiveAgents("p")) != len(list); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("the list was not read")
+			t.Fatal("timed out waiting for the instance list")
 		}
 	}
 	tr := &Turns{
@@ -108,13 +108,13 @@
 	return tr, eng, run
 }
 
-// coordinatorDuty is the keeper's goroutine as a duty.
+// coordinatorDuty runs a coordinator as a duty.
 type coordinatorDuty struct{ *coordinator }
 
 func (k coordinatorDuty) Name() string                  { return "keeper" }
 func (k coordinatorDuty) Run(ctx context.Context) error { k.run(ctx); return nil }
 
-// passQuietTime takes the keeper past the quiet time with which it begins.
+// passQuietTime starts the coordinator and advances the clock past its initial quiet time.
 func passQuietTime(t *testing.T, tr *Turns, run func(magno.Duty)) {
 	t.Helper()
 	run(coordinatorDuty{tr.coordinator})
@@ -129,8 +129,8 @@
 	tr.Clock.Advance(magno.Hour)
 }
 
-// awaitTurn asks until a turn comes, a few times the keeper's own wait at most,
-// for a busy machine may let one wait pass.
+// awaitTurn requests a turn until it is granted, at most 20 times, because on a busy machine a
+// single request may time out.
 func awaitTurn(tr *Turns, agent string) (got turn.Turn) {
 	for n := 0; n < 20 && got.ID == 0; n++ {
 		got = tr.coordinator.wait(context.Background(), turnRequest{Agent: agent})
@@ -138,8 +138,8 @@
 	return got
 }
 
-// The agent that keeps the turns is gone, and the list still names it. Loads
-// must go on at a small share, or callers of cold adapters wait for ever.
+// The coordinator is gone, but still on the instance list. Loads must go on at the fallback rate;
+// otherwise callers that need an adapter that is not loaded would wait forever.
 func TestCoordinatorUnreachable(t *testing.T) {
 	tr, eng, run := agent(t, &magno.Clock{}, map[string]string{})
 	for _, name := range []string{"a", "b", "c", "d", "e", "f", "g", "h"} {
@@ -158,9 +158,9 @@
 	}
 }
 
-// A turn whose load is done, or that nobody uses any more, must come back at
-// once: kept to its deadline it would hold up every other agent for minutes.
-// The clock stands, so only a turn that was given back can be given again.
+// A turn must be released as soon as its load has ended or if it is not used; kept until its
+// deadline, it would block all other agents for minutes. The clock does not advance by itself, so
+// the next turn can only be granted after a release.
 func TestTurnComesBack(t *testing.T) {
 	tests := []struct {
 		name string
@@ -182,15 +182,14 @@
 		if eng.loads.Load() != tt.loads {
 			t.Errorf("%s: %d loads", tt.name, eng.loads.Load())
 		}
-		tr.Clock.Advance(magno.Second) // the rate's next load, not the lease's end
+		tr.Clock.Advance(magno.Second) // allows the next load by rate, but does not end the lease
 		if got := awaitTurn(tr, "other"); got.ID == 0 {
-			t.Errorf("%s: the turn did not come back", tt.name)
+			t.Errorf("%s: the turn was not released", tt.name)
 		}
 	}
 }
 
-// An agent asks and dies while it waits. Its turn must go to the next agent
-// and not to nobody.
+// An agent requests a turn and fails while it waits. The turn must be granted to the next agent.
 func TestRequesterGone(t *testing.T) {
 	tr, _, run := agent(t, magno.NewClock(magno.Hour), nil)
 	passQuietTime(t, tr, run)
