--- a/agent/keep/calls.go
+++ b/agent/keep/calls.go
@@ -11,13 +11,13 @@
 	"magnoliastall.example/magno/wire"
 )
 
-// stats counts what entries asked for.
+// stats holds the metrics of the calls from entries.
 type stats struct {
 	grants, refusals, orders *metrics.Counter
-	// declined counts requests for which another engine was better.
+	// declined counts requests that were declined because another engine is better suited.
 	declined *metrics.Counter
 	waits    *metrics.Histogram
-	// causes are the parts of waits that each cause made.
+	// causes has, for each cause, the part of each wait that is due to it.
 	causes map[gate.Cause]*metrics.Histogram
 }
 
@@ -33,7 +33,7 @@
 	}
 }
 
-// recordWait counts the wait of a request that begins, and each part of it.
+// recordWait records the wait of a request that starts, in total and by cause.
 func (s *stats) recordWait(all magno.Millis, parts *gate.Waits) {
 	s.waits.Update(float64(all) / 1000)
 	for c, part := range parts {
@@ -43,7 +43,7 @@
 	}
 }
 
-// permit answers once the request may begin or is refused.
+// permit handles MethodPermit. It returns once the request may start or is refused.
 func (k *Controller) permit(ctx context.Context, _ *wire.Peer, params json.RawMessage) (any, error) {
 	var call gate.PermitCall
 	if err := json.Unmarshal(params, &call); err != nil {
@@ -57,13 +57,13 @@
 	case r := <-ch:
 		k.listHistory.Trim(&r.Status, call.ListsHash)
 		return r, nil
-	case <-ctx.Done(): // the entry is gone, and with it the request
+	case <-ctx.Done(): // the entry has disconnected, which ends the request
 		k.post(context.WithoutCancel(ctx), func() { k.drop(call.ID, false) })
 		return nil, ctx.Err()
 	}
 }
 
-// offer runs on the gate's goroutine.
+// offer passes a request to the gate. It runs on the gate's goroutine.
 func (k *Controller) offer(call *gate.PermitCall, ch chan gate.PermitReply) {
 	k.waiting[call.ID] = ch
 	k.updateSpec(call.Spec, call.Revision, call.ID)
@@ -83,7 +83,7 @@
 	}
 }
 
-// check refuses what this agent can't decide on.
+// check refuses a request that this agent cannot admit at present.
 func (k *Controller) check(call *gate.PermitCall) *magno.Refusal {
 	switch {
 	case k.leaving:
@@ -96,7 +96,7 @@
 	return nil
 }
 
-// drop ends a request, also one that waits.
+// drop ends a request, whether it runs or waits.
 func (k *Controller) drop(id string, ok bool) {
 	k.gate.Done(id, ok)
 	if k.waiting[id] != nil {
@@ -104,11 +104,11 @@
 	}
 }
 
-// end takes the end of a request.
+// end handles MethodEnd.
 func (k *Controller) end(ctx context.Context, _ *wire.Peer, params json.RawMessage) (any, error) {
 	var call gate.EndCall
 	if err := json.Unmarshal(params, &call); err != nil {
-		k.Log.Warn("end", "error", err)
+		k.Log.Warn("malformed notification of the end of a request", "error", err)
 		return nil, err
 	}
 	k.post(ctx, func() {
@@ -118,7 +118,8 @@
 	return nil, nil
 }
 
-// status takes what the entry knows and tells what this agent knows.
+// status handles MethodStatus: it takes the entry's spec of the engine and returns the state of
+// this agent.
 func (k *Controller) status(ctx context.Context, _ *wire.Peer, params json.RawMessage) (any, error) {
 	var call gate.StatusCall
 	if err := json.Unmarshal(params, &call); err != nil {
@@ -143,8 +144,8 @@
 	return k.currentStatus()
 }
 
-// updateSpec takes what an entry tells of the engine, unless it is old or nothing.
-// from is the entry, or its request.
+// updateSpec sets the spec of the engine if it is newer than the present one. From is the name of
+// the entry that sent it or the ID of its request, for the log.
 func (k *Controller) updateSpec(spec *gate.Spec, revision int64, from string) {
 	if spec == nil || revision <= k.specRevision {
 		return
--- a/agent/keep/engine.go
+++ b/agent/keep/engine.go
@@ -9,34 +9,34 @@
 )
 
 const (
-	// reportInterval is how often the engine is asked for its state; that is free
-	// from its own machine, and costs a third of a millisecond here.
+	// reportInterval is the interval of reports. A report is free when it is requested from the
+	// engine's own machine, and takes a third of a millisecond of this process.
 	reportInterval = 100 * magno.Millis(1)
-	// waitingReportInterval is the same while requests wait, mostly for an adapter that
-	// takes 250 ms: they begin that much later than it came.
+	// waitingReportInterval is the interval while requests wait, mostly for an adapter that takes
+	// 250 ms to load. It is also the longest delay between the end of the load and their start.
 	waitingReportInterval = 30 * magno.Millis(1)
-	// engineTimeout bounds a call of the engine. It answers within a few
-	// milliseconds, or is dark.
+	// engineTimeout bounds a call to the engine, which answers within a few milliseconds or not at
+	// all.
 	engineTimeout = 300 * magno.Millis(1)
-	// downAfter is how many reports in a row must fail until the engine counts
-	// as down: one may meet a full queue of new connections.
+	// downAfter is the number of consecutive reports that must fail before the engine counts as
+	// down. A single one may fail because the queue of new connections is full.
 	downAfter = 2
-	// fenceStep is by how much a fence is raised that the engine calls too
-	// low; it doubles with each refusal that follows.
+	// fenceStep is by how much the fencing token is raised when the engine refuses it as too low.
+	// It doubles with each further refusal.
 	fenceStep = 1000
 )
 
-// engineClient is what the goroutine that speaks to the engine knows.
+// engineClient is the state of the goroutine that communicates with the engine.
 type engineClient struct {
 	*Controller
-	fence  int64
-	step   int64
-	misses int
+	fence          int64
+	fenceIncrement int64
+	misses         int
 }
 
-// serveEngine asks for reports and gives orders until ctx ends.
+// serveEngine fetches reports and sends orders until ctx is done.
 func (k *Controller) serveEngine(ctx context.Context) {
-	s := &engineClient{Controller: k, fence: k.Fence, step: fenceStep}
+	s := &engineClient{Controller: k, fence: k.Fence, fenceIncrement: fenceStep}
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
@@ -59,9 +59,9 @@
 	}
 }
 
-// report brings the engine's state to the gate.
+// report fetches a report from the engine and passes it to the gate.
 func (s *engineClient) report(ctx context.Context) {
-	asked := s.Clock.Now()
+	requestedAt := s.Clock.Now()
 	call, cancel := context.WithTimeout(ctx, engineTimeout.Span())
 	defer cancel()
 	r, err := s.Engine.Report(call)
@@ -81,22 +81,22 @@
 	if back {
 		s.Log.Info("engine back", "born", r.Born)
 	}
-	s.post(ctx, func() { s.applyReport(r, asked) })
+	s.post(ctx, func() { s.applyReport(r, requestedAt) })
 }
 
-// applyReport brings a report to the gate; it runs on the gate's goroutine.
-func (k *Controller) applyReport(r *magno.Report, asked magno.Millis) {
+// applyReport passes a report to the gate. It runs on the gate's goroutine.
+func (k *Controller) applyReport(r *magno.Report, requestedAt magno.Millis) {
 	if k.engineStart != r.Born {
 		k.Log.Info("engine", "born", r.Born, "before", k.engineStart, "models", len(r.Held))
 	}
-	k.engineStart, k.reportAskedAt, k.down = r.Born, asked, false
-	k.gate.ApplyReport(r, asked)
+	k.engineStart, k.reportAskedAt, k.down = r.Born, requestedAt, false
+	k.gate.ApplyReport(r, requestedAt)
 }
 
-// order gives one command and tells the gate what became of it.
+// order sends one command to the engine and passes the outcome to the gate.
 func (s *engineClient) order(ctx context.Context, c magno.Command) {
-	on := s.basis(ctx)
-	c.Replica, c.Holder, c.Fence = on.id, s.Self, s.fence
+	b := s.basis(ctx)
+	c.Replica, c.Holder, c.Fence = b.id, s.Self, s.fence
 	call, cancel := context.WithTimeout(ctx, engineTimeout.Span())
 	defer cancel()
 	o, err := s.Engine.Order(call, c)
@@ -105,27 +105,27 @@
 		level = slog.LevelWarn
 	}
 	s.Log.Log(ctx, level, "order", "load", c.Load, "model", c.Model, "adapter", c.Adapter, "version", c.Version,
-		"fence", c.Fence, "outcome", o, "error", err, "age", on.age, "rev", on.revision)
+		"fence", c.Fence, "outcome", o, "error", err, "age", b.age, "rev", b.revision)
 	if o == magno.OrderFenced {
-		// Another start of this process, with a clock ahead of ours, gave
-		// orders. Only a higher fence is heard again.
-		s.fence += s.step
-		s.step *= 2
+		// An earlier start of this process, with its clock ahead, sent orders. The engine accepts
+		// only a higher fencing token.
+		s.fence += s.fenceIncrement
+		s.fenceIncrement *= 2
 	}
 	s.stats.orders.Inc()
 	at := s.Clock.Now()
 	s.post(ctx, func() { s.gate.ApplyOutcome(c, o, at) })
 }
 
-// basis is what an order rests on: the incarnation that it is for, with the
-// revision that told it, and how old the engine's last report is.
+// basis is the data that an order is based on: the ID of the incarnation that it is for, the
+// revision of the spec that has it, and the age of the engine's latest report.
 type basis struct {
 	id       string
 	revision int64
 	age      magno.Millis
 }
 
-// basis asks the gate's goroutine.
+// basis reads the current basis on the gate's goroutine.
 func (s *engineClient) basis(ctx context.Context) basis {
 	ch := make(chan basis, 1)
 	if !s.post(ctx, func() { ch <- basis{s.gate.Spec().ID, s.specRevision, s.reportAge()} }) {
--- a/agent/keep/keep.go
+++ b/agent/keep/keep.go
@@ -1,13 +1,13 @@
-// Package keep holds the gate of the engine beside this process: it asks the
-// engine for its state, gives it orders, and answers entries.
+// Package keep runs the admission control (package gate) of the engine beside this process: it
+// polls the engine's state, sends it orders, and answers the calls of entries.
 //
 //	entries --permit, end, status--> inbox --> Run: gate --> replies
 //	                                  ^           |
 //	                          reports |           | commands
-//	engine <------------------------ speak <------'
+//	engine <---------------- serveEngine <--------'
 //
-// One goroutine owns the gate, another speaks to the engine, so that a silent
-// engine doesn't hold up answers.
+// One goroutine owns the gate and another communicates with the engine, so that an engine that
+// does not respond does not delay replies.
 package keep
 
 import (
@@ -22,36 +22,37 @@
 )
 
 const (
-	// busyInterval is how often the gate is looked at while requests wait: a
-	// tenth of the window in which it spaces prompts.
+	// busyInterval is the interval of gate decisions while requests wait. It is a tenth of the
+	// window in which the gate spaces prompts.
 	busyInterval = 20 * magno.Millis(1)
-	// idleInterval is how often it is looked at otherwise.
+	// idleInterval is the interval of gate decisions otherwise.
 	idleInterval = 200 * magno.Millis(1)
-	// inboxSize bounds the messages that wait for the gate; more than all
-	// entries have under way at once.
+	// inboxSize bounds the steps that wait for the gate. It is more than all entries together have
+	// under way.
 	inboxSize = 1024
 )
 
-// Controller is the duty that owns the gate. Fields are set before Open.
+// Controller owns the gate. It implements magno.Duty. Its exported fields must be set before Open.
 type Controller struct {
-	// Self is this instance's name, the holder of its orders.
+	// Self is the name of this instance. Orders state it as their holder.
 	Self   string
 	Engine magno.Engineer
 	Mesh   *wire.Mesh
 	Clock  *magno.Clock
 	Log    *slog.Logger
-	// Fence is the first fence; it should be over that of an earlier start.
+	// Fence is the initial fencing token. It should be higher than that of any earlier start.
 	Fence int64
 
 	gate  gate.Gate
 	inbox chan func()
-	// commands takes commands for speak; at most one list is under way.
+	// commands passes commands to serveEngine. At most one list is under way, and sending is true
+	// while one is.
 	commands chan []magno.Command
 	sending  bool
-	// waiting maps the ID of a waiting request to where its reply goes.
+	// waiting maps the ID of a waiting request to the channel for its reply.
 	waiting map[string]chan gate.PermitReply
-	// specRevision is that of the spec in force, born the engine's last report's,
-	// which was asked for at asked.
+	// specRevision is the revision of the spec in force. engineStart is taken from the engine's
+	// latest report, which was requested at reportAskedAt.
 	specRevision  int64
 	engineStart   magno.Millis
 	reportAskedAt magno.Millis
@@ -60,11 +61,11 @@
 	// hasWaiting is true while requests wait.
 	hasWaiting atomic.Bool
 	stats      stats
-	// listHistory are the lists that entries may have.
+	// listHistory has the lists that entries may know already and that replies then omit.
 	listHistory gate.ListHistory
 }
 
-// Open takes the methods on the mesh, before either runs.
+// Open registers the handlers on the mesh. It must be called before either runs.
 func (k *Controller) Open() {
 	k.gate.Clock = k.Clock
 	k.inbox = make(chan func(), inboxSize)
@@ -79,14 +80,14 @@
 // Name implements magno.Duty.
 func (k *Controller) Name() string { return "keep" }
 
-// Run decides until ctx ends.
+// Run runs the gate until ctx is done.
 func (k *Controller) Run(ctx context.Context) error {
-	spoken := make(chan struct{})
+	engineDone := make(chan struct{})
 	go func() {
-		defer close(spoken)
+		defer close(engineDone)
 		k.serveEngine(ctx)
 	}()
-	defer func() { <-spoken }()
+	defer func() { <-engineDone }()
 	timer := time.NewTimer(idleInterval.Span())
 	defer timer.Stop()
 	for {
@@ -107,8 +108,7 @@
 	}
 }
 
-// drainInbox takes what else is in the inbox, so that one look at the gate serves
-// all of it.
+// drainInbox executes all queued steps, so that one decision of the gate covers all of them.
 func (k *Controller) drainInbox() {
 	for {
 		select {
@@ -120,7 +120,7 @@
 	}
 }
 
-// post hands f to the goroutine that owns the gate.
+// post queues f for the goroutine that owns the gate. It returns false if ctx is done before.
 func (k *Controller) post(ctx context.Context, f func()) bool {
 	select {
 	case k.inbox <- f:
@@ -130,7 +130,7 @@
 	}
 }
 
-// applyDecisions carries out what the gate decides.
+// applyDecisions carries out the decisions of the gate.
 func (k *Controller) applyDecisions() {
 	s := k.gate.Decide()
 	for _, g := range s.Grants {
@@ -153,17 +153,17 @@
 	}
 }
 
-// logRefusal logs why a request doesn't begin here, and how old what that rests on
-// is: the engine's report in ms, the revision of its description.
-func (k *Controller) logRefusal(id string, r *magno.Refusal, more ...any) {
-	line := append([]any{"request", id, "kind", r.Kind, "why", r.Detail, "age", k.reportAge(), "rev", k.specRevision}, more...)
-	k.Log.Info("refused", line...)
+// logRefusal logs why a request is refused, with the age of the data that the decision is based
+// on: the engine's report, in ms, and the revision of its spec.
+func (k *Controller) logRefusal(id string, r *magno.Refusal, attrs ...any) {
+	args := append([]any{"request", id, "kind", r.Kind, "why", r.Detail, "age", k.reportAge(), "rev", k.specRevision}, attrs...)
+	k.Log.Info("refused", args...)
 }
 
-// reportAge is how old the engine's last report is.
+// reportAge returns the age of the engine's latest report.
 func (k *Controller) reportAge() magno.Millis { return k.Clock.Now() - k.reportAskedAt }
 
-// reply ends the wait of a request.
+// reply sends the reply to a waiting request.
 func (k *Controller) reply(id string, r gate.PermitReply) {
 	ch := k.waiting[id]
 	if ch == nil {
@@ -171,10 +171,10 @@
 	}
 	delete(k.waiting, id)
 	r.Status = k.currentStatus()
-	ch <- r // it has room for one
+	ch <- r // does not block, as the channel has a buffer of one
 }
 
-// currentStatus is what entries are told.
+// currentStatus returns the status that is reported to entries.
 func (k *Controller) currentStatus() gate.StatusReply {
 	r := gate.StatusReply{
 		Replica: k.gate.Spec().Replica, Revision: k.specRevision, EngineStart: k.engineStart,
@@ -185,8 +185,8 @@
 	return r
 }
 
-// Leave refuses all that waits and comes from now on. Entries then send what
-// the engine holds without asking, so a stop of this process ends no request.
+// Leave refuses all waiting and future requests. Entries then send those whose adapter the engine
+// already holds without asking for a permit, so a stop of this process does not end any request.
 func (k *Controller) Leave() {
 	done := make(chan struct{})
 	k.inbox <- func() {
--- a/agent/keep/keep_test.go
+++ b/agent/keep/keep_test.go
@@ -14,7 +14,7 @@
 	"magnoliastall.example/magno/wire"
 )
 
-// engine obeys orders at once.
+// engine is a fake that carries out orders at once.
 type engine struct {
 	mu     sync.Mutex
 	held   map[string]int64
@@ -67,7 +67,7 @@
 	f()
 }
 
-// agent is a keep before an engine, with a mesh that calls it.
+// agent is a running Controller of an engine, with a mesh for calls to it.
 type agent struct {
 	*Controller
 	addr   string
@@ -109,7 +109,7 @@
 	}}
 }
 
-// logBuffer is a log that may be read while it is written.
+// logBuffer is a log that can be read while it is written.
 type logBuffer struct {
 	mu sync.Mutex
 	b  strings.Builder
@@ -133,7 +133,7 @@
 	return list
 }
 
-// sendStatus is what an entry does at each poll.
+// sendStatus sends the status call that entries send at each poll.
 func (a *agent) sendStatus(t *testing.T, replica string, revision int64) gate.StatusReply {
 	t.Helper()
 	var reply gate.StatusReply
@@ -166,12 +166,12 @@
 		t.Fatalf("got %+v, %v", reply, err)
 	}
 	if !e.model || e.held["x"] == 0 {
-		t.Error("the permit came before the adapter was there")
+		t.Error("the permit was granted before the adapter was loaded")
 	}
 }
 
-// What stands beside the agent changed, and a request brings word of it. It is not
-// refused for what the agent didn't know a moment ago; older word changes nothing.
+// The engine beside the agent was replaced, and a permit call has its new spec. The call must not
+// be refused for the outdated spec that the agent had. An older spec must be ignored.
 func TestPermitUpdatesEngineSpec(t *testing.T) {
 	a := start(t, newEngine())
 	ask := func(revision int64, replica string) *magno.Refusal {
@@ -188,12 +188,12 @@
 		t.Errorf("refused: %v", r)
 	}
 	if r := ask(1, "r@1"); r == nil {
-		t.Error("older word was taken")
+		t.Error("an older spec was accepted")
 	}
 }
 
-// Whoever looks for the cause of an order or a refusal must see what it rested on:
-// a wrong one from a fresh report is another fault than one from an old report.
+// Log lines of orders and refusals must show the age of the data that they are based on: a wrong
+// decision from a fresh report is a different fault than one from an old report.
 func TestLogLinesHaveReportAgeAndRevision(t *testing.T) {
 	a := start(t, newEngine())
 	if _, err := a.permit(t, "1"); err != nil {
@@ -203,11 +203,11 @@
 	if reply, err := a.permit(t, "2"); err != nil || reply.Refusal == nil {
 		t.Fatalf("got %+v, %v", reply, err)
 	}
-	// An order may be given before or after the agent hears of another engine.
+	// Orders may be sent before or after the agent learns of the new spec.
 	for msg, rev := range map[string]string{"order": " rev=", "refused": " rev=7"} {
 		lines := a.log.lines(msg)
 		if len(lines) == 0 {
-			t.Errorf("no line of %q", msg)
+			t.Errorf("no log line with message %q", msg)
 		}
 		for _, line := range lines {
 			if !strings.Contains(line, " age=") || !strings.Contains(line, rev) {
@@ -217,9 +217,8 @@
 	}
 }
 
-// An earlier start of this agent, with its clock ahead, gave orders. The engine
-// refuses lower fences; without learning a higher one, nothing could be loaded
-// any more.
+// An earlier start of this agent, with its clock ahead, sent orders. The engine refuses lower
+// fencing tokens, so unless the agent raises its own, nothing can be loaded any more.
 func TestFenceRisesUntilOrdersAreAccepted(t *testing.T) {
 	e := newEngine()
 	e.fence = 10_000
@@ -228,12 +227,12 @@
 		t.Fatalf("got %+v, %v", reply, err)
 	}
 	if e.fenced == 0 || e.fenced > 6 {
-		t.Errorf("%d orders were refused for their fence", e.fenced)
+		t.Errorf("%d orders were refused for their fencing token, want 1 to 6", e.fenced)
 	}
 }
 
-// The engine goes dark. Requests are sent elsewhere at once instead of waiting
-// for it, and are taken again when it is back.
+// The engine stops responding. Requests must be refused at once, so that they are sent elsewhere
+// instead of waiting for it, and accepted again when it responds.
 func TestSilentEngineRefusesAtOnce(t *testing.T) {
 	e := newEngine()
 	a := start(t, e)
@@ -257,21 +256,21 @@
 	}
 }
 
-// An entry that was cut off tells of an engine that is gone. What is known to be
-// newer stays.
+// An entry that was cut off sends the spec of an engine that is gone. The newer spec must stay in
+// force.
 func TestOlderEngineSpecIsIgnored(t *testing.T) {
 	a := start(t, newEngine())
 	a.sendStatus(t, "r@9", 9)
 	if got := a.sendStatus(t, "r@1", 4).Replica; got != "r@9" {
-		t.Errorf("the agent believes in %s, want r@9", got)
+		t.Errorf("replica %s, want r@9", got)
 	}
 }
 
-// Operators stop the agent while requests wait there. Each is sent elsewhere at
-// once.
+// The agent is stopped while requests wait. They must be refused at once, so that they are sent
+// elsewhere.
 func TestStopRefusesWaitingRequests(t *testing.T) {
 	e := newEngine()
-	e.fence = 1 << 60 // nothing can be loaded
+	e.fence = 1 << 60 // all orders are refused
 	a := start(t, e)
 	type result struct {
 		reply *gate.PermitReply
