--- a/stand/bench_test.go
+++ b/stand/bench_test.go
@@ -22,13 +22,13 @@
 	for _, n := range []int{1, 32, 128, 400} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			for b.Loop() {
-				streams(b, n, tokens)
+				runStreams(b, n, tokens)
 			}
 		})
 	}
 }
 
-func streams(b *testing.B, n, tokens int) {
+func runStreams(b *testing.B, n, tokens int) {
 	cmd := exec.CommandContext(b.Context(), "stand", "-kind", "engine", "-batch", fmt.Sprint(n), "-tokens", "1024")
 	out, err := cmd.StdoutPipe()
 	if err != nil {
--- a/stand/build.go
+++ b/stand/build.go
@@ -16,7 +16,7 @@
 )
 
 // stand is what every stand-in has.
-type stand interface {
+type service interface {
 	Name() string
 	Run(ctx context.Context) error
 	Handler() http.Handler
@@ -24,37 +24,37 @@
 }
 
 // build makes the duties of every stand-in and binds their addresses.
-func build(cfg config, log *slog.Logger) ([]magno.Duty, error) {
-	each := []config{cfg}
+func buildDuties(cfg config, log *slog.Logger) ([]magno.Duty, error) {
+	configs := []config{cfg}
 	if cfg.Kind == kindAll {
-		each = cfg.Stands
+		configs = cfg.Services
 	}
-	if len(each) == 0 {
+	if len(configs) == 0 {
 		return nil, fmt.Errorf("stands: nothing to run")
 	}
 	var duties []magno.Duty
-	for _, one := range each {
-		s, err := one.stand()
+	for _, c := range configs {
+		s, err := c.newService()
 		if err != nil {
 			return nil, err
 		}
 		duties = append(duties, s)
-		for _, port := range []struct {
+		for _, endpoint := range []struct {
 			title, addr string
 			handler     http.Handler
 		}{
-			{s.Name(), one.Listen, s.Handler()},
-			{s.Name() + " admin", one.Admin, s.Admin()},
+			{s.Name(), c.Listen, s.Handler()},
+			{s.Name() + " admin", c.Admin, s.Admin()},
 		} {
-			if port.addr == "" {
+			if endpoint.addr == "" {
 				continue
 			}
-			server := &serve.Server{Title: port.title, Addr: port.addr, Handler: port.handler}
+			server := &serve.Server{Title: endpoint.title, Addr: endpoint.addr, Handler: endpoint.handler}
 			addr, err := server.Listen()
 			if err != nil {
 				return nil, err
 			}
-			log.Info("listening", "addr", addr, "name", port.title, "kind", one.Kind)
+			log.Info("listening", "addr", addr, "name", endpoint.title, "kind", c.Kind)
 			duties = append(duties, server)
 		}
 	}
@@ -62,7 +62,7 @@
 }
 
 // stand makes the stand-in that the settings describe.
-func (c config) stand() (stand, error) {
+func (c config) newService() (service, error) {
 	name := c.Name
 	if name == "" {
 		name = c.Kind
@@ -70,13 +70,14 @@
 	switch c.Kind {
 	case kindEngine:
 		return &engine.Engine{
-			Title: name, Step: c.Step, Batch: c.Batch, Tokens: c.Tokens, Slots: c.Slots, Cache: c.Cache,
-			Queue: c.Queue, Late: c.Late, Gap: c.Gap, Lag: c.Lag, Restart: c.Restart, Store: c.Store, Load: c.Load,
+			Title: name, StepTime: c.Step, BatchSize: c.Batch, TokenBudget: c.Tokens, AdapterSlots: c.Slots, CacheSize: c.Cache,
+			QueueLimit: c.Queue, EventDelay: c.EventDelay, EventLossInterval: c.EventLossInterval, ReportLag: c.Lag,
+			RestartTime: c.Restart, StoreURL: c.Store, LoadTime: c.Load,
 		}, nil
 	case kindPlain:
-		return &plain.Plain{Title: name, Work: c.Work, Batch: c.Batch, Queue: c.Queue, Restart: c.Restart}, nil
+		return &plain.Service{Title: name, WorkTime: c.Work, Concurrency: c.Batch, QueueLimit: c.Queue, RestartTime: c.Restart}, nil
 	case kindStore:
-		return &weight.Store{Title: name, Rate: c.Rate, Width: c.Width, Load: c.Load}, nil
+		return &weight.Store{Title: name, Rate: c.Rate, FullSpeedLoads: c.Width, LoadTime: c.Load}, nil
 	case kindConf:
 		return &conf.Service{Title: name, Rate: c.Rate}, nil
 	case kindList:
--- a/stand/conf/conf.go
+++ b/stand/conf/conf.go
@@ -22,13 +22,13 @@
 
 // Limits of a service.
 const (
-	DefaultRate = 2000.0 // calls a second over all readers
-	MaxValue    = 1 << 20
-	MaxWait     = magno.Minute // a watch waits at most
-	maxKey      = 512          // bytes
+	DefaultRate   = 2000.0 // calls a second over all readers
+	MaxValueBytes = 1 << 20
+	MaxWait       = magno.Minute // a watch waits at most
+	maxKeyBytes   = 512          // bytes
 	// lookStale is how often a watch on a stale service looks whether a
 	// change has become visible.
-	lookStale = 20 * time.Millisecond
+	stalePollInterval = 20 * time.Millisecond
 )
 
 // Service is a stand-in configuration service. Fields are set before Run and
@@ -40,7 +40,7 @@
 	Clock *magno.Clock
 
 	once    sync.Once
-	faults  fault.State
+	faults  fault.Injector
 	limiter *rate.Limiter
 	values  *values
 
@@ -62,7 +62,7 @@
 }
 
 // News answers a watch.
-type News struct {
+type WatchResponse struct {
 	// Revision is to be watched after next.
 	Revision int64 `json:"revision"`
 	// Keys changed since; empty when the wait ended without a change.
@@ -73,9 +73,9 @@
 func (s *Service) Name() string { return s.Title }
 
 // Fault carries out an order as POST /fault does.
-func (s *Service) Fault(o fault.Order) error {
+func (s *Service) Fault(spec fault.Spec) error {
 	s.prepare()
-	return s.faults.Set(o)
+	return s.faults.Set(spec)
 }
 
 // Run ends with ctx; the service has no duty besides its handlers.
@@ -94,23 +94,23 @@
 		s.values = newValues()
 		s.changed = make(chan struct{})
 		s.faults.Kinds = map[string]bool{fault.Outage: false, fault.Stale: false}
-		s.faults.OnChange = s.wake
+		s.faults.OnChange = s.wakeWatches
 	})
 }
 
 // Handler returns the readers' routes.
 func (s *Service) Handler() http.Handler {
 	s.prepare()
-	r := serve.Routes()
-	r.GET("/v1/value/*", s.read, s.gate)
-	r.GET("/v1/watch", s.watch, s.gate)
+	r := serve.NewRouter()
+	r.GET("/v1/value/*", s.read, s.limitCalls)
+	r.GET("/v1/watch", s.watch, s.limitCalls)
 	return r
 }
 
 // Admin returns the operators' routes.
 func (s *Service) Admin() http.Handler {
 	s.prepare()
-	r := serve.Routes()
+	r := serve.NewRouter()
 	s.faults.Register(r)
 	r.PUT("/v1/value/*", s.publish)
 	r.GET("/counts", func(c echo.Context) error { return c.JSON(http.StatusOK, s.Counts()) })
@@ -128,14 +128,14 @@
 }
 
 // gate counts a reader's call against the rate and refuses it in an outage.
-func (s *Service) gate(next echo.HandlerFunc) echo.HandlerFunc {
+func (s *Service) limitCalls(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
-		if s.out() {
-			s.count(func(n *Counts) { n.Failed++ })
+		if s.inOutage() {
+			s.updateCounts(func(n *Counts) { n.Failed++ })
 			return errOutage()
 		}
 		if !s.limiter.AllowN(time.UnixMilli(int64(s.Clock.Now())), 1) {
-			s.count(func(n *Counts) { n.Refused++ })
+			s.updateCounts(func(n *Counts) { n.Refused++ })
 			return echo.NewHTTPError(http.StatusTooManyRequests, "over the rate of calls")
 		}
 		return next(c)
@@ -144,19 +144,19 @@
 
 func errOutage() error { return echo.NewHTTPError(http.StatusServiceUnavailable, "outage") }
 
-func (s *Service) out() bool {
-	_, out := s.faults.On(fault.Outage, "")
+func (s *Service) inOutage() bool {
+	_, out := s.faults.Active(fault.Outage, "")
 	return out
 }
 
-func (s *Service) count(add func(*Counts)) {
+func (s *Service) updateCounts(add func(*Counts)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	add(&s.counts)
 }
 
 // wake lets every waiting watch look again.
-func (s *Service) wake() {
+func (s *Service) wakeWatches() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	close(s.changed)
@@ -164,28 +164,28 @@
 }
 
 // asOf is the time whose state readers are shown.
-func (s *Service) asOf() magno.Millis {
-	return s.Clock.Now() - s.faults.Span(fault.Stale, 0)
+func (s *Service) visibleTime() magno.Millis {
+	return s.Clock.Now() - s.faults.Delay(fault.Stale, 0)
 }
 
 // Put publishes a value, as operators do.
 func (s *Service) Put(key string, value []byte) (int64, error) {
 	s.prepare()
-	if key == "" || len(key) > maxKey {
-		return 0, errors.New("key: wants 1 to " + strconv.Itoa(maxKey) + " bytes")
+	if key == "" || len(key) > maxKeyBytes {
+		return 0, errors.New("key: wants 1 to " + strconv.Itoa(maxKeyBytes) + " bytes")
 	}
-	if len(value) > MaxValue {
+	if len(value) > MaxValueBytes {
 		return 0, errors.New("value: over a megabyte")
 	}
 	s.mu.Lock()
 	revision := s.values.put(s.Clock.Now(), key, append([]byte(nil), value...))
 	s.mu.Unlock()
-	s.wake()
+	s.wakeWatches()
 	return revision, nil
 }
 
 func (s *Service) publish(c echo.Context) error {
-	data, err := serve.Body(c, MaxValue)
+	data, err := serve.ReadBody(c, MaxValueBytes)
 	if err != nil {
 		return err
 	}
@@ -199,9 +199,9 @@
 func (s *Service) read(c echo.Context) error {
 	s.mu.Lock()
 	s.counts.Reads++
-	t := s.asOf()
+	t := s.visibleTime()
 	value, ok := s.values.get(t, c.Param("*"))
-	revision := s.values.at(t)
+	revision := s.values.revisionAt(t)
 	s.mu.Unlock()
 	c.Response().Header().Set("X-Revision", strconv.FormatInt(revision, 10))
 	if !ok {
--- a/stand/conf/conf_test.go
+++ b/stand/conf/conf_test.go
@@ -31,20 +31,20 @@
 	return w.Code
 }
 
-func (s *Service) set(t *testing.T, o fault.Order) {
+func (s *Service) setFault(t *testing.T, spec fault.Spec) {
 	t.Helper()
-	if err := s.Fault(o); err != nil {
+	if err := s.Fault(spec); err != nil {
 		t.Fatal(err)
 	}
 }
 
-func watched(t *testing.T, w *httptest.ResponseRecorder) News {
+func decodeWatch(t *testing.T, w *httptest.ResponseRecorder) WatchResponse {
 	t.Helper()
-	var news News
-	if err := json.Unmarshal(w.Body.Bytes(), &news); err != nil {
+	var resp WatchResponse
+	if err := json.Unmarshal(w.Body.Bytes(), &resp); err != nil {
 		t.Fatalf("%d: %s", w.Code, w.Body)
 	}
-	return news
+	return resp
 }
 
 func TestReadAndPublish(t *testing.T) {
@@ -69,7 +69,7 @@
 			t.Errorf("%s: %d %s %v", tt.path, w.Code, w.Body, w.Header())
 		}
 	}
-	for size, want := range map[int]int{MaxValue: http.StatusOK, MaxValue + 1: http.StatusRequestEntityTooLarge} {
+	for size, want := range map[int]int{MaxValueBytes: http.StatusOK, MaxValueBytes + 1: http.StatusRequestEntityTooLarge} {
 		if status := put(operators, "/v1/value/large", make([]byte, size)); status != want {
 			t.Errorf("%d bytes: %d", size, status)
 		}
@@ -89,9 +89,9 @@
 		keys            []string
 	}{{0, 3, []string{"a", "b"}}, {1, 3, []string{"a", "b"}}, {2, 3, []string{"a"}}, {3, 3, []string{}}, {9, 3, []string{}}}
 	for _, tt := range tests {
-		news := watched(t, get(h, "/v1/watch?wait=0&after="+strconv.FormatInt(tt.after, 10)))
-		if news.Revision != tt.revision || !reflect.DeepEqual(news.Keys, tt.keys) {
-			t.Errorf("after %d: %+v", tt.after, news)
+		resp := decodeWatch(t, get(h, "/v1/watch?wait=0&after="+strconv.FormatInt(tt.after, 10)))
+		if resp.Revision != tt.revision || !reflect.DeepEqual(resp.Keys, tt.keys) {
+			t.Errorf("after %d: %+v", tt.after, resp)
 		}
 	}
 	for _, bad := range []string{"after=x", "after=-1", "wait=x", "wait=-1"} {
@@ -99,19 +99,19 @@
 			t.Errorf("%s: %d", bad, w.Code)
 		}
 	}
-	got := make(chan News, 1)
-	go func() { got <- watched(t, get(h, "/v1/watch?after=3&wait=60000")) }()
-	waiting(t, s, 6)
+	got := make(chan WatchResponse, 1)
+	go func() { got <- decodeWatch(t, get(h, "/v1/watch?after=3&wait=60000")) }()
+	waitWatches(t, s, 6)
 	if _, err := s.Put("c", nil); err != nil {
 		t.Fatal(err)
 	}
-	if news := <-got; news.Revision != 4 || !reflect.DeepEqual(news.Keys, []string{"c"}) {
-		t.Errorf("woken with %+v", news)
+	if resp := <-got; resp.Revision != 4 || !reflect.DeepEqual(resp.Keys, []string{"c"}) {
+		t.Errorf("woken with %+v", resp)
 	}
 }
 
 // waiting waits until n watches were begun.
-func waiting(t *testing.T, s *Service, n int64) {
+func waitWatches(t *testing.T, s *Service, n int64) {
 	t.Helper()
 	for end := time.Now().Add(30 * time.Second); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		if s.Counts().Watches >= n {
@@ -159,25 +159,25 @@
 		revision string
 	}{{0, "new", "2"}, {1, "old", "1"}, {500, "old", "1"}, {0, "new", "2"}}
 	for _, tt := range tests {
-		s.set(t, fault.Order{Kind: fault.Stale, Value: tt.stale})
+		s.setFault(t, fault.Spec{Kind: fault.Stale, Value: tt.stale})
 		w := get(h, "/v1/value/index")
 		if w.Body.String() != tt.body || w.Header().Get("X-Revision") != tt.revision {
 			t.Errorf("stale by %v: %s at %s", tt.stale, w.Body, w.Header().Get("X-Revision"))
 		}
-		if news := watched(t, get(h, "/v1/watch?after=0")); strconv.FormatInt(news.Revision, 10) != tt.revision {
-			t.Errorf("stale by %v: %+v", tt.stale, news)
+		if resp := decodeWatch(t, get(h, "/v1/watch?after=0")); strconv.FormatInt(resp.Revision, 10) != tt.revision {
+			t.Errorf("stale by %v: %+v", tt.stale, resp)
 		}
 	}
-	s.set(t, fault.Order{Kind: fault.Stale, Value: 501})
+	s.setFault(t, fault.Spec{Kind: fault.Stale, Value: 501})
 	if w := get(h, "/v1/value/index"); w.Code != http.StatusNotFound {
 		t.Errorf("before the first: %d", w.Code)
 	}
-	got := make(chan News, 1)
-	go func() { got <- watched(t, get(h, "/v1/watch?after=1&wait=60000")) }()
-	waiting(t, s, 5)
+	got := make(chan WatchResponse, 1)
+	go func() { got <- decodeWatch(t, get(h, "/v1/watch?after=1&wait=60000")) }()
+	waitWatches(t, s, 5)
 	clock.Advance(501)
-	if news := <-got; news.Revision != 2 {
-		t.Errorf("a watch on a stale service got %+v", news)
+	if resp := <-got; resp.Revision != 2 {
+		t.Errorf("a watch on a stale service got %+v", resp)
 	}
 }
 
@@ -188,8 +188,8 @@
 	h := s.Handler()
 	got := make(chan int, 1)
 	go func() { got <- get(h, "/v1/watch?wait=60000").Code }()
-	waiting(t, s, 1)
-	s.set(t, fault.Order{Kind: fault.Outage})
+	waitWatches(t, s, 1)
+	s.setFault(t, fault.Spec{Kind: fault.Outage})
 	if status := <-got; status != http.StatusServiceUnavailable {
 		t.Errorf("the watch: %d", status)
 	}
@@ -199,14 +199,14 @@
 	if status := put(s.Admin(), "/v1/value/x", []byte("y")); status != http.StatusOK {
 		t.Errorf("publish: %d", status)
 	}
-	s.set(t, fault.Order{Kind: fault.Clear})
+	s.setFault(t, fault.Spec{Kind: fault.Clear})
 	if w := get(h, "/v1/value/x"); w.Body.String() != "y" {
 		t.Errorf("after it: %d %s", w.Code, w.Body)
 	}
 }
 
 // Who watches after a change that is no longer on record hears of every key.
-func TestOldWatchHearsAll(t *testing.T) {
+func TestOldWatchReturnsAllKeys(t *testing.T) {
 	v := newValues()
 	for i := range 3 * maxChanges {
 		v.put(magno.Millis(i), "k"+strconv.Itoa(i%3), nil)
@@ -216,7 +216,7 @@
 	}
 	now := magno.Millis(3 * maxChanges)
 	for after, want := range map[int64]int{0: 3, v.revision - 1: 1, v.revision: 0} {
-		if _, keys := v.since(now, after); len(keys) != want {
+		if _, keys := v.changedSince(now, after); len(keys) != want {
 			t.Errorf("after %d: %v", after, keys)
 		}
 	}
--- a/stand/conf/values.go
+++ b/stand/conf/values.go
@@ -24,20 +24,20 @@
 type values struct {
 	// revision counts puts.
 	revision int64
-	byKey    map[string]*past.Log[[]byte]
+	byKey    map[string]*past.History[[]byte]
 	// changes are in order of revision without gaps, the last being the
 	// newest, so that a watch costs what changed and not what there is.
 	changes []change
 }
 
 func newValues() *values {
-	return &values{byKey: map[string]*past.Log[[]byte]{}}
+	return &values{byKey: map[string]*past.History[[]byte]{}}
 }
 
 // put sets a key from now on and returns the new revision.
 func (v *values) put(now magno.Millis, key string, value []byte) int64 {
 	if v.byKey[key] == nil {
-		v.byKey[key] = &past.Log[[]byte]{}
+		v.byKey[key] = &past.History[[]byte]{}
 	}
 	v.revision++
 	v.byKey[key].Add(now, value)
@@ -57,33 +57,33 @@
 }
 
 // at returns the revision at time t.
-func (v *values) at(t magno.Millis) int64 {
-	if n := v.shown(t); n > 0 {
+func (v *values) revisionAt(t magno.Millis) int64 {
+	if n := v.countChanges(t); n > 0 {
 		return v.changes[n-1].revision
 	}
-	return v.oldest()
+	return v.baseRevision()
 }
 
 // shown returns how many of the changes were made by time t.
-func (v *values) shown(t magno.Millis) int {
+func (v *values) countChanges(t magno.Millis) int {
 	return sort.Search(len(v.changes), func(i int) bool { return v.changes[i].at > t })
 }
 
 // oldest returns the revision before the first change that is kept.
-func (v *values) oldest() int64 { return v.revision - int64(len(v.changes)) }
+func (v *values) baseRevision() int64 { return v.revision - int64(len(v.changes)) }
 
 // since returns the revision at time t and the keys put after another one.
-func (v *values) since(t magno.Millis, after int64) (int64, []string) {
-	revision := v.at(t)
+func (v *values) changedSince(t magno.Millis, after int64) (int64, []string) {
+	revision := v.revisionAt(t)
 	if revision <= after {
 		return revision, []string{}
 	}
-	if after < v.oldest() {
+	if after < v.baseRevision() {
 		return revision, v.keys(t)
 	}
-	first := int(after - v.oldest())
+	first := int(after - v.baseRevision())
 	seen := map[string]bool{}
-	for _, c := range v.changes[first:v.shown(t)] {
+	for _, c := range v.changes[first:v.countChanges(t)] {
 		seen[c.key] = true
 	}
 	return revision, slices.Sorted(maps.Keys(seen))
--- a/stand/conf/watch.go
+++ b/stand/conf/watch.go
@@ -12,49 +12,49 @@
 )
 
 // watchCall is what a watch asks for.
-type watchCall struct {
+type watchParams struct {
 	after int64
 	wait  magno.Millis
 }
 
 // parseWatch reads the parameters of a watch; a missing one counts as zero.
-func parseWatch(after, wait string) (watchCall, error) {
-	var call watchCall
+func parseWatch(after, wait string) (watchParams, error) {
+	var params watchParams
 	var err error
 	if after != "" {
-		if call.after, err = strconv.ParseInt(after, 10, 64); err != nil || call.after < 0 {
-			return call, echo.NewHTTPError(http.StatusBadRequest, "after: is no revision")
+		if params.after, err = strconv.ParseInt(after, 10, 64); err != nil || params.after < 0 {
+			return params, echo.NewHTTPError(http.StatusBadRequest, "after: is no revision")
 		}
 	}
 	if wait != "" {
 		ms, err := strconv.ParseInt(wait, 10, 64)
 		if err != nil || ms < 0 {
-			return call, echo.NewHTTPError(http.StatusBadRequest, "wait: is no time in milliseconds")
+			return params, echo.NewHTTPError(http.StatusBadRequest, "wait: is no time in milliseconds")
 		}
-		call.wait = min(magno.Millis(ms), MaxWait)
+		params.wait = min(magno.Millis(ms), MaxWait)
 	}
-	return call, nil
+	return params, nil
 }
 
 // watch answers once something changed after a revision, or the wait is over.
 func (s *Service) watch(c echo.Context) error {
-	call, err := parseWatch(c.QueryParam("after"), c.QueryParam("wait"))
+	params, err := parseWatch(c.QueryParam("after"), c.QueryParam("wait"))
 	if err != nil {
 		return err
 	}
-	s.count(func(n *Counts) { n.Watches++ })
-	until := s.Clock.Now() + call.wait
+	s.updateCounts(func(n *Counts) { n.Watches++ })
+	deadline := s.Clock.Now() + params.wait
 	for {
-		if s.out() {
-			s.count(func(n *Counts) { n.Failed++ })
+		if s.inOutage() {
+			s.updateCounts(func(n *Counts) { n.Failed++ })
 			return errOutage()
 		}
-		news, changed := s.news(call.after)
-		left := until - s.Clock.Now()
-		if len(news.Keys) > 0 || left <= 0 {
-			return c.JSON(http.StatusOK, news)
+		resp, changed := s.changesAfter(params.after)
+		remaining := deadline - s.Clock.Now()
+		if len(resp.Keys) > 0 || remaining <= 0 {
+			return c.JSON(http.StatusOK, resp)
 		}
-		timer := time.NewTimer(s.pause(left))
+		timer := time.NewTimer(s.maxSleep(remaining))
 		select {
 		case <-c.Request().Context().Done():
 			timer.Stop()
@@ -68,18 +68,18 @@
 
 // pause is how long a watch sleeps at most: on a stale service a change shows
 // later than it is made, when nothing wakes the watch.
-func (s *Service) pause(left magno.Millis) time.Duration {
-	if _, stale := s.faults.On(fault.Stale, ""); stale {
-		return min(left.Span(), lookStale)
+func (s *Service) maxSleep(remaining magno.Millis) time.Duration {
+	if _, stale := s.faults.Active(fault.Stale, ""); stale {
+		return min(remaining.Span(), stalePollInterval)
 	}
-	return left.Span()
+	return remaining.Span()
 }
 
 // news returns what changed after a revision, and the channel that closes with
 // the next change.
-func (s *Service) news(after int64) (News, <-chan struct{}) {
+func (s *Service) changesAfter(after int64) (WatchResponse, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	revision, keys := s.values.since(s.asOf(), after)
-	return News{Revision: revision, Keys: keys}, s.changed
+	revision, keys := s.values.changedSince(s.visibleTime(), after)
+	return WatchResponse{Revision: revision, Keys: keys}, s.changed
 }
--- a/stand/config.go
+++ b/stand/config.go
@@ -26,23 +26,23 @@
 	Listen string `json:"listen" help:"IP:PORT for the system; port 0 takes a free one"`
 	Admin  string `json:"admin" help:"IP:PORT for operators; port 0 takes a free one"`
 
-	Step    magno.Millis `json:"step" help:"ms of an engine's step"`
-	Batch   int          `json:"batch" help:"requests of an engine's step, or calls at once of a plain service"`
-	Tokens  int          `json:"tokens" help:"capacity of an engine's step"`
-	Queue   int          `json:"queue" help:"requests or calls that may wait"`
-	Slots   int          `json:"slots" help:"adapters that an engine holds"`
-	Cache   int          `json:"cache" help:"prefixes that an engine keeps"`
-	Late    magno.Millis `json:"late" help:"ms until a cache event shows"`
-	Gap     int          `json:"gap" help:"each such cache event is lost; 0 loses none"`
-	Lag     magno.Millis `json:"lag" help:"ms that a report or list is behind"`
-	Restart magno.Millis `json:"restart" help:"ms that an upstream is down after a crash"`
-	Store   string       `json:"store" help:"URL of the weight store of an engine"`
-	Load    magno.Millis `json:"load" help:"ms of an adapter load at full speed"`
-	Work    magno.Millis `json:"work" help:"ms of a plain call"`
-	Rate    float64      `json:"rate" help:"loads a second of the store, calls a second of the configuration service"`
-	Width   int          `json:"width" help:"loads at once at full speed"`
+	Step              magno.Millis `json:"step" help:"ms of an engine's step"`
+	Batch             int          `json:"batch" help:"requests of an engine's step, or calls at once of a plain service"`
+	Tokens            int          `json:"tokens" help:"capacity of an engine's step"`
+	Queue             int          `json:"queue" help:"requests or calls that may wait"`
+	Slots             int          `json:"slots" help:"adapters that an engine holds"`
+	Cache             int          `json:"cache" help:"prefixes that an engine keeps"`
+	EventDelay        magno.Millis `json:"late" help:"ms until a cache event shows"`
+	EventLossInterval int          `json:"gap" help:"each such cache event is lost; 0 loses none"`
+	Lag               magno.Millis `json:"lag" help:"ms that a report or list is behind"`
+	Restart           magno.Millis `json:"restart" help:"ms that an upstream is down after a crash"`
+	Store             string       `json:"store" help:"URL of the weight store of an engine"`
+	Load              magno.Millis `json:"load" help:"ms of an adapter load at full speed"`
+	Work              magno.Millis `json:"work" help:"ms of a plain call"`
+	Rate              float64      `json:"rate" help:"loads a second of the store, calls a second of the configuration service"`
+	Width             int          `json:"width" help:"loads at once at full speed"`
 
-	Stands []config `json:"stands" help:"settings of each, for kind all"`
+	Services []config `json:"stands" help:"settings of each, for kind all"`
 }
 
 func defaults() config {
@@ -51,7 +51,7 @@
 
 // highest bounds every number, so that a slip of the finger is found here and
 // not by a process that eats the machine.
-const highest = 1 << 20
+const maxNumber = 1 << 20
 
 // Check names the first key that is out of range.
 func (c *config) Check() error {
@@ -66,18 +66,18 @@
 	}{
 		{"step", float64(c.Step)}, {"batch", float64(c.Batch)}, {"tokens", float64(c.Tokens)},
 		{"queue", float64(c.Queue)}, {"slots", float64(c.Slots)}, {"cache", float64(c.Cache)},
-		{"late", float64(c.Late)}, {"gap", float64(c.Gap)},
+		{"late", float64(c.EventDelay)}, {"gap", float64(c.EventLossInterval)},
 		{"lag", float64(c.Lag)}, {"restart", float64(c.Restart)}, {"load", float64(c.Load)},
 		{"work", float64(c.Work)}, {"rate", c.Rate}, {"width", float64(c.Width)},
 	}
 	for _, n := range numbers {
-		if err := setup.Range(n.key, n.value, 0, highest); err != nil {
+		if err := setup.Range(n.key, n.value, 0, maxNumber); err != nil {
 			return err
 		}
 	}
-	for i := range c.Stands {
-		if err := c.Stands[i].Check(); err != nil {
-			return inStand(err, c.Stands[i].Name)
+	for i := range c.Services {
+		if err := c.Services[i].Check(); err != nil {
+			return nameService(err, c.Services[i].Name)
 		}
 	}
 	return nil
@@ -85,10 +85,10 @@
 
 // inStand names the stand-in in a fault: the same key stands in many of a list,
 // and the line that setup finds is that of the last.
-func inStand(err error, name string) error {
-	var wrong *setup.Fault
-	if errors.As(err, &wrong) {
-		wrong.What += fmt.Sprintf(", in the stand-in %q", name)
+func nameService(err error, name string) error {
+	var fault *setup.Fault
+	if errors.As(err, &fault) {
+		fault.What += fmt.Sprintf(", in the stand-in %q", name)
 	}
 	return err
 }
--- a/stand/engine/answer.go
+++ b/stand/engine/answer.go
@@ -12,10 +12,10 @@
 )
 
 // statusGone is told to a caller whose request was cancelled.
-const statusGone = 499
+const statusClientClosedRequest = 499
 
 // done ends a whole stream; a stream without it was cut.
-const done = "data: [DONE]\n\n"
+const streamEnd = "data: [DONE]\n\n"
 
 // choice, usage and answer are OpenAI's form of a completion.
 type choice struct {
@@ -32,7 +32,7 @@
 	Cached int `json:"cached_tokens"`
 }
 
-type answer struct {
+type completionResponse struct {
 	ID      string   `json:"id"`
 	Object  string   `json:"object"`
 	Created int64    `json:"created"`
@@ -43,85 +43,85 @@
 
 // complete runs one request and answers it whole or as a stream.
 func (e *Engine) complete(c echo.Context) error {
-	data, err := serve.Body(c, serve.MaxBody)
+	data, err := serve.ReadBody(c, serve.MaxBodyBytes)
 	if err != nil {
 		return err
 	}
-	req, err := parseCompletion(data)
+	req, err := parseCompletionRequest(data)
 	if err != nil {
 		return echo.NewHTTPError(http.StatusBadRequest, err.Error())
 	}
-	r, err := e.accept(req)
+	r, err := e.submit(req)
 	if err != nil {
 		return err
 	}
-	defer e.leave(r)
+	defer e.cancelIfActive(r)
 	if req.Stream {
-		return e.stream(c, r)
+		return e.streamResponse(c, r)
 	}
-	return e.whole(c, r)
+	return e.writeResponse(c, r)
 }
 
 // leave takes a request out whose caller has gone.
-func (e *Engine) leave(r *run) {
-	if r.state.Load() == stateOpen {
-		e.remove(func(other *run) bool { return other == r })
+func (e *Engine) cancelIfActive(r *request) {
+	if r.state.Load() == stateActive {
+		e.cancelMatching(func(other *request) bool { return other == r })
 	}
 }
 
 // accept queues a request, or refuses it without running it.
-func (e *Engine) accept(req completion) (*run, error) {
+func (e *Engine) submit(req completionRequest) (*request, error) {
 	failed := e.faults.Hit(fault.Fail, req.Prompt)
-	r := e.newRun(req)
+	r := e.newRequest(req)
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.ended {
-		return nil, serve.ErrCut
+		return nil, serve.ErrAborted
 	}
-	if err := e.refusal(req, failed); err != nil {
+	if err := e.checkRequest(req, failed); err != nil {
 		e.refused++
 		return nil, err
 	}
-	e.arrived++
-	r.order = e.arrived
-	e.queue(r)
+	e.arrivals++
+	r.arrival = e.arrivals
+	e.enqueue(r)
 	return r, nil
 }
 
 // newRun works out all that follows from the request alone, outside the lock
 // that the steps need.
-func (e *Engine) newRun(req completion) *run {
-	r := &run{
+func (e *Engine) newRequest(req completionRequest) *request {
+	r := &request{
 		id: req.RequestID, model: req.Model, prompt: req.Prompt, hash: HashPrompt(req.Prompt),
 		priority: req.Priority, created: int64(e.Clock.Now() / magno.Second), wake: make(chan struct{}, 1),
 	}
-	r.want, r.finish = length(req.Prompt, req.MaxTokens)
-	r.prefixes, r.tokens = prefixes(req.Model, req.Prompt, e.Block)
+	r.outputTokens, r.finish = outputLength(req.Prompt, req.MaxTokens)
+	r.prefixes, r.tokens = prefixes(req.Model, req.Prompt, e.BlockSize)
 	return r
 }
 
 // refusal says why a request can't run; nil means that it can.
-func (e *Engine) refusal(req completion, failed bool) error {
+func (e *Engine) checkRequest(req completionRequest, failed bool) error {
 	if failed {
 		return echo.NewHTTPError(http.StatusInternalServerError, "failed before running")
 	}
 	if req.Fence > 0 {
-		if err := e.fenced(req.Fence); err != nil {
+		if err := e.checkFence(req.Fence); err != nil {
 			return err
 		}
 	}
 	if s := e.slots[req.Model]; s == nil || !s.loaded {
 		return echo.NewHTTPError(http.StatusNotFound, "model "+req.Model+" is not loaded")
 	}
-	if len(e.waiting) >= e.Queue {
+	if len(e.waiting) >= e.QueueLimit {
 		return echo.NewHTTPError(http.StatusTooManyRequests, "too many requests wait in the engine")
 	}
 	return nil
 }
 
 // whole answers with one body once every word is made.
-func (e *Engine) whole(c echo.Context, r *run) error {
-	for r.state.Load() == stateOpen {
+func (e *Engine) writeResponse(c echo.Context, r *request) error {
+	for r.state.Load() == stateActive {
 		select {
 		case <-c.Request().Context().Done():
 			return c.Request().Context().Err()
@@ -129,19 +129,19 @@
 		}
 	}
 	switch r.state.Load() {
-	case stateCut:
-		return serve.ErrCut
+	case stateAborted:
+		return serve.ErrAborted
 	case stateCancelled:
-		return echo.NewHTTPError(statusGone, "cancelled")
+		return echo.NewHTTPError(statusClientClosedRequest, "cancelled")
 	}
-	a := r.answer(words(r.model, r.hash, 0, r.want))
+	a := r.response(outputText(r.model, r.hash, 0, r.outputTokens))
 	a.Choices[0].Finish, a.Usage = r.finish, r.usage()
 	return c.JSON(http.StatusOK, a)
 }
 
 // stream sends words as they are made. A cut or cancelled stream ends without
 // its last event.
-func (e *Engine) stream(c echo.Context, r *run) error {
+func (e *Engine) streamResponse(c echo.Context, r *request) error {
 	w := c.Response()
 	w.Header().Set(echo.HeaderContentType, "text/event-stream")
 	w.WriteHeader(http.StatusOK)
@@ -149,24 +149,24 @@
 	sent := 0
 	for {
 		state := r.state.Load()
-		if made := int(r.made.Load()); made > sent && state != stateCut {
-			if err := send(w, r.answer(words(r.model, r.hash, sent, made))); err != nil {
+		if made := int(r.generated.Load()); made > sent && state != stateAborted {
+			if err := writeEvent(w, r.response(outputText(r.model, r.hash, sent, made))); err != nil {
 				return err
 			}
 			sent = made
 		}
 		switch state {
 		case stateDone:
-			a := r.answer("")
+			a := r.response("")
 			a.Choices[0].Finish, a.Usage = r.finish, r.usage()
-			if err := send(w, a); err != nil {
+			if err := writeEvent(w, a); err != nil {
 				return err
 			}
-			_, err := w.Write([]byte(done))
+			_, err := w.Write([]byte(streamEnd))
 			w.Flush()
 			return err
-		case stateCut, stateCancelled:
-			return serve.ErrCut
+		case stateAborted, stateCancelled:
+			return serve.ErrAborted
 		}
 		select {
 		case <-c.Request().Context().Done():
@@ -176,19 +176,19 @@
 	}
 }
 
-func (r *run) answer(text string) answer {
-	return answer{
+func (r *request) response(text string) completionResponse {
+	return completionResponse{
 		ID: r.id, Object: "text_completion", Created: r.created, Model: r.model,
 		Choices: []choice{{Text: text}},
 	}
 }
 
-func (r *run) usage() *usage {
-	return &usage{Prompt: r.tokens, Completion: r.want, Total: r.tokens + r.want, Cached: r.cached}
+func (r *request) usage() *usage {
+	return &usage{Prompt: r.tokens, Completion: r.outputTokens, Total: r.tokens + r.outputTokens, Cached: r.cached}
 }
 
 // send writes one event and flushes it.
-func send(w *echo.Response, a answer) error {
+func writeEvent(w *echo.Response, a completionResponse) error {
 	data, err := json.Marshal(a)
 	if err != nil {
 		return err
--- a/stand/engine/answer_test.go
+++ b/stand/engine/answer_test.go
@@ -12,7 +12,7 @@
 )
 
 func TestAnswers(t *testing.T) {
-	s := listen(t, &Engine{Load: 1, Step: 1})
+	s := startEngine(t, &Engine{LoadTime: 1, StepTime: 1})
 	s.load("a@1", 0)
 	tests := []struct {
 		prompt    string
@@ -23,13 +23,13 @@
 		{"read this len=3", 5, 3, "stop"},
 		{"read this len=9", 5, 5, "length"},
 		{"read this len=x", 2, 2, "length"},
-		{"read this", 0, defaultOutput, "length"},
+		{"read this", 0, defaultOutputTokens, "length"},
 	}
 	for _, tt := range tests {
 		t.Run(fmt.Sprint(tt.prompt, tt.max), func(t *testing.T) {
-			req := completion{Model: "a@1", Prompt: tt.prompt, MaxTokens: tt.max, RequestID: "r"}
+			req := completionRequest{Model: "a@1", Prompt: tt.prompt, MaxTokens: tt.max, RequestID: "r"}
 			status, body := s.post("/v1/completions", req)
-			var a answer
+			var a completionResponse
 			if err := json.Unmarshal(body, &a); err != nil || status != http.StatusOK {
 				t.Fatalf("status %d, %s", status, body)
 			}
@@ -47,7 +47,7 @@
 	}
 }
 
-func TestExpectTellsApart(t *testing.T) {
+func TestExpectIsDistinct(t *testing.T) {
 	texts := map[string]bool{}
 	for _, model := range []string{"a@1", "a@2", "b@1"} {
 		for _, prompt := range []string{"x", "y", "x y"} {
@@ -60,7 +60,7 @@
 }
 
 func TestBadRequests(t *testing.T) {
-	s := listen(t, &Engine{Load: 1})
+	s := startEngine(t, &Engine{LoadTime: 1})
 	s.load("a@1", 0)
 	tests := []struct {
 		path, body string
@@ -91,7 +91,7 @@
 // or one lost between step and handler, shows in the text.
 func TestManyStreams(t *testing.T) {
 	const callers = 300
-	s := listen(t, &Engine{Load: 1, Step: 1, Batch: 64, Slots: 4})
+	s := startEngine(t, &Engine{LoadTime: 1, StepTime: 1, BatchSize: 64, AdapterSlots: 4})
 	models := []string{"a@1", "a@2", "b@1", "c@1"}
 	for _, model := range models {
 		s.load(model, 0)
@@ -99,7 +99,7 @@
 	var wg sync.WaitGroup
 	for i := range callers {
 		wg.Go(func() {
-			req := completion{Model: models[i%len(models)], Prompt: fmt.Sprintf("caller %d len=%d", i, 1+i%40), MaxTokens: 64}
+			req := completionRequest{Model: models[i%len(models)], Prompt: fmt.Sprintf("caller %d len=%d", i, 1+i%40), MaxTokens: 64}
 			if text, whole := s.stream(req); !whole || text != Expect(req.Model, req.Prompt, req.MaxTokens) {
 				t.Errorf("caller %d: whole %v, got %q", i, whole, text)
 			}
@@ -120,14 +120,14 @@
 // An outage is told at once and nothing is run, so the agent may send the work
 // elsewhere.
 func TestOutage(t *testing.T) {
-	s := listen(t, &Engine{Load: 1})
+	s := startEngine(t, &Engine{LoadTime: 1})
 	s.load("a@1", 0)
-	s.set(fault.Order{Kind: fault.Outage})
-	if status, _ := s.post("/v1/completions", completion{Model: "a@1", Prompt: "x"}); status != http.StatusServiceUnavailable {
+	s.setFault(fault.Spec{Kind: fault.Outage})
+	if status, _ := s.post("/v1/completions", completionRequest{Model: "a@1", Prompt: "x"}); status != http.StatusServiceUnavailable {
 		t.Errorf("status %d", status)
 	}
-	s.set(fault.Order{Kind: fault.Clear})
-	if status, _ := s.post("/v1/completions", completion{Model: "a@1", Prompt: "x"}); status != http.StatusOK {
+	s.setFault(fault.Spec{Kind: fault.Clear})
+	if status, _ := s.post("/v1/completions", completionRequest{Model: "a@1", Prompt: "x"}); status != http.StatusOK {
 		t.Errorf("after it: %d", status)
 	}
 	if c := s.Counts(); len(c.Runs) != 1 {
@@ -143,13 +143,13 @@
 		f.Add([]byte(seed))
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
-		if c, err := parseCompletion(data); err == nil {
-			n, _ := length(c.Prompt, c.MaxTokens)
-			if n < 1 || n > c.MaxTokens || c.MaxTokens > maxOutput || c.Model == "" || c.Priority < 0 {
+		if c, err := parseCompletionRequest(data); err == nil {
+			n, _ := outputLength(c.Prompt, c.MaxTokens)
+			if n < 1 || n > c.MaxTokens || c.MaxTokens > maxOutputTokens || c.Model == "" || c.Priority < 0 {
 				t.Errorf("took %+v with length %d", c, n)
 			}
 		}
-		if o, err := parseOrder(data); err == nil && !strings.Contains(o.Name, "@") {
+		if o, err := parseAdapterRequest(data); err == nil && !strings.Contains(o.Name, "@") {
 			t.Errorf("took %+v", o)
 		}
 	})
--- a/stand/engine/cache.go
+++ b/stand/engine/cache.go
@@ -31,21 +31,21 @@
 
 // cache holds hashes of prompt prefixes, the least recently used going first.
 type cache struct {
-	block int
-	late  magno.Millis
-	gap   int
-	seq   int64
-	now   magno.Millis
+	block        int
+	eventDelay   magno.Millis
+	lossInterval int
+	seq          int64
+	now          magno.Millis
 	// events are in order of seq and at most maxEvents.
-	events []Event
-	known  *lru.Cache[uint64, struct{}]
+	events  []Event
+	entries *lru.Cache[uint64, struct{}]
 }
 
-func newCache(size, block int, late magno.Millis, gap int) *cache {
-	c := &cache{block: block, late: late, gap: gap}
+func newCache(size, block int, eventDelay magno.Millis, lossInterval int) *cache {
+	c := &cache{block: block, eventDelay: eventDelay, lossInterval: lossInterval}
 	// The only error is a size under 1, which prepare rules out.
-	c.known, _ = lru.NewWithEvict(size, func(prefix uint64, _ struct{}) {
-		c.tell(EventRemoved, prefix)
+	c.entries, _ = lru.NewWithEvict(size, func(prefix uint64, _ struct{}) {
+		c.addEvent(EventRemoved, prefix)
 	})
 	return c
 }
@@ -69,10 +69,10 @@
 }
 
 // spared returns how many tokens of a prompt are cached.
-func (c *cache) spared(hashes []uint64) int {
+func (c *cache) cachedTokens(hashes []uint64) int {
 	n := 0
 	for _, h := range hashes {
-		if _, ok := c.known.Get(h); !ok {
+		if _, ok := c.entries.Get(h); !ok {
 			break
 		}
 		n += c.block
@@ -81,21 +81,21 @@
 }
 
 // store keeps the prefixes of a prompt that was read.
-func (c *cache) store(now magno.Millis, hashes []uint64) {
+func (c *cache) insert(now magno.Millis, hashes []uint64) {
 	c.now = now
 	for _, h := range hashes {
-		if c.known.Contains(h) {
+		if c.entries.Contains(h) {
 			continue
 		}
-		c.known.Add(h, struct{}{})
-		c.tell(EventStored, h)
+		c.entries.Add(h, struct{}{})
+		c.addEvent(EventStored, h)
 	}
 }
 
 // tell records an event, or loses it while its number is used up.
-func (c *cache) tell(kind string, prefix uint64) {
+func (c *cache) addEvent(kind string, prefix uint64) {
 	c.seq++
-	if c.gap > 0 && c.seq%int64(c.gap) == 0 {
+	if c.lossInterval > 0 && c.seq%int64(c.lossInterval) == 0 {
 		return
 	}
 	if len(c.events) >= maxEvents {
@@ -105,12 +105,12 @@
 }
 
 // after returns the events over seq that show by now.
-func (c *cache) after(seq int64, now magno.Millis) []Event {
-	shown := []Event{}
+func (c *cache) visibleEvents(seq int64, now magno.Millis) []Event {
+	visible := []Event{}
 	for _, ev := range c.events {
-		if ev.Seq > seq && ev.at+c.late <= now {
-			shown = append(shown, ev)
+		if ev.Seq > seq && ev.at+c.eventDelay <= now {
+			visible = append(visible, ev)
 		}
 	}
-	return shown
+	return visible
 }
--- a/stand/engine/engine.go
+++ b/stand/engine/engine.go
@@ -25,52 +25,52 @@
 
 // Defaults of an engine.
 const (
-	DefaultBatch  = 32
-	DefaultTokens = 256 // a step's capacity: prompt and output tokens
-	DefaultSlots  = 8
-	DefaultQueue  = 1024 // requests that wait; more are refused
-	DefaultCache  = 4096 // prefixes
-	DefaultBlock  = 16   // tokens; prefixes are cached in multiples of it
+	DefaultBatchSize    = 32
+	DefaultTokenBudget  = 256 // a step's capacity: prompt and output tokens
+	DefaultAdapterSlots = 8
+	DefaultQueueLimit   = 1024 // requests that wait; more are refused
+	DefaultCacheSize    = 4096 // prefixes
+	DefaultBlockSize    = 16   // tokens; prefixes are cached in multiples of it
 
-	DefaultStep    magno.Millis = 5
-	DefaultLag     magno.Millis = 200
-	DefaultLate    magno.Millis = 100
-	DefaultRestart magno.Millis = 500
-	DefaultLoad    magno.Millis = 100
+	DefaultStepTime    magno.Millis = 5
+	DefaultReportLag   magno.Millis = 200
+	DefaultEventDelay  magno.Millis = 100
+	DefaultRestartTime magno.Millis = 500
+	DefaultLoadTime    magno.Millis = 100
 )
 
 // maxRuns bounds the record of runs, to some tens of megabytes; further ones
 // are counted as dropped.
-const maxRuns = 1 << 18
+const maxRunRecords = 1 << 18
 
 // Engine is a stand-in engine. Fields are set before Run and Handler; a zero
 // field takes its default.
 type Engine struct {
 	Title string
 	// Step is the time of a step in milliseconds.
-	Step magno.Millis
+	StepTime magno.Millis
 	// Batch is the number of requests in a step, Tokens a step's capacity.
-	Batch  int
-	Tokens int
+	BatchSize   int
+	TokenBudget int
 	// Slots is the number of adapters held at once.
-	Slots int
+	AdapterSlots int
 	// Queue is the number of requests that may wait.
-	Queue int
+	QueueLimit int
 	// Cache is the number of prefixes kept, Block their unit in tokens.
-	Cache int
-	Block int
+	CacheSize int
+	BlockSize int
 	// Lag is how old a report is; Late is how long a cache event takes to
 	// show. Each Gap-th event never shows; 0 loses none.
-	Lag  magno.Millis
-	Late magno.Millis
-	Gap  int
+	ReportLag         magno.Millis
+	EventDelay        magno.Millis
+	EventLossInterval int
 	// Restart is how long the engine is down after a crash.
-	Restart magno.Millis
+	RestartTime magno.Millis
 	// Store is the weight store's URL without a path. When it is empty, a
 	// load takes Load and can't fail.
-	Store string
+	StoreURL string
 	// Load is what the report states as the time of a load at full speed.
-	Load magno.Millis
+	LoadTime magno.Millis
 	// Client fetches from the store; nil means http.DefaultClient.
 	Client *http.Client
 	// Ticks lets a test make each step; nil means one each Step.
@@ -78,7 +78,7 @@
 	Clock *magno.Clock
 
 	once   sync.Once
-	faults fault.State
+	faults fault.Injector
 
 	mu sync.Mutex
 	// boot changes with each restart and is never reused.
@@ -91,30 +91,30 @@
 	slots map[string]*slot
 	// names are the loaded adapters in order; the slice is replaced, never
 	// changed, for reports share it.
-	names []string
+	loadedNames []string
 	// waiting is in order of priority, then arrival.
-	waiting []*run
+	waiting []*request
 	// running holds at most Batch.
-	running []*run
-	cache   *cache
-	reports past.Log[Report]
-	total   tally
+	running    []*request
+	cache      *cache
+	reports    past.History[Report]
+	totalSteps stepCounts
 	// since counts from boot on, total from the start.
-	since tally
-	runs  []*Run
+	stepsSinceBoot stepCounts
+	runs           []*Run
 	// dropped counts runs over maxRuns; refused counts requests never run.
-	dropped int64
-	refused int64
-	arrived int64
+	dropped  int64
+	refused  int64
+	arrivals int64
 	// life ends with a restart or with Run; loads in progress hold it.
-	life context.Context //nolint:containedctx // the life of a simulated process
-	kill context.CancelFunc
+	bootCtx    context.Context //nolint:containedctx // the life of a simulated process
+	cancelBoot context.CancelFunc
 	// ended is true once Run is over: no step will be made for a request.
 	ended bool
 	// passes counts calls of step, with or without work.
-	passes int64
+	stepCalls int64
 	// work wakes the step loop.
-	work chan struct{}
+	workReady chan struct{}
 }
 
 // slot is one adapter in memory or on its way there.
@@ -122,16 +122,16 @@
 	// loaded is true once requests may use it.
 	loaded bool
 	// uses counts waiting and running requests; it is never unloaded over 0.
-	uses int
+	refs int
 	// done is closed when the load ends; err tells how, and is set before.
 	done chan struct{}
 	err  error
 	// life is that of the process that loads it.
-	life context.Context //nolint:containedctx // the life of a simulated process
+	bootCtx context.Context //nolint:containedctx // the life of a simulated process
 }
 
 // tally counts steps.
-type tally struct {
+type stepCounts struct {
 	steps, capacity, used int64
 }
 
@@ -139,29 +139,29 @@
 func (e *Engine) Name() string { return e.Title }
 
 // Fault carries out an order as POST /fault does.
-func (e *Engine) Fault(o fault.Order) error {
+func (e *Engine) Fault(spec fault.Spec) error {
 	e.prepare()
-	return e.faults.Set(o)
+	return e.faults.Set(spec)
 }
 
 // prepare fills defaults and the first boot.
 func (e *Engine) prepare() {
 	e.once.Do(func() {
-		e.Step = either(e.Step, DefaultStep)
-		e.Batch = either(e.Batch, DefaultBatch)
-		e.Tokens = either(e.Tokens, DefaultTokens)
-		e.Slots = either(e.Slots, DefaultSlots)
-		e.Queue = either(e.Queue, DefaultQueue)
-		e.Cache = either(e.Cache, DefaultCache)
-		e.Block = either(e.Block, DefaultBlock)
-		e.Lag = either(e.Lag, DefaultLag)
-		e.Late = either(e.Late, DefaultLate)
-		e.Restart = either(e.Restart, DefaultRestart)
-		e.Load = either(e.Load, DefaultLoad)
+		e.StepTime = orDefault(e.StepTime, DefaultStepTime)
+		e.BatchSize = orDefault(e.BatchSize, DefaultBatchSize)
+		e.TokenBudget = orDefault(e.TokenBudget, DefaultTokenBudget)
+		e.AdapterSlots = orDefault(e.AdapterSlots, DefaultAdapterSlots)
+		e.QueueLimit = orDefault(e.QueueLimit, DefaultQueueLimit)
+		e.CacheSize = orDefault(e.CacheSize, DefaultCacheSize)
+		e.BlockSize = orDefault(e.BlockSize, DefaultBlockSize)
+		e.ReportLag = orDefault(e.ReportLag, DefaultReportLag)
+		e.EventDelay = orDefault(e.EventDelay, DefaultEventDelay)
+		e.RestartTime = orDefault(e.RestartTime, DefaultRestartTime)
+		e.LoadTime = orDefault(e.LoadTime, DefaultLoadTime)
 		if e.Client == nil {
 			e.Client = http.DefaultClient
 		}
-		e.work = make(chan struct{}, 1)
+		e.workReady = make(chan struct{}, 1)
 		e.faults.Kinds = map[string]bool{
 			fault.Outage: false, fault.Lag: false, fault.Slow: false, fault.Restart: false, fault.IgnoreFence: false,
 			fault.Fail: true, fault.Crash: true,
@@ -172,13 +172,13 @@
 			e.restart(down)
 		}
 		e.boot = max(int64(e.Clock.Now()), 1)
-		e.empty()
+		e.reset()
 	})
 }
 
-func either[T int | magno.Millis](v, usual T) T {
+func orDefault[T int | magno.Millis](v, fallback T) T {
 	if v == 0 {
-		return usual
+		return fallback
 	}
 	return v
 }
@@ -187,29 +187,29 @@
 // makes none.
 func (e *Engine) Run(ctx context.Context) error {
 	e.prepare()
-	defer e.stop()
+	defer e.shutdown()
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-e.work:
+		case <-e.workReady:
 		}
-		if !e.busy(ctx) {
+		if !e.runSteps(ctx) {
 			return nil
 		}
 	}
 }
 
 // busy makes steps while there is work; it returns false when ctx ended.
-func (e *Engine) busy(ctx context.Context) bool {
+func (e *Engine) runSteps(ctx context.Context) bool {
 	next := time.Now()
 	for {
-		next = next.Add(time.Duration(float64(e.Step.Span()) * e.faults.Factor("")))
-		if late := time.Now(); next.Before(late) {
+		next = next.Add(time.Duration(float64(e.StepTime.Span()) * e.faults.Slowdown("")))
+		if now := time.Now(); next.Before(now) {
 			// A machine that stalls makes fewer steps, not a burst of them.
-			next = late
+			next = now
 		}
-		if !e.tick(ctx, time.Until(next)) {
+		if !e.waitStep(ctx, time.Until(next)) {
 			return false
 		}
 		if !e.step() {
@@ -219,7 +219,7 @@
 }
 
 // tick waits for the next step.
-func (e *Engine) tick(ctx context.Context, left time.Duration) bool {
+func (e *Engine) waitStep(ctx context.Context, delay time.Duration) bool {
 	if e.Ticks != nil {
 		select {
 		case <-ctx.Done():
@@ -228,7 +228,7 @@
 			return true
 		}
 	}
-	timer := time.NewTimer(left)
+	timer := time.NewTimer(delay)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
@@ -239,41 +239,41 @@
 }
 
 // stop cuts every request and load when the engine ends.
-func (e *Engine) stop() {
+func (e *Engine) shutdown() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.restart(0)
-	e.kill()
+	e.cancelBoot()
 	e.ended = true
 }
 
 // empty drops all that an engine holds in memory. The caller holds mu, or is
 // the only user.
-func (e *Engine) empty() {
+func (e *Engine) reset() {
 	for _, s := range e.slots {
 		s.fail(errRestarted)
 	}
-	e.slots, e.names = map[string]*slot{}, []string{}
+	e.slots, e.loadedNames = map[string]*slot{}, []string{}
 	e.fence = 0
-	e.life, e.kill = context.WithCancel(context.Background())
-	e.since = tally{}
-	e.cache = newCache(e.Cache, e.Block, e.Late, e.Gap)
+	e.bootCtx, e.cancelBoot = context.WithCancel(context.Background())
+	e.stepsSinceBoot = stepCounts{}
+	e.cache = newCache(e.CacheSize, e.BlockSize, e.EventDelay, e.EventLossInterval)
 	e.reports.Reset()
-	e.note()
+	e.recordReport()
 }
 
 // restart cuts every request and empties the engine; it answers again after
 // down. The caller holds mu.
 func (e *Engine) restart(down magno.Millis) {
 	for _, r := range slices.Concat(e.waiting, e.running) {
-		r.end(stateCut)
+		r.terminate(stateAborted)
 	}
 	e.waiting, e.running = nil, nil
-	e.kill()
+	e.cancelBoot()
 	now := e.Clock.Now()
 	e.boot = max(e.boot+1, int64(now))
 	e.upAt = now + down
-	e.empty()
+	e.reset()
 }
 
 // up tells whether the engine answers.
--- a/stand/engine/help_test.go
+++ b/stand/engine/help_test.go
@@ -20,17 +20,17 @@
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 // served is an engine behind a server on loopback, with its steps running.
-type served struct {
+type testEngine struct {
 	*Engine
 	t      *testing.T
 	server *httptest.Server
 	client *http.Client
 }
 
-func listen(t *testing.T, e *Engine) *served {
+func startEngine(t *testing.T, e *Engine) *testEngine {
 	t.Helper()
 	server := httptest.NewServer(e.Handler())
-	s := &served{Engine: e, t: t, server: server, client: &http.Client{Transport: &http.Transport{}}}
+	s := &testEngine{Engine: e, t: t, server: server, client: &http.Client{Transport: &http.Transport{}}}
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() { ended <- e.Run(ctx) }()
@@ -48,12 +48,12 @@
 
 // post sends a body and returns status and answer; status 0 means that the
 // connection was cut.
-func (s *served) post(path string, body any) (int, []byte) {
+func (s *testEngine) post(path string, body any) (int, []byte) {
 	s.t.Helper()
 	return s.send(context.Background(), path, body)
 }
 
-func (s *served) send(ctx context.Context, path string, body any) (int, []byte) {
+func (s *testEngine) send(ctx context.Context, path string, body any) (int, []byte) {
 	data, ok := body.([]byte)
 	if !ok {
 		data, _ = json.Marshal(body)
@@ -74,20 +74,20 @@
 	return resp.StatusCode, text
 }
 
-func (s *served) load(name string, fence int64) int {
+func (s *testEngine) load(name string, fence int64) int {
 	s.t.Helper()
-	status, _ := s.post("/v1/load_lora_adapter", order{Name: name, Fence: fence})
+	status, _ := s.post("/v1/load_lora_adapter", adapterRequest{Name: name, Fence: fence})
 	return status
 }
 
-func (s *served) unload(name string, fence int64) int {
+func (s *testEngine) unload(name string, fence int64) int {
 	s.t.Helper()
-	status, _ := s.post("/v1/unload_lora_adapter", order{Name: name, Fence: fence})
+	status, _ := s.post("/v1/unload_lora_adapter", adapterRequest{Name: name, Fence: fence})
 	return status
 }
 
 // stream returns the text of all events and whether the stream was whole.
-func (s *served) stream(req completion) (text string, whole bool) {
+func (s *testEngine) stream(req completionRequest) (text string, whole bool) {
 	req.Stream = true
 	_, body := s.send(context.Background(), "/v1/completions", req)
 	scan := bufio.NewScanner(bytes.NewReader(body))
@@ -99,7 +99,7 @@
 		if data == "[DONE]" {
 			return text, true
 		}
-		var a answer
+		var a completionResponse
 		if json.Unmarshal([]byte(data), &a) == nil && len(a.Choices) == 1 {
 			text += a.Choices[0].Text
 		}
@@ -108,7 +108,7 @@
 }
 
 // until waits for a condition, far longer than it should take.
-func until(t *testing.T, what string, ok func() bool) {
+func waitFor(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(30 * time.Second); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		if ok() {
@@ -118,22 +118,22 @@
 	t.Fatalf("waited in vain for: %s", what)
 }
 
-func (s *served) set(o fault.Order) {
+func (s *testEngine) setFault(spec fault.Spec) {
 	s.t.Helper()
-	if err := s.Fault(o); err != nil {
+	if err := s.Fault(spec); err != nil {
 		s.t.Fatal(err)
 	}
 }
 
 // counted returns how many requests wait and run.
-func (e *Engine) counted() (waiting, running int) {
+func (e *Engine) queueSizes() (waiting, running int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return len(e.waiting), len(e.running)
 }
 
 // ready returns an engine without server or step loop that holds names.
-func ready(e *Engine, names ...string) *Engine {
+func newLoadedEngine(e *Engine, names ...string) *Engine {
 	e.prepare()
 	for _, name := range names {
 		s := &slot{done: make(chan struct{}), loaded: true}
--- a/stand/engine/http.go
+++ b/stand/engine/http.go
@@ -15,15 +15,15 @@
 
 // Limits of a request.
 const (
-	maxOutput     = 8192 // tokens
-	defaultOutput = 16   // tokens when the request states none
-	maxPriority   = 9
-	maxName       = 256 // bytes of a model's name or a request's id
+	maxOutputTokens     = 8192 // tokens
+	defaultOutputTokens = 16   // tokens when the request states none
+	maxPriority         = 9
+	maxNameBytes        = 256 // bytes of a model's name or a request's id
 )
 
 // completion is the body of POST /v1/completions. Keys that this engine does
 // not know are passed over, as clients send many.
-type completion struct {
+type completionRequest struct {
 	Model     string `json:"model"`
 	Prompt    string `json:"prompt"`
 	MaxTokens int    `json:"max_tokens"`
@@ -34,29 +34,29 @@
 }
 
 // order is the body of a load or unload.
-type order struct {
+type adapterRequest struct {
 	Name  string `json:"lora_name"`
 	Fence int64  `json:"fence"`
 }
 
 // parseCompletion reads and checks a request.
-func parseCompletion(data []byte) (completion, error) {
-	var c completion
+func parseCompletionRequest(data []byte) (completionRequest, error) {
+	var c completionRequest
 	if err := json.Unmarshal(data, &c); err != nil {
 		return c, fmt.Errorf("body: %w", err)
 	}
 	if c.MaxTokens == 0 {
-		c.MaxTokens = defaultOutput
+		c.MaxTokens = defaultOutputTokens
 	}
 	switch {
-	case c.Model == "" || len(c.Model) > maxName:
-		return c, fmt.Errorf("model: wants 1 to %d bytes", maxName)
-	case len(c.RequestID) > maxName:
-		return c, fmt.Errorf("request_id: over %d bytes", maxName)
+	case c.Model == "" || len(c.Model) > maxNameBytes:
+		return c, fmt.Errorf("model: wants 1 to %d bytes", maxNameBytes)
+	case len(c.RequestID) > maxNameBytes:
+		return c, fmt.Errorf("request_id: over %d bytes", maxNameBytes)
 	case strings.TrimSpace(c.Prompt) == "":
 		return c, fmt.Errorf("prompt: is empty")
-	case c.MaxTokens < 1 || c.MaxTokens > maxOutput:
-		return c, fmt.Errorf("max_tokens: %d is out of range 1 to %d", c.MaxTokens, maxOutput)
+	case c.MaxTokens < 1 || c.MaxTokens > maxOutputTokens:
+		return c, fmt.Errorf("max_tokens: %d is out of range 1 to %d", c.MaxTokens, maxOutputTokens)
 	case c.Priority < 0 || c.Priority > maxPriority:
 		return c, fmt.Errorf("priority: %d is out of range 0 to %d", c.Priority, maxPriority)
 	}
@@ -64,28 +64,28 @@
 }
 
 // parseOrder reads and checks a load or unload.
-func parseOrder(data []byte) (order, error) {
-	var o order
-	if err := json.Unmarshal(data, &o); err != nil {
-		return o, fmt.Errorf("body: %w", err)
+func parseAdapterRequest(data []byte) (adapterRequest, error) {
+	var req adapterRequest
+	if err := json.Unmarshal(data, &req); err != nil {
+		return req, fmt.Errorf("body: %w", err)
 	}
-	adapter, version, ok := strings.Cut(o.Name, "@")
-	if !ok || adapter == "" || version == "" || len(o.Name) > maxName {
-		return o, fmt.Errorf("lora_name: %q is not adapter@version", o.Name)
+	adapter, version, ok := strings.Cut(req.Name, "@")
+	if !ok || adapter == "" || version == "" || len(req.Name) > maxNameBytes {
+		return req, fmt.Errorf("lora_name: %q is not adapter@version", req.Name)
 	}
-	return o, nil
+	return req, nil
 }
 
 // Handler returns the routes of the engine.
 func (e *Engine) Handler() http.Handler {
 	e.prepare()
-	r := serve.Routes()
-	r.Use(e.gate)
+	r := serve.NewRouter()
+	r.Use(e.checkAvailable)
 	r.POST("/v1/completions", e.complete)
-	r.POST("/v1/load_lora_adapter", e.order(func(c echo.Context, o order) error { return e.load(c.Request().Context(), o) }))
-	r.POST("/v1/unload_lora_adapter", e.order(func(_ echo.Context, o order) error { return e.unload(o) }))
+	r.POST("/v1/load_lora_adapter", e.adapterHandler(func(c echo.Context, req adapterRequest) error { return e.loadAdapter(c.Request().Context(), req) }))
+	r.POST("/v1/unload_lora_adapter", e.adapterHandler(func(_ echo.Context, req adapterRequest) error { return e.unloadAdapter(req) }))
 	r.POST("/v1/cancel", e.cancel)
-	r.GET("/v1/report", func(c echo.Context) error { return c.JSON(http.StatusOK, e.report()) })
+	r.GET("/v1/report", func(c echo.Context) error { return c.JSON(http.StatusOK, e.laggedReport()) })
 	r.GET("/v1/cache_events", e.events)
 	r.GET("/counts", e.counts)
 	return r
@@ -94,7 +94,7 @@
 // Admin returns the operators' routes.
 func (e *Engine) Admin() http.Handler {
 	e.prepare()
-	r := serve.Routes()
+	r := serve.NewRouter()
 	e.faults.Register(r)
 	r.GET("/counts", e.counts)
 	return r
@@ -104,53 +104,53 @@
 
 // gate answers for an engine that is down: a restarting one drops the
 // connection as a dead process would, an outage answers 503.
-func (e *Engine) gate(next echo.HandlerFunc) echo.HandlerFunc {
+func (e *Engine) checkAvailable(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		if c.Path() == "/counts" {
 			return next(c)
 		}
 		if !e.up() {
-			return serve.ErrCut
+			return serve.ErrAborted
 		}
-		if _, out := e.faults.On(fault.Outage, ""); out {
+		if _, out := e.faults.Active(fault.Outage, ""); out {
 			return echo.NewHTTPError(http.StatusServiceUnavailable, "outage")
 		}
 		return next(c)
 	}
 }
 
-func (e *Engine) order(do func(echo.Context, order) error) echo.HandlerFunc {
+func (e *Engine) adapterHandler(do func(echo.Context, adapterRequest) error) echo.HandlerFunc {
 	return func(c echo.Context) error {
-		data, err := serve.Body(c, serve.MaxBody)
+		data, err := serve.ReadBody(c, serve.MaxBodyBytes)
 		if err != nil {
 			return err
 		}
-		o, err := parseOrder(data)
+		req, err := parseAdapterRequest(data)
 		if err != nil {
 			return echo.NewHTTPError(http.StatusBadRequest, err.Error())
 		}
-		if err := do(c, o); err != nil {
+		if err := do(c, req); err != nil {
 			return err
 		}
-		return c.JSON(http.StatusOK, o)
+		return c.JSON(http.StatusOK, req)
 	}
 }
 
 // cancelCall is the body of POST /v1/cancel.
-type cancelCall struct {
+type cancelRequest struct {
 	RequestID string `json:"request_id"`
 }
 
 func (e *Engine) cancel(c echo.Context) error {
-	data, err := serve.Body(c, serve.MaxBody)
+	data, err := serve.ReadBody(c, serve.MaxBodyBytes)
 	if err != nil {
 		return err
 	}
-	var call cancelCall
-	if err := json.Unmarshal(data, &call); err != nil || call.RequestID == "" {
+	var req cancelRequest
+	if err := json.Unmarshal(data, &req); err != nil || req.RequestID == "" {
 		return echo.NewHTTPError(http.StatusBadRequest, "request_id: is missing")
 	}
-	n := e.remove(func(r *run) bool { return r.id == call.RequestID })
+	n := e.cancelMatching(func(r *request) bool { return r.id == req.RequestID })
 	return c.JSON(http.StatusOK, map[string]int{"cancelled": n})
 }
 
@@ -160,10 +160,10 @@
 		return echo.NewHTTPError(http.StatusBadRequest, "after: is no number")
 	}
 	e.mu.Lock()
-	shown, boot := e.cache.after(after, e.Clock.Now()), e.boot
+	visible, boot := e.cache.visibleEvents(after, e.Clock.Now()), e.boot
 	e.mu.Unlock()
 	return c.JSON(http.StatusOK, struct {
 		Boot   int64   `json:"boot"`
 		Events []Event `json:"events"`
-	}{boot, shown})
+	}{boot, visible})
 }
--- a/stand/engine/load.go
+++ b/stand/engine/load.go
@@ -18,7 +18,7 @@
 )
 
 // maxWeights is the most bytes read of an adapter's weights.
-const maxWeights = 1 << 20
+const maxWeightBytes = 1 << 20
 
 var errRestarted = errors.New("the engine restarted")
 
@@ -33,28 +33,28 @@
 
 // fenced refuses an order whose number is older than one seen before. The
 // caller holds mu.
-func (e *Engine) fenced(number int64) error {
-	if _, ignored := e.faults.On(fault.IgnoreFence, ""); ignored {
+func (e *Engine) checkFence(fence int64) error {
+	if _, ignored := e.faults.Active(fault.IgnoreFence, ""); ignored {
 		return nil
 	}
-	if number < e.fence {
-		return echo.NewHTTPError(http.StatusPreconditionFailed, fmt.Sprintf("fence: %d is older than %d", number, e.fence))
+	if fence < e.fence {
+		return echo.NewHTTPError(http.StatusPreconditionFailed, fmt.Sprintf("fence: %d is older than %d", fence, e.fence))
 	}
-	e.fence = number
+	e.fence = fence
 	return nil
 }
 
 // load puts an adapter into a slot and waits until it is there. A second order
 // for the same adapter waits for the first.
-func (e *Engine) load(ctx context.Context, o order) error {
-	s, first, err := e.reserve(o)
+func (e *Engine) loadAdapter(ctx context.Context, req adapterRequest) error {
+	s, first, err := e.reserveSlot(req)
 	if err != nil {
 		return err
 	}
 	if first {
 		// The load goes on when the one who ordered it has gone: the slot is
 		// taken already, and a load cut short would leave it in doubt.
-		go e.fetch(s.life, o.Name, s)
+		go e.fillSlot(s.bootCtx, req.Name, s)
 	}
 	select {
 	case <-ctx.Done():
@@ -62,7 +62,7 @@
 	case <-s.done:
 	}
 	if errors.Is(s.err, errRestarted) {
-		return serve.ErrCut
+		return serve.ErrAborted
 	}
 	if s.err != nil {
 		return echo.NewHTTPError(http.StatusFailedDependency, s.err.Error())
@@ -71,26 +71,26 @@
 }
 
 // reserve takes a slot; first is true when the caller has to fill it.
-func (e *Engine) reserve(o order) (s *slot, first bool, err error) {
+func (e *Engine) reserveSlot(req adapterRequest) (s *slot, first bool, err error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if err := e.fenced(o.Fence); err != nil {
+	if err := e.checkFence(req.Fence); err != nil {
 		return nil, false, err
 	}
-	if s := e.slots[o.Name]; s != nil {
+	if s := e.slots[req.Name]; s != nil {
 		return s, false, nil
 	}
-	if len(e.slots) >= e.Slots {
+	if len(e.slots) >= e.AdapterSlots {
 		return nil, false, echo.NewHTTPError(http.StatusConflict, "no slot is free")
 	}
-	s = &slot{done: make(chan struct{}), life: e.life}
-	e.slots[o.Name] = s
+	s = &slot{done: make(chan struct{}), bootCtx: e.bootCtx}
+	e.slots[req.Name] = s
 	return s, true, nil
 }
 
 // fetch fills a slot from the weight store and reports its end on s.done.
-func (e *Engine) fetch(ctx context.Context, name string, s *slot) {
-	err := e.weights(ctx, name)
+func (e *Engine) fillSlot(ctx context.Context, name string, s *slot) {
+	err := e.fetchWeights(ctx, name)
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if s.err != nil {
@@ -104,17 +104,17 @@
 	}
 	s.loaded = true
 	close(s.done)
-	e.names = append(slices.Clone(e.names), name)
-	slices.Sort(e.names)
-	e.note()
+	e.loadedNames = append(slices.Clone(e.loadedNames), name)
+	slices.Sort(e.loadedNames)
+	e.recordReport()
 }
 
-func (e *Engine) weights(ctx context.Context, name string) error {
-	if e.Store == "" {
-		return wait.Until(ctx, e.Clock, e.Clock.Now()+e.Load)
+func (e *Engine) fetchWeights(ctx context.Context, name string) error {
+	if e.StoreURL == "" {
+		return wait.Until(ctx, e.Clock, e.Clock.Now()+e.LoadTime)
 	}
 	adapter, version, _ := strings.Cut(name, "@")
-	path := e.Store + "/v1/weights/" + url.PathEscape(adapter) + "/" + url.PathEscape(version)
+	path := e.StoreURL + "/v1/weights/" + url.PathEscape(adapter) + "/" + url.PathEscape(version)
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, path, http.NoBody)
 	if err != nil {
 		return err
@@ -124,7 +124,7 @@
 		return err
 	}
 	defer resp.Body.Close()
-	if _, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxWeights)); err != nil {
+	if _, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxWeightBytes)); err != nil {
 		return err
 	}
 	if resp.StatusCode != http.StatusOK {
@@ -135,21 +135,21 @@
 
 // unload takes an adapter out that nothing uses; one that isn't there is out
 // already.
-func (e *Engine) unload(o order) error {
+func (e *Engine) unloadAdapter(req adapterRequest) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if err := e.fenced(o.Fence); err != nil {
+	if err := e.checkFence(req.Fence); err != nil {
 		return err
 	}
-	s := e.slots[o.Name]
+	s := e.slots[req.Name]
 	if s == nil {
 		return nil
 	}
-	if s.uses > 0 || !s.loaded {
+	if s.refs > 0 || !s.loaded {
 		return echo.NewHTTPError(http.StatusConflict, "the adapter is in use")
 	}
-	delete(e.slots, o.Name)
-	e.names = slices.DeleteFunc(slices.Clone(e.names), func(name string) bool { return name == o.Name })
-	e.note()
+	delete(e.slots, req.Name)
+	e.loadedNames = slices.DeleteFunc(slices.Clone(e.loadedNames), func(name string) bool { return name == req.Name })
+	e.recordReport()
 	return nil
 }
--- a/stand/engine/report.go
+++ b/stand/engine/report.go
@@ -36,39 +36,39 @@
 }
 
 // noteParts is how many reports a lag is divided into.
-const noteParts = 8
+const reportsPerLag = 8
 
 // note records the present state for later reports. The caller holds mu.
-func (e *Engine) note() {
+func (e *Engine) recordReport() {
 	now := e.Clock.Now()
-	last, ok := e.reports.Last()
-	lag := e.faults.Span(fault.Lag, e.Lag)
-	if ok && now-last < lag/noteParts {
-		e.reports.Replace(e.present())
+	last, ok := e.reports.LastTime()
+	lag := e.faults.Delay(fault.Lag, e.ReportLag)
+	if ok && now-last < lag/reportsPerLag {
+		e.reports.Replace(e.currentReport())
 		return
 	}
-	e.reports.Add(now, e.present())
+	e.reports.Add(now, e.currentReport())
 }
 
-func (e *Engine) present() Report {
+func (e *Engine) currentReport() Report {
 	return Report{
-		Boot: e.boot, Slots: e.Slots, Batch: e.Batch, Tokens: e.Tokens, Step: e.Step, Load: e.Load,
-		Loaded: e.names, Running: len(e.running), Waiting: len(e.waiting),
-		Steps: e.since.steps, Capacity: e.since.capacity, Used: e.since.used,
+		Boot: e.boot, Slots: e.AdapterSlots, Batch: e.BatchSize, Tokens: e.TokenBudget, Step: e.StepTime, Load: e.LoadTime,
+		Loaded: e.loadedNames, Running: len(e.running), Waiting: len(e.waiting),
+		Steps: e.stepsSinceBoot.steps, Capacity: e.stepsSinceBoot.capacity, Used: e.stepsSinceBoot.used,
 	}
 }
 
 // report returns the state of a while ago. A fresh boot tells its first state,
 // for a new process can't know what was before it.
-func (e *Engine) report() Report {
+func (e *Engine) laggedReport() Report {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := e.Clock.Now()
-	lag := e.faults.Span(fault.Lag, e.Lag)
+	lag := e.faults.Delay(fault.Lag, e.ReportLag)
 	if r, ok := e.reports.At(now - lag); ok {
 		return r
 	}
-	return e.reports.First()
+	return e.reports.Oldest()
 }
 
 // Counts returns the record of what ran.
@@ -78,7 +78,7 @@
 	defer e.mu.Unlock()
 	c := Counts{
 		Runs: make([]Run, 0, len(e.runs)), Refused: e.refused, Dropped: e.dropped,
-		Steps: e.total.steps, Capacity: e.total.capacity, Used: e.total.used,
+		Steps: e.totalSteps.steps, Capacity: e.totalSteps.capacity, Used: e.totalSteps.used,
 	}
 	for _, r := range e.runs {
 		c.Runs = append(c.Runs, *r)
--- a/stand/engine/run.go
+++ b/stand/engine/run.go
@@ -10,10 +10,10 @@
 
 // The states of a request; it ends in one of the last three.
 const (
-	stateOpen      = int32(iota) // waiting or running
+	stateActive    = int32(iota) // waiting or running
 	stateDone                    // every word is made
 	stateCancelled               // its caller gave it up
-	stateCut                     // the engine went down under it
+	stateAborted                 // the engine went down under it
 )
 
 // Run is the record of one request that entered a batch.
@@ -27,20 +27,20 @@
 }
 
 // run is a request that the engine has taken.
-type run struct {
+type request struct {
 	id       string
 	model    string
 	prompt   string
 	hash     string // of the prompt
 	priority int
 	// order is the number of its arrival, created its time in seconds.
-	order   int64
+	arrival int64
 	created int64
 	// tokens is the prompt's length; fill is what of it is still to be read,
 	// and cached what the prefix cache spared.
-	tokens, fill, cached int
+	tokens, prefillLeft, cached int
 	// want is the number of words to make.
-	want int
+	outputTokens int
 	// finish is the reason told at the end.
 	finish string
 	// prefixes are the hashes of the prompt's whole blocks.
@@ -48,19 +48,19 @@
 	// record is nil until the request enters a batch.
 	record *Run
 	// made counts words and never exceeds want.
-	made  atomic.Int64
-	state atomic.Int32
+	generated atomic.Int64
+	state     atomic.Int32
 	// wake tells the handler that made or state changed.
 	wake chan struct{}
 }
 
 // end moves an open request to its last state and wakes its handler.
-func (r *run) end(state int32) {
-	r.state.CompareAndSwap(stateOpen, state)
-	r.nudge()
+func (r *request) terminate(state int32) {
+	r.state.CompareAndSwap(stateActive, state)
+	r.notify()
 }
 
-func (r *run) nudge() {
+func (r *request) notify() {
 	select {
 	case r.wake <- struct{}{}:
 	default:
@@ -71,8 +71,8 @@
 // hash of the prompt and its own place, so that a word of another answer, a
 // lost one and a doubled one all show.
 func Expect(model, prompt string, maxTokens int) string {
-	want, _ := length(prompt, maxTokens)
-	return words(model, HashPrompt(prompt), 0, want)
+	want, _ := outputLength(prompt, maxTokens)
+	return outputText(model, HashPrompt(prompt), 0, want)
 }
 
 // HashPrompt returns the hash under which /counts lists a prompt.
@@ -81,7 +81,7 @@
 }
 
 // words returns the words from first to just before last.
-func words(model, hash string, first, last int) string {
+func outputText(model, hash string, first, last int) string {
 	var b strings.Builder
 	for i := first; i < last; i++ {
 		if i > 0 {
@@ -98,10 +98,10 @@
 
 // length returns how many words answer a prompt, and why they end: a prompt
 // with a word len=N is answered by N words at most.
-func length(prompt string, maxTokens int) (int, string) {
-	const mark = "len="
+func outputLength(prompt string, maxTokens int) (int, string) {
+	const prefix = "len="
 	for _, word := range strings.Fields(prompt) {
-		digits, ok := strings.CutPrefix(word, mark)
+		digits, ok := strings.CutPrefix(word, prefix)
 		if !ok {
 			continue
 		}
--- a/stand/engine/step.go
+++ b/stand/engine/step.go
@@ -13,32 +13,32 @@
 func (e *Engine) step() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.passes++
+	e.stepCalls++
 	if e.admit() {
-		e.restart(e.Restart)
+		e.restart(e.RestartTime)
 		return false
 	}
 	if len(e.running) == 0 {
 		return false
 	}
-	left := e.Tokens
+	budget := e.TokenBudget
 	for _, r := range e.running {
-		if r.fill == 0 && left > 0 {
-			r.made.Add(1)
-			left--
+		if r.prefillLeft == 0 && budget > 0 {
+			r.generated.Add(1)
+			budget--
 		}
 	}
 	for _, r := range e.running {
-		left -= e.read(r, left)
+		budget -= e.prefill(r, budget)
 	}
-	e.total.add(e.Tokens, e.Tokens-left)
-	e.since.add(e.Tokens, e.Tokens-left)
-	e.finish()
-	e.note()
+	e.totalSteps.add(e.TokenBudget, e.TokenBudget-budget)
+	e.stepsSinceBoot.add(e.TokenBudget, e.TokenBudget-budget)
+	e.finishCompleted()
+	e.recordReport()
 	return true
 }
 
-func (t *tally) add(capacity, used int) {
+func (t *stepCounts) add(capacity, used int) {
 	t.steps++
 	t.capacity += int64(capacity)
 	t.used += int64(used)
@@ -47,28 +47,28 @@
 // admit moves waiting requests into the batch; true means that one of them
 // crashes the engine. It had entered the batch, so it counts as run.
 func (e *Engine) admit() bool {
-	n := min(e.Batch-len(e.running), len(e.waiting))
+	n := min(e.BatchSize-len(e.running), len(e.waiting))
 	if n <= 0 {
 		return false
 	}
 	crash := false
 	for _, r := range e.waiting[:n] {
-		e.record(r)
-		r.cached = min(e.cache.spared(r.prefixes), r.tokens-1)
-		r.fill = r.tokens - r.cached
-		_, poison := e.faults.On(fault.Crash, r.prompt)
-		crash = crash || poison
+		e.recordRun(r)
+		r.cached = min(e.cache.cachedTokens(r.prefixes), r.tokens-1)
+		r.prefillLeft = r.tokens - r.cached
+		_, matches := e.faults.Active(fault.Crash, r.prompt)
+		crash = crash || matches
 	}
 	e.running = append(e.running, e.waiting[:n]...)
 	e.waiting = slices.Delete(e.waiting, 0, n)
-	sort.SliceStable(e.running, func(i, j int) bool { return before(e.running[i], e.running[j]) })
+	sort.SliceStable(e.running, func(i, j int) bool { return precedes(e.running[i], e.running[j]) })
 	return crash
 }
 
 // record notes that a request runs.
-func (e *Engine) record(r *run) {
+func (e *Engine) recordRun(r *request) {
 	r.record = &Run{ID: r.id, Model: r.model, Prompt: r.hash}
-	if len(e.runs) >= maxRuns {
+	if len(e.runs) >= maxRunRecords {
 		e.dropped++
 		return
 	}
@@ -77,80 +77,80 @@
 
 // read reads at most left tokens of a prompt and returns how many. Reading the
 // last of them gives the first word.
-func (e *Engine) read(r *run, left int) int {
-	if r.fill == 0 || left <= 0 {
+func (e *Engine) prefill(r *request, budget int) int {
+	if r.prefillLeft == 0 || budget <= 0 {
 		return 0
 	}
-	n := min(r.fill, left)
-	r.fill -= n
-	if r.fill == 0 {
-		r.made.Add(1)
-		e.cache.store(e.Clock.Now(), r.prefixes)
+	n := min(r.prefillLeft, budget)
+	r.prefillLeft -= n
+	if r.prefillLeft == 0 {
+		r.generated.Add(1)
+		e.cache.insert(e.Clock.Now(), r.prefixes)
 	}
 	return n
 }
 
 // finish takes whole answers out of the batch and wakes the handlers.
-func (e *Engine) finish() {
-	rest := e.running[:0]
+func (e *Engine) finishCompleted() {
+	unfinished := e.running[:0]
 	for _, r := range e.running {
-		if r.made.Load() < int64(r.want) {
-			r.nudge()
-			rest = append(rest, r)
+		if r.generated.Load() < int64(r.outputTokens) {
+			r.notify()
+			unfinished = append(unfinished, r)
 			continue
 		}
 		r.record.Ended = true
-		e.release(r.model)
-		r.end(stateDone)
+		e.releaseAdapter(r.model)
+		r.terminate(stateDone)
 	}
-	clear(e.running[len(rest):])
-	e.running = rest
+	clear(e.running[len(unfinished):])
+	e.running = unfinished
 }
 
 // before orders requests by priority, then arrival.
-func before(a, b *run) bool {
+func precedes(a, b *request) bool {
 	if a.priority != b.priority {
 		return a.priority > b.priority
 	}
-	return a.order < b.order
+	return a.arrival < b.arrival
 }
 
 // release ends one use of an adapter.
-func (e *Engine) release(model string) {
-	if s := e.slots[model]; s != nil && s.uses > 0 {
-		s.uses--
+func (e *Engine) releaseAdapter(model string) {
+	if s := e.slots[model]; s != nil && s.refs > 0 {
+		s.refs--
 	}
 }
 
 // queue takes a request among those that wait.
-func (e *Engine) queue(r *run) {
-	at := sort.Search(len(e.waiting), func(i int) bool { return before(r, e.waiting[i]) })
+func (e *Engine) enqueue(r *request) {
+	at := sort.Search(len(e.waiting), func(i int) bool { return precedes(r, e.waiting[i]) })
 	e.waiting = slices.Insert(e.waiting, at, r)
-	e.slots[r.model].uses++
+	e.slots[r.model].refs++
 	select {
-	case e.work <- struct{}{}:
+	case e.workReady <- struct{}{}:
 	default:
 	}
 }
 
 // remove ends the requests that match and returns how many.
-func (e *Engine) remove(match func(*run) bool) int {
+func (e *Engine) cancelMatching(match func(*request) bool) int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	n := 0
-	drop := func(r *run) bool {
+	drop := func(r *request) bool {
 		if !match(r) {
 			return false
 		}
 		n++
-		e.release(r.model)
-		r.end(stateCancelled)
+		e.releaseAdapter(r.model)
+		r.terminate(stateCancelled)
 		return true
 	}
 	e.waiting = slices.DeleteFunc(e.waiting, drop)
 	e.running = slices.DeleteFunc(e.running, drop)
 	if n > 0 {
-		e.note()
+		e.recordReport()
 	}
 	return n
 }
--- a/stand/engine/step_test.go
+++ b/stand/engine/step_test.go
@@ -11,12 +11,12 @@
 )
 
 // take queues a request or fails the test.
-func take(t testing.TB, e *Engine, req completion) *run {
+func mustSubmit(t testing.TB, e *Engine, req completionRequest) *request {
 	t.Helper()
 	if req.MaxTokens == 0 {
-		req.MaxTokens = defaultOutput
+		req.MaxTokens = defaultOutputTokens
 	}
-	r, err := e.accept(req)
+	r, err := e.submit(req)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -40,17 +40,17 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			e := ready(&Engine{Batch: tt.batch, Tokens: tt.tokens, Clock: magno.NewClock(0)}, "a@1")
-			runs := make([]*run, 0, len(tt.prompts))
+			e := newLoadedEngine(&Engine{BatchSize: tt.batch, TokenBudget: tt.tokens, Clock: magno.NewClock(0)}, "a@1")
+			runs := make([]*request, 0, len(tt.prompts))
 			for i, n := range tt.prompts {
 				words := strings.Repeat(fmt.Sprintf("w%d ", i), n)
-				runs = append(runs, take(t, e, completion{Model: "a@1", Prompt: words, MaxTokens: tt.output}))
+				runs = append(runs, mustSubmit(t, e, completionRequest{Model: "a@1", Prompt: words, MaxTokens: tt.output}))
 			}
 			for i, want := range tt.made {
 				e.step()
 				got := make([]int64, 0, len(runs))
 				for _, r := range runs {
-					got = append(got, r.made.Load())
+					got = append(got, r.generated.Load())
 				}
 				if !reflect.DeepEqual(got, want) {
 					t.Fatalf("step %d: words %v, want %v", i+1, got, want)
@@ -68,9 +68,9 @@
 }
 
 func TestPriorities(t *testing.T) {
-	e := ready(&Engine{Batch: 1, Clock: magno.NewClock(0)}, "a@1")
+	e := newLoadedEngine(&Engine{BatchSize: 1, Clock: magno.NewClock(0)}, "a@1")
 	for i, priority := range []int{0, 5, 9, 5} {
-		take(t, e, completion{Model: "a@1", Prompt: "x", MaxTokens: 1, Priority: priority, RequestID: fmt.Sprint(i)})
+		mustSubmit(t, e, completionRequest{Model: "a@1", Prompt: "x", MaxTokens: 1, Priority: priority, RequestID: fmt.Sprint(i)})
 	}
 	for e.step() {
 	}
@@ -84,11 +84,11 @@
 }
 
 func TestQueueIsBounded(t *testing.T) {
-	e := ready(&Engine{Queue: 2, Clock: magno.NewClock(0)}, "a@1")
+	e := newLoadedEngine(&Engine{QueueLimit: 2, Clock: magno.NewClock(0)}, "a@1")
 	for range 2 {
-		take(t, e, completion{Model: "a@1", Prompt: "x"})
+		mustSubmit(t, e, completionRequest{Model: "a@1", Prompt: "x"})
 	}
-	if _, err := e.accept(completion{Model: "a@1", Prompt: "x", MaxTokens: 1}); err == nil {
+	if _, err := e.submit(completionRequest{Model: "a@1", Prompt: "x", MaxTokens: 1}); err == nil {
 		t.Fatal("a third was taken")
 	}
 	if c := e.Counts(); c.Refused != 1 {
@@ -97,7 +97,7 @@
 }
 
 func TestPrefixCache(t *testing.T) {
-	e := ready(&Engine{Block: 4, Cache: 4, Clock: magno.NewClock(0)}, "a@1", "a@2")
+	e := newLoadedEngine(&Engine{BlockSize: 4, CacheSize: 4, Clock: magno.NewClock(0)}, "a@1", "a@2")
 	start := strings.Repeat("same ", 8)
 	tests := []struct {
 		name, model, prompt string
@@ -111,12 +111,12 @@
 		{"evicted", "a@1", start, 0},
 	}
 	for _, tt := range tests {
-		r := take(t, e, completion{Model: tt.model, Prompt: tt.prompt, MaxTokens: 1})
+		r := mustSubmit(t, e, completionRequest{Model: tt.model, Prompt: tt.prompt, MaxTokens: 1})
 		e.step()
 		if r.cached != tt.cached {
 			t.Errorf("%s: %d tokens cached, want %d", tt.name, r.cached, tt.cached)
 		}
-		if n := e.cache.known.Len(); n > 4 {
+		if n := e.cache.entries.Len(); n > 4 {
 			t.Errorf("%s: %d prefixes kept", tt.name, n)
 		}
 	}
@@ -126,14 +126,14 @@
 // would believe in prefixes that are long gone.
 func TestCacheEvents(t *testing.T) {
 	clock := magno.NewClock(1000)
-	e := ready(&Engine{Block: 1, Cache: 2, Late: 50, Gap: 3, Clock: clock}, "a@1")
-	take(t, e, completion{Model: "a@1", Prompt: "x y z", MaxTokens: 1})
+	e := newLoadedEngine(&Engine{BlockSize: 1, CacheSize: 2, EventDelay: 50, EventLossInterval: 3, Clock: clock}, "a@1")
+	mustSubmit(t, e, completionRequest{Model: "a@1", Prompt: "x y z", MaxTokens: 1})
 	e.step()
-	if shown := e.cache.after(0, clock.Now()+49); len(shown) != 0 {
+	if shown := e.cache.visibleEvents(0, clock.Now()+49); len(shown) != 0 {
 		t.Fatalf("early: %v", shown)
 	}
 	got := make([]string, 0, 2)
-	for _, ev := range e.cache.after(1, clock.Now()+50) {
+	for _, ev := range e.cache.visibleEvents(1, clock.Now()+50) {
 		got = append(got, fmt.Sprint(ev.Seq, ev.Kind))
 	}
 	// stored 1, stored 2, then 3 is lost, and the third prefix shows as 4.
@@ -144,8 +144,8 @@
 
 func TestReportLags(t *testing.T) {
 	clock := magno.NewClock(1000)
-	e := ready(&Engine{Lag: 80, Clock: clock}, "a@1")
-	take(t, e, completion{Model: "a@1", Prompt: "x", MaxTokens: 3})
+	e := newLoadedEngine(&Engine{ReportLag: 80, Clock: clock}, "a@1")
+	mustSubmit(t, e, completionRequest{Model: "a@1", Prompt: "x", MaxTokens: 3})
 	clock.Advance(20)
 	e.step()
 	for _, tt := range []struct {
@@ -153,14 +153,14 @@
 		running int
 	}{{0, 0}, {79, 0}, {1, 1}} {
 		clock.Advance(tt.after)
-		if n := e.report().Running; n != tt.running {
+		if n := e.laggedReport().Running; n != tt.running {
 			t.Errorf("at %d: %d running", clock.Now(), n)
 		}
 	}
-	if err := e.Fault(fault.Order{Kind: fault.Lag, Value: 100}); err != nil {
+	if err := e.Fault(fault.Spec{Kind: fault.Lag, Value: 100}); err != nil {
 		t.Fatal(err)
 	}
-	if n := e.report().Running; n != 0 {
+	if n := e.laggedReport().Running; n != 0 {
 		t.Errorf("with more lag: %d running", n)
 	}
 }
@@ -168,12 +168,12 @@
 // The share of a fault is kept without chance, so that counts are the same in
 // each run of a test.
 func TestFailBeforeRun(t *testing.T) {
-	e := ready(&Engine{Clock: magno.NewClock(0)}, "a@1")
-	if err := e.Fault(fault.Order{Kind: fault.Fail, Value: 0.25}); err != nil {
+	e := newLoadedEngine(&Engine{Clock: magno.NewClock(0)}, "a@1")
+	if err := e.Fault(fault.Spec{Kind: fault.Fail, Value: 0.25}); err != nil {
 		t.Fatal(err)
 	}
 	for range 8 {
-		_, _ = e.accept(completion{Model: "a@1", Prompt: "x", MaxTokens: 1})
+		_, _ = e.submit(completionRequest{Model: "a@1", Prompt: "x", MaxTokens: 1})
 	}
 	for e.step() {
 	}
@@ -186,10 +186,10 @@
 func BenchmarkStep(b *testing.B) {
 	for _, n := range []int{1, 32, 256} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			e := ready(&Engine{Batch: n, Tokens: 4096, Clock: magno.NewClock(0)}, "a@1")
+			e := newLoadedEngine(&Engine{BatchSize: n, TokenBudget: 4096, Clock: magno.NewClock(0)}, "a@1")
 			for i := range n {
-				r := take(b, e, completion{Model: "a@1", Prompt: fmt.Sprint(i), MaxTokens: 1})
-				r.want = 1 << 30
+				r := mustSubmit(b, e, completionRequest{Model: "a@1", Prompt: fmt.Sprint(i), MaxTokens: 1})
+				r.outputTokens = 1 << 30
 			}
 			e.step()
 			b.ReportAllocs()
--- a/stand/fault/fault.go
+++ b/stand/fault/fault.go
@@ -32,13 +32,13 @@
 )
 
 // MaxBody is the most bytes of an order.
-const MaxBody = 1 << 16
+const MaxBodyBytes = 1 << 16
 
 // maxValue bounds a Value that is neither a share nor a time in the past.
 const maxValue = float64(magno.Hour)
 
 // Order switches one fault on.
-type Order struct {
+type Spec struct {
 	Kind string `json:"kind"`
 	// Value is in the unit of the kind; a share is 0 to 1.
 	Value float64 `json:"value,omitempty"`
@@ -49,7 +49,7 @@
 }
 
 // State is the set of faults that are on. Its zero value has none.
-type State struct {
+type Injector struct {
 	// Kinds holds the kinds that the stand-in heeds, true where it heeds
 	// Match too. It is set before use. An order for anything else is refused:
 	// taken without effect, it would let a test pass that brings about
@@ -64,68 +64,68 @@
 
 	mu sync.Mutex
 	// on maps a kind to its order; Restart and Clear are never in it.
-	on map[string]Order
+	active map[string]Spec
 	// owed maps a kind with a share to the part of a call still to fail. It
 	// is under 1 between calls, so that a share is kept without chance.
-	owed map[string]float64
+	accumulated map[string]float64
 }
 
 // Parse reads an order and checks its kind and range.
-func Parse(data []byte) (Order, error) {
-	var o Order
-	if err := serve.Strict(data, &o); err != nil {
-		return o, err
+func Parse(data []byte) (Spec, error) {
+	var spec Spec
+	if err := serve.DecodeStrict(data, &spec); err != nil {
+		return spec, err
 	}
-	return o, o.check()
+	return spec, spec.validate()
 }
 
-func (o Order) check() error {
-	high := maxValue
-	switch o.Kind {
+func (s Spec) validate() error {
+	highest := maxValue
+	switch s.Kind {
 	case Outage, Slow, Restart, IgnoreFence, Clear:
 	case Stale, Lag:
-		high = float64(past.Keep)
+		highest = float64(past.Retention)
 	case Fail, Lost:
-		high = 1
+		highest = 1
 	case Crash:
-		if o.Match == "" {
+		if s.Match == "" {
 			return fmt.Errorf("match: a crash needs one")
 		}
 	default:
-		return fmt.Errorf("kind: %q is unknown", o.Kind)
+		return fmt.Errorf("kind: %q is unknown", s.Kind)
 	}
-	if o.Value < 0 || o.Value > high {
-		return fmt.Errorf("value: %v is out of range 0 to %v", o.Value, high)
+	if s.Value < 0 || s.Value > highest {
+		return fmt.Errorf("value: %v is out of range 0 to %v", s.Value, highest)
 	}
 	return nil
 }
 
 // Set carries out an order.
-func (s *State) Set(o Order) error {
-	if err := o.check(); err != nil {
+func (s *Injector) Set(spec Spec) error {
+	if err := spec.validate(); err != nil {
 		return err
 	}
-	matches, known := s.Kinds[o.Kind]
-	if !known && o.Kind != Clear {
-		return fmt.Errorf("kind: %q is none of this stand-in", o.Kind)
+	matches, known := s.Kinds[spec.Kind]
+	if !known && spec.Kind != Clear {
+		return fmt.Errorf("kind: %q is none of this stand-in", spec.Kind)
 	}
-	if o.Match != "" && !matches {
-		return fmt.Errorf("match: %q takes none here", o.Kind)
+	if spec.Match != "" && !matches {
+		return fmt.Errorf("match: %q takes none here", spec.Kind)
 	}
 	s.mu.Lock()
-	switch o.Kind {
+	switch spec.Kind {
 	case Restart:
 	case Clear:
-		s.on, s.owed = nil, nil
+		s.active, s.accumulated = nil, nil
 	default:
-		if s.on == nil {
-			s.on, s.owed = map[string]Order{}, map[string]float64{}
+		if s.active == nil {
+			s.active, s.accumulated = map[string]Spec{}, map[string]float64{}
 		}
-		s.on[o.Kind] = o
+		s.active[spec.Kind] = spec
 	}
 	s.mu.Unlock()
-	if o.Kind == Restart && s.OnRestart != nil {
-		s.OnRestart(magno.Millis(o.Value))
+	if spec.Kind == Restart && s.OnRestart != nil {
+		s.OnRestart(magno.Millis(spec.Value))
 	}
 	if s.OnChange != nil {
 		s.OnChange()
@@ -134,62 +134,62 @@
 }
 
 // On returns the value of a fault and whether it is on for subject.
-func (s *State) On(kind, subject string) (float64, bool) {
+func (s *Injector) Active(kind, subject string) (float64, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	o, ok := s.on[kind]
-	return o.Value, ok && strings.Contains(subject, o.Match)
+	spec, ok := s.active[kind]
+	return spec.Value, ok && strings.Contains(subject, spec.Match)
 }
 
 // Hit tells whether this call is among the share that a fault takes. A share
 // of a quarter takes each fourth call, so that a test counts the same each
 // time.
-func (s *State) Hit(kind, subject string) bool {
+func (s *Injector) Hit(kind, subject string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	o, ok := s.on[kind]
-	if !ok || !strings.Contains(subject, o.Match) {
+	spec, ok := s.active[kind]
+	if !ok || !strings.Contains(subject, spec.Match) {
 		return false
 	}
 	const rounding = 1e-9
-	s.owed[kind] += o.Value
-	if s.owed[kind] < 1-rounding {
+	s.accumulated[kind] += spec.Value
+	if s.accumulated[kind] < 1-rounding {
 		return false
 	}
-	s.owed[kind]--
+	s.accumulated[kind]--
 	return true
 }
 
 // Span returns the value of a fault in milliseconds, or usual when it is off.
-func (s *State) Span(kind string, usual magno.Millis) magno.Millis {
-	if value, ok := s.On(kind, ""); ok {
+func (s *Injector) Delay(kind string, fallback magno.Millis) magno.Millis {
+	if value, ok := s.Active(kind, ""); ok {
 		return magno.Millis(value)
 	}
-	return usual
+	return fallback
 }
 
 // Factor returns how many times as long work on subject takes, at least 1.
-func (s *State) Factor(subject string) float64 {
-	if value, ok := s.On(Slow, subject); ok {
+func (s *Injector) Slowdown(subject string) float64 {
+	if value, ok := s.Active(Slow, subject); ok {
 		return max(value, 1)
 	}
 	return 1
 }
 
 // Register adds POST /fault to the operators' routes.
-func (s *State) Register(e *echo.Echo) {
+func (s *Injector) Register(e *echo.Echo) {
 	e.POST("/fault", func(c echo.Context) error {
-		data, err := serve.Body(c, MaxBody)
+		data, err := serve.ReadBody(c, MaxBodyBytes)
 		if err != nil {
 			return err
 		}
-		o, err := Parse(data)
+		spec, err := Parse(data)
 		if err != nil {
 			return echo.NewHTTPError(http.StatusBadRequest, err.Error())
 		}
-		if err := s.Set(o); err != nil {
+		if err := s.Set(spec); err != nil {
 			return echo.NewHTTPError(http.StatusBadRequest, err.Error())
 		}
-		return c.JSON(http.StatusOK, o)
+		return c.JSON(http.StatusOK, spec)
 	})
 }
--- a/stand/fault/fault_test.go
+++ b/stand/fault/fault_test.go
@@ -8,7 +8,7 @@
 )
 
 // all heeds every kind and match.
-var all = map[string]bool{
+var allKinds = map[string]bool{
 	Outage: true, Stale: true, Lag: true, Slow: true, Fail: true, Lost: true, Crash: true, Restart: true, IgnoreFence: true,
 }
 
@@ -40,17 +40,17 @@
 
 // A test orders a fault that the stand-in doesn't know. Taken in silence, the
 // test would go on to prove nothing.
-func TestUnheeded(t *testing.T) {
-	s := State{Kinds: map[string]bool{Slow: false, Fail: true}}
+func TestUnsupportedKind(t *testing.T) {
+	s := Injector{Kinds: map[string]bool{Slow: false, Fail: true}}
 	tests := []struct {
-		order Order
+		order Spec
 		ok    bool
 	}{
-		{Order{Kind: Slow, Value: 2}, true},
-		{Order{Kind: Slow, Value: 2, Match: "x"}, false},
-		{Order{Kind: Fail, Value: 1, Match: "x"}, true},
-		{Order{Kind: Outage}, false},
-		{Order{Kind: Clear}, true},
+		{Spec{Kind: Slow, Value: 2}, true},
+		{Spec{Kind: Slow, Value: 2, Match: "x"}, false},
+		{Spec{Kind: Fail, Value: 1, Match: "x"}, true},
+		{Spec{Kind: Outage}, false},
+		{Spec{Kind: Clear}, true},
 	}
 	for _, tt := range tests {
 		if err := s.Set(tt.order); (err == nil) != tt.ok {
@@ -61,8 +61,8 @@
 
 func TestHitKeepsShare(t *testing.T) {
 	for _, share := range []float64{0, 0.1, 0.25, 1.0 / 3, 0.7, 1} {
-		s := State{Kinds: all}
-		if err := s.Set(Order{Kind: Fail, Value: share, Match: "x"}); err != nil {
+		s := Injector{Kinds: allKinds}
+		if err := s.Set(Spec{Kind: Fail, Value: share, Match: "x"}); err != nil {
 			t.Fatal(err)
 		}
 		const calls = 3000
@@ -84,19 +84,19 @@
 func TestClearAndRestart(t *testing.T) {
 	var down magno.Millis
 	changes := 0
-	s := State{Kinds: all, OnRestart: func(d magno.Millis) { down = d }, OnChange: func() { changes++ }}
-	for _, o := range []Order{{Kind: Slow, Value: 3}, {Kind: Lag, Value: 70}, {Kind: Restart, Value: 9}} {
+	s := Injector{Kinds: allKinds, OnRestart: func(d magno.Millis) { down = d }, OnChange: func() { changes++ }}
+	for _, o := range []Spec{{Kind: Slow, Value: 3}, {Kind: Lag, Value: 70}, {Kind: Restart, Value: 9}} {
 		if err := s.Set(o); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if s.Factor("any") != 3 || s.Span(Lag, 5) != 70 || down != 9 || changes != 3 {
-		t.Fatalf("factor %v, lag %v, down %v, changes %d", s.Factor("any"), s.Span(Lag, 5), down, changes)
+	if s.Slowdown("any") != 3 || s.Delay(Lag, 5) != 70 || down != 9 || changes != 3 {
+		t.Fatalf("factor %v, lag %v, down %v, changes %d", s.Slowdown("any"), s.Delay(Lag, 5), down, changes)
 	}
-	if err := s.Set(Order{Kind: Clear}); err != nil {
+	if err := s.Set(Spec{Kind: Clear}); err != nil {
 		t.Fatal(err)
 	}
-	if s.Factor("any") != 1 || s.Span(Lag, 5) != 5 {
+	if s.Slowdown("any") != 1 || s.Delay(Lag, 5) != 5 {
 		t.Fatal("a fault outlived the clear")
 	}
 }
@@ -110,11 +110,11 @@
 		if err != nil {
 			return
 		}
-		s := State{Kinds: all}
+		s := Injector{Kinds: allKinds}
 		if err := s.Set(o); err != nil {
 			t.Errorf("parsed but not set: %+v: %v", o, err)
 		}
-		if factor := s.Factor(o.Match); factor < 1 || math.IsNaN(factor) {
+		if factor := s.Slowdown(o.Match); factor < 1 || math.IsNaN(factor) {
 			t.Errorf("factor %v of %+v", factor, o)
 		}
 	})
--- a/stand/insts/insts.go
+++ b/stand/insts/insts.go
@@ -18,8 +18,8 @@
 
 // Limits of a list.
 const (
-	DefaultLag = magno.Second
-	MaxBody    = 8 << 20 // bytes, for ten thousand instances and more
+	DefaultLag   = magno.Second
+	MaxBodyBytes = 8 << 20 // bytes, for ten thousand instances and more
 )
 
 // List is a stand-in instance list. Fields are set before Run and Handler; a
@@ -32,12 +32,12 @@
 	Clock *magno.Clock
 
 	once   sync.Once
-	faults fault.State
+	faults fault.Injector
 
 	mu sync.Mutex
 	// revision counts puts.
 	revision int64
-	shown    past.Log[State]
+	history  past.History[State]
 }
 
 // State is the list at one time.
@@ -50,9 +50,9 @@
 func (l *List) Name() string { return l.Title }
 
 // Fault carries out an order as POST /fault does.
-func (l *List) Fault(o fault.Order) error {
+func (l *List) Fault(spec fault.Spec) error {
 	l.prepare()
-	return l.faults.Set(o)
+	return l.faults.Set(spec)
 }
 
 // Run ends with ctx; the list has no duty besides its handlers.
@@ -75,7 +75,7 @@
 // Handler returns the readers' routes.
 func (l *List) Handler() http.Handler {
 	l.prepare()
-	r := serve.Routes()
+	r := serve.NewRouter()
 	r.GET("/v1/instances", l.read)
 	return r
 }
@@ -83,7 +83,7 @@
 // Admin returns the operators' routes.
 func (l *List) Admin() http.Handler {
 	l.prepare()
-	r := serve.Routes()
+	r := serve.NewRouter()
 	l.faults.Register(r)
 	r.PUT("/v1/instances", l.publish)
 	return r
@@ -96,19 +96,19 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.revision++
-	l.shown.Add(l.Clock.Now(), State{Revision: l.revision, Instances: instances})
+	l.history.Add(l.Clock.Now(), State{Revision: l.revision, Instances: instances})
 	return l.revision
 }
 
 func (l *List) read(c echo.Context) error {
-	if _, out := l.faults.On(fault.Outage, ""); out {
+	if _, out := l.faults.Active(fault.Outage, ""); out {
 		return echo.NewHTTPError(http.StatusServiceUnavailable, "outage")
 	}
-	lag := l.faults.Span(fault.Lag, l.Lag)
+	lag := l.faults.Delay(fault.Lag, l.Lag)
 	l.mu.Lock()
-	state, ok := l.shown.At(l.Clock.Now() - lag)
-	if _, some := l.shown.Last(); !ok && some {
-		state, ok = l.shown.First(), true
+	state, ok := l.history.At(l.Clock.Now() - lag)
+	if _, nonEmpty := l.history.LastTime(); !ok && nonEmpty {
+		state, ok = l.history.Oldest(), true
 	}
 	l.mu.Unlock()
 	if !ok {
@@ -120,7 +120,7 @@
 // parse reads a list in the form that readers get; its revision is ignored.
 func parse(data []byte) ([]magno.Instance, error) {
 	var state State
-	if err := serve.Strict(data, &state); err != nil {
+	if err := serve.DecodeStrict(data, &state); err != nil {
 		return nil, err
 	}
 	seen := map[string]bool{}
@@ -137,7 +137,7 @@
 }
 
 func (l *List) publish(c echo.Context) error {
-	data, err := serve.Body(c, MaxBody)
+	data, err := serve.ReadBody(c, MaxBodyBytes)
 	if err != nil {
 		return err
 	}
--- a/stand/insts/insts_test.go
+++ b/stand/insts/insts_test.go
@@ -53,14 +53,14 @@
 	for _, tt := range steps {
 		clock.Advance(tt.after)
 		if tt.lag > 0 {
-			_ = l.Fault(fault.Order{Kind: fault.Lag, Value: tt.lag})
+			_ = l.Fault(fault.Spec{Kind: fault.Lag, Value: tt.lag})
 		}
 		_, state := call(l.Handler(), http.MethodGet, "")
 		if state.Revision != tt.revision || len(state.Instances) != 1 || state.Instances[0].State != tt.state {
 			t.Errorf("%+v: got %+v", tt, state)
 		}
 	}
-	_ = l.Fault(fault.Order{Kind: fault.Outage})
+	_ = l.Fault(fault.Spec{Kind: fault.Outage})
 	if status, _ := call(l.Handler(), http.MethodGet, ""); status != http.StatusServiceUnavailable {
 		t.Errorf("outage: %d", status)
 	}
--- a/stand/main.go
+++ b/stand/main.go
@@ -24,9 +24,9 @@
 	if len(os.Args) > 1 {
 		switch os.Args[1] {
 		case "publish":
-			os.Exit(publish(context.Background(), os.Args[2:], log))
+			os.Exit(runPublish(context.Background(), os.Args[2:], log))
 		case "fault":
-			os.Exit(order(context.Background(), os.Args[2:], log))
+			os.Exit(sendFault(context.Background(), os.Args[2:], log))
 		}
 	}
 	cfg := defaults()
@@ -34,7 +34,7 @@
 		fmt.Fprintln(os.Stderr, "stand:", err)
 		os.Exit(setup.ExitUsage)
 	}
-	duties, err := build(cfg, log)
+	duties, err := buildDuties(cfg, log)
 	if err != nil {
 		log.Error("start", "err", err)
 		os.Exit(1)
--- a/stand/main_test.go
+++ b/stand/main_test.go
@@ -76,7 +76,7 @@
 		t.Fatal(err)
 	}
 	var log bytes.Buffer
-	duties, err := build(cfg, slog.New(slog.NewTextHandler(&log, nil)))
+	duties, err := buildDuties(cfg, slog.New(slog.NewTextHandler(&log, nil)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -128,8 +128,8 @@
 		if setup.Parse("f.json", data, &cfg) != nil {
 			return
 		}
-		for _, one := range append([]config{cfg}, cfg.Stands...) {
-			if _, err := one.stand(); err != nil && one.Kind != kindAll {
+		for _, one := range append([]config{cfg}, cfg.Services...) {
+			if _, err := one.newService(); err != nil && one.Kind != kindAll {
 				t.Errorf("%+v: %v", one, err)
 			}
 		}
--- a/stand/past/past.go
+++ b/stand/past/past.go
@@ -11,10 +11,10 @@
 // Limits of a log.
 const (
 	// Keep is how far back a log reaches, in milliseconds.
-	Keep = 10 * magno.Minute
+	Retention = 10 * magno.Minute
 	// MaxLen is how many values are surely kept; from twice as many on the
 	// oldest go, whatever their time.
-	MaxLen = 4096
+	MinLen = 4096
 )
 
 type entry[T any] struct {
@@ -24,7 +24,7 @@
 
 // Log is a bounded record of one value over time. Its zero value is empty. It
 // is not safe for concurrent use.
-type Log[T any] struct {
+type History[T any] struct {
 	// entries are in order of time and fewer than twice MaxLen.
 	entries []entry[T]
 	// pruned is true once older values were dropped.
@@ -32,17 +32,17 @@
 }
 
 // Add records that the value was v from now on.
-func (l *Log[T]) Add(now magno.Millis, v T) {
-	l.prune(max(l.find(now-Keep), 0))
-	if len(l.entries) >= 2*MaxLen-1 {
-		l.prune(len(l.entries) - MaxLen + 1)
+func (l *History[T]) Add(now magno.Millis, v T) {
+	l.prune(max(l.indexAt(now-Retention), 0))
+	if len(l.entries) >= 2*MinLen-1 {
+		l.prune(len(l.entries) - MinLen + 1)
 	}
 	l.entries = append(l.entries, entry[T]{at: now, value: v})
 }
 
 // prune drops the values before first when they are at least half of all, so
 // that the cost of moving the others is shared by as many additions.
-func (l *Log[T]) prune(first int) {
+func (l *History[T]) prune(first int) {
 	if first == 0 || first < len(l.entries)/2 {
 		return
 	}
@@ -51,12 +51,12 @@
 }
 
 // Replace sets the newest value and leaves its time.
-func (l *Log[T]) Replace(v T) {
+func (l *History[T]) Replace(v T) {
 	l.entries[len(l.entries)-1].value = v
 }
 
 // Last returns the time of the newest value; ok is false when there is none.
-func (l *Log[T]) Last() (magno.Millis, bool) {
+func (l *History[T]) LastTime() (magno.Millis, bool) {
 	if len(l.entries) == 0 {
 		return 0, false
 	}
@@ -65,8 +65,8 @@
 
 // At returns the value that held at t, or the oldest one kept when that was
 // dropped; ok is false when there was none yet.
-func (l *Log[T]) At(t magno.Millis) (v T, ok bool) {
-	i := l.find(t)
+func (l *History[T]) At(t magno.Millis) (v T, ok bool) {
+	i := l.indexAt(t)
 	if i < 0 && !l.pruned {
 		return v, false
 	}
@@ -74,12 +74,12 @@
 }
 
 // First returns the oldest value kept; the log is not empty.
-func (l *Log[T]) First() T { return l.entries[0].value }
+func (l *History[T]) Oldest() T { return l.entries[0].value }
 
 // Reset drops every value.
-func (l *Log[T]) Reset() { *l = Log[T]{} }
+func (l *History[T]) Reset() { *l = History[T]{} }
 
 // find returns the index of the newest entry at or before t, or -1.
-func (l *Log[T]) find(t magno.Millis) int {
+func (l *History[T]) indexAt(t magno.Millis) int {
 	return sort.Search(len(l.entries), func(i int) bool { return l.entries[i].at > t }) - 1
 }
--- a/stand/past/past_test.go
+++ b/stand/past/past_test.go
@@ -9,7 +9,7 @@
 )
 
 func TestAt(t *testing.T) {
-	var l Log[string]
+	var l History[string]
 	if _, ok := l.At(5); ok {
 		t.Fatal("an empty log has a value")
 	}
@@ -32,17 +32,17 @@
 func TestPruned(t *testing.T) {
 	for _, pause := range []int64{1, 200, 2000} {
 		rnd := rand.New(rand.NewPCG(1, uint64(pause)))
-		var l Log[int]
-		at := make([]magno.Millis, 0, 5*MaxLen)
+		var l History[int]
+		at := make([]magno.Millis, 0, 5*MinLen)
 		now := magno.Millis(0)
-		for i := range 5 * MaxLen {
+		for i := range 5 * MinLen {
 			now += magno.Millis(rnd.Int64N(pause + 1))
 			l.Add(now, i)
 			at = append(at, now)
-			if len(l.entries) >= 2*MaxLen {
+			if len(l.entries) >= 2*MinLen {
 				t.Fatalf("pause %d: %d entries", pause, len(l.entries))
 			}
-			back := min(Keep, now-at[max(0, len(at)-MaxLen)])
+			back := min(Retention, now-at[max(0, len(at)-MinLen)])
 			when := now - magno.Millis(rnd.Int64N(int64(back)+1))
 			want := sort.Search(len(at), func(i int) bool { return at[i] > when }) - 1
 			if got, ok := l.At(when); ok != (want >= 0) || ok && got != want {
--- a/stand/plain/call.go
+++ b/stand/plain/call.go
@@ -14,91 +14,91 @@
 
 // call runs one call. Work that began is finished when its caller goes away,
 // as a service that records something would.
-func (p *Plain) call(c echo.Context) error {
-	body, err := serve.Body(c, serve.MaxBody)
+func (s *Service) handleCall(c echo.Context) error {
+	body, err := serve.ReadBody(c, serve.MaxBodyBytes)
 	if err != nil {
 		return err
 	}
 	name := c.Param("name")
 	subject := name + " " + string(body)
-	if p.faults.Hit(fault.Fail, subject) {
-		p.refuse()
+	if s.faults.Hit(fault.Fail, subject) {
+		s.countRefused()
 		return echo.NewHTTPError(http.StatusInternalServerError, "failed before running")
 	}
-	life, err := p.place(c.Request().Context())
+	processCtx, err := s.acquireSlot(c.Request().Context())
 	if err != nil {
-		p.refuse()
+		s.countRefused()
 		return err
 	}
-	defer func() { <-p.places }()
+	defer func() { <-s.slots }()
 	answer := Expect(name, body)
-	until := p.Clock.Now() + magno.Millis(float64(p.Work)*p.faults.Factor(subject))
-	run := p.begin(Run{ID: c.Request().Header.Get("X-Request-Id"), Call: name, Body: answer.Sum})
-	if _, poison := p.faults.On(fault.Crash, subject); poison {
-		p.restart(p.Restart)
+	endsAt := s.Clock.Now() + magno.Millis(float64(s.WorkTime)*s.faults.Slowdown(subject))
+	run := s.startRun(Run{ID: c.Request().Header.Get("X-Request-Id"), Call: name, Body: answer.Sum})
+	if _, poison := s.faults.Active(fault.Crash, subject); poison {
+		s.restart(s.RestartTime)
 	}
 	// An error means that the service went down under the call.
-	worked := wait.Until(life, p.Clock, until) == nil
-	p.end(run, worked)
-	if !worked || p.faults.Hit(fault.Lost, subject) {
-		return serve.ErrCut
+	completed := wait.Until(processCtx, s.Clock, endsAt) == nil
+	s.endRun(run, completed)
+	if !completed || s.faults.Hit(fault.Lost, subject) {
+		return serve.ErrAborted
 	}
 	return c.JSON(http.StatusOK, answer)
 }
 
 // place waits until the call may run. It returns the life of the process that
 // runs it; a call that waited in one that died is cut.
-func (p *Plain) place(ctx context.Context) (context.Context, error) {
-	p.mu.Lock()
-	life, full := p.life, p.waiting >= p.Queue
+func (s *Service) acquireSlot(ctx context.Context) (context.Context, error) {
+	s.mu.Lock()
+	processCtx, full := s.processCtx, s.waiting >= s.QueueLimit
 	if !full {
-		p.waiting++
+		s.waiting++
 	}
-	p.mu.Unlock()
+	s.mu.Unlock()
 	if full {
 		return nil, echo.NewHTTPError(http.StatusTooManyRequests, "too many calls wait")
 	}
 	defer func() {
-		p.mu.Lock()
-		defer p.mu.Unlock()
-		p.waiting--
+		s.mu.Lock()
+		defer s.mu.Unlock()
+		s.waiting--
 	}()
 	select {
-	case p.places <- struct{}{}:
+	case s.slots <- struct{}{}:
 	case <-ctx.Done():
 		return nil, ctx.Err()
-	case <-life.Done():
-		return nil, serve.ErrCut
+	case <-processCtx.Done():
+		return nil, serve.ErrAborted
 	}
-	if life.Err() != nil {
-		<-p.places
-		return nil, serve.ErrCut
+	if processCtx.Err() != nil {
+		<-s.slots
+		return nil, serve.ErrAborted
 	}
-	return life, nil
+	return processCtx, nil
 }
 
-func (p *Plain) refuse() {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.refused++
+func (s *Service) countRefused() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.refused++
 }
 
 // begin records a run.
-func (p *Plain) begin(r Run) *Run {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.running++
-	if len(p.runs) >= maxRuns {
-		p.dropped++
+func (s *Service) startRun(r Run) *Run {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.running++
+	if len(s.runs) >= maxRunRecords {
+		s.dropped++
 		return &r
 	}
-	p.runs = append(p.runs, &r)
+	s.runs = append(s.runs, &r)
 	return &r
 }
 
-func (p *Plain) end(r *Run, worked bool) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.running--
-	r.Ended = worked
+func (s *Service) endRun(r *Run, completed bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.running--
+	r.Ended = completed
 }
--- a/stand/plain/plain.go
+++ b/stand/plain/plain.go
@@ -19,41 +19,41 @@
 
 // Defaults of a plain service.
 const (
-	DefaultBatch = 16
-	DefaultQueue = 1024 // calls that wait; more are refused
+	DefaultConcurrency = 16
+	DefaultQueueLimit  = 1024 // calls that wait; more are refused
 
-	DefaultWork    magno.Millis = 10
-	DefaultRestart magno.Millis = 500
+	DefaultWorkTime    magno.Millis = 10
+	DefaultRestartTime magno.Millis = 500
 )
 
 // maxRuns bounds the record of runs, to some tens of megabytes; further ones
 // are counted as dropped.
-const maxRuns = 1 << 18
+const maxRunRecords = 1 << 18
 
 // Plain is a stand-in plain service. Fields are set before Run and Handler; a
 // zero field takes its default.
-type Plain struct {
+type Service struct {
 	Title string
 	// Work is the time of a call in milliseconds.
-	Work magno.Millis
+	WorkTime magno.Millis
 	// Batch is how many calls run at once; Queue is how many more may wait.
-	Batch int
-	Queue int
+	Concurrency int
+	QueueLimit  int
 	// Restart is how long the service is down after a crash.
-	Restart magno.Millis
-	Clock   *magno.Clock
+	RestartTime magno.Millis
+	Clock       *magno.Clock
 
 	once   sync.Once
-	faults fault.State
-	places chan struct{}
+	faults fault.Injector
+	slots  chan struct{}
 
 	mu sync.Mutex
 	// boot changes with each restart.
 	boot int64
 	upAt magno.Millis
 	// life ends with a restart; every call in progress holds it.
-	life context.Context //nolint:containedctx // the life of a simulated process
-	kill context.CancelFunc
+	processCtx    context.Context //nolint:containedctx // the life of a simulated process
+	cancelProcess context.CancelFunc
 	// running is how many calls run; at most Batch.
 	running int
 	// waiting is how many calls wait; at most Queue.
@@ -107,108 +107,108 @@
 }
 
 // Name returns the title, for the kernel.
-func (p *Plain) Name() string { return p.Title }
+func (s *Service) Name() string { return s.Title }
 
 // Fault carries out an order as POST /fault does.
-func (p *Plain) Fault(o fault.Order) error {
-	p.prepare()
-	return p.faults.Set(o)
+func (s *Service) Fault(spec fault.Spec) error {
+	s.prepare()
+	return s.faults.Set(spec)
 }
 
 // Run ends with ctx; the service has no duty besides its handlers.
-func (p *Plain) Run(ctx context.Context) error {
-	p.prepare()
+func (s *Service) Run(ctx context.Context) error {
+	s.prepare()
 	<-ctx.Done()
 	return nil
 }
 
-func (p *Plain) prepare() {
-	p.once.Do(func() {
-		if p.Work == 0 {
-			p.Work = DefaultWork
+func (s *Service) prepare() {
+	s.once.Do(func() {
+		if s.WorkTime == 0 {
+			s.WorkTime = DefaultWorkTime
 		}
-		if p.Batch == 0 {
-			p.Batch = DefaultBatch
+		if s.Concurrency == 0 {
+			s.Concurrency = DefaultConcurrency
 		}
-		if p.Queue == 0 {
-			p.Queue = DefaultQueue
+		if s.QueueLimit == 0 {
+			s.QueueLimit = DefaultQueueLimit
 		}
-		if p.Restart == 0 {
-			p.Restart = DefaultRestart
+		if s.RestartTime == 0 {
+			s.RestartTime = DefaultRestartTime
 		}
-		p.places = make(chan struct{}, p.Batch)
-		p.boot = max(int64(p.Clock.Now()), 1)
-		p.life, p.kill = context.WithCancel(context.Background())
-		p.faults.Kinds = map[string]bool{
+		s.slots = make(chan struct{}, s.Concurrency)
+		s.boot = max(int64(s.Clock.Now()), 1)
+		s.processCtx, s.cancelProcess = context.WithCancel(context.Background())
+		s.faults.Kinds = map[string]bool{
 			fault.Outage: false, fault.Restart: false,
 			fault.Slow: true, fault.Fail: true, fault.Lost: true, fault.Crash: true,
 		}
-		p.faults.OnRestart = p.restart
+		s.faults.OnRestart = s.restart
 	})
 }
 
 // restart cuts every call in progress; the service answers again after down.
-func (p *Plain) restart(down magno.Millis) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.kill()
-	now := p.Clock.Now()
-	p.boot = max(p.boot+1, int64(now))
-	p.upAt = now + down
-	p.life, p.kill = context.WithCancel(context.Background())
+func (s *Service) restart(down magno.Millis) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.cancelProcess()
+	now := s.Clock.Now()
+	s.boot = max(s.boot+1, int64(now))
+	s.upAt = now + down
+	s.processCtx, s.cancelProcess = context.WithCancel(context.Background())
 }
 
 // Handler returns the routes of the service.
-func (p *Plain) Handler() http.Handler {
-	p.prepare()
-	r := serve.Routes()
-	r.POST("/call/:name", p.call, p.gate)
-	r.GET("/report", p.report, p.gate)
-	r.GET("/counts", p.counts)
+func (s *Service) Handler() http.Handler {
+	s.prepare()
+	r := serve.NewRouter()
+	r.POST("/call/:name", s.handleCall, s.checkAvailable)
+	r.GET("/report", s.report, s.checkAvailable)
+	r.GET("/counts", s.counts)
 	return r
 }
 
 // Admin returns the operators' routes.
-func (p *Plain) Admin() http.Handler {
-	p.prepare()
-	r := serve.Routes()
-	p.faults.Register(r)
-	r.GET("/counts", p.counts)
+func (s *Service) Admin() http.Handler {
+	s.prepare()
+	r := serve.NewRouter()
+	s.faults.Register(r)
+	r.GET("/counts", s.counts)
 	return r
 }
 
 // gate answers for a service that is down: a restarting one drops the
 // connection as a dead process would, an outage answers 503.
-func (p *Plain) gate(next echo.HandlerFunc) echo.HandlerFunc {
+func (s *Service) checkAvailable(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
-		p.mu.Lock()
-		down := p.Clock.Now() < p.upAt
-		p.mu.Unlock()
+		s.mu.Lock()
+		down := s.Clock.Now() < s.upAt
+		s.mu.Unlock()
 		if down {
-			return serve.ErrCut
+			return serve.ErrAborted
 		}
-		if _, out := p.faults.On(fault.Outage, ""); out {
+		if _, out := s.faults.Active(fault.Outage, ""); out {
 			return echo.NewHTTPError(http.StatusServiceUnavailable, "outage")
 		}
 		return next(c)
 	}
 }
 
-func (p *Plain) report(c echo.Context) error {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return c.JSON(http.StatusOK, Report{Boot: p.boot, Batch: p.Batch, Running: p.running})
+func (s *Service) report(c echo.Context) error {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return c.JSON(http.StatusOK, Report{Boot: s.boot, Batch: s.Concurrency, Running: s.running})
 }
 
-func (p *Plain) counts(c echo.Context) error { return c.JSON(http.StatusOK, p.Counts()) }
+func (s *Service) counts(c echo.Context) error { return c.JSON(http.StatusOK, s.Counts()) }
 
 // Counts returns the record of what ran.
-func (p *Plain) Counts() Counts {
-	p.prepare()
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	c := Counts{Runs: make([]Run, 0, len(p.runs)), Refused: p.refused, Dropped: p.dropped}
-	for _, r := range p.runs {
+func (s *Service) Counts() Counts {
+	s.prepare()
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	c := Counts{Runs: make([]Run, 0, len(s.runs)), Refused: s.refused, Dropped: s.dropped}
+	for _, r := range s.runs {
 		c.Runs = append(c.Runs, *r)
 	}
 	return c
--- a/stand/plain/plain_test.go
+++ b/stand/plain/plain_test.go
@@ -19,19 +19,19 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-type caller struct {
-	*Plain
+type testService struct {
+	*Service
 	url string
 }
 
-func listen(t *testing.T, p *Plain) caller {
+func startService(t *testing.T, p *Service) testService {
 	server := httptest.NewServer(p.Handler())
 	t.Cleanup(server.Close)
-	return caller{p, server.URL}
+	return testService{p, server.URL}
 }
 
 // call returns status 0 when the connection was cut.
-func (c caller) call(ctx context.Context, name, id, body string) (int, Answer) {
+func (c testService) call(ctx context.Context, name, id, body string) (int, Answer) {
 	req, _ := http.NewRequestWithContext(ctx, http.MethodPost, c.url+"/call/"+name, bytes.NewReader([]byte(body)))
 	req.Header.Set("X-Request-Id", id)
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
@@ -46,14 +46,14 @@
 	return resp.StatusCode, a
 }
 
-func (c caller) set(t *testing.T, o fault.Order) {
+func (c testService) setFault(t *testing.T, spec fault.Spec) {
 	t.Helper()
-	if err := c.Fault(o); err != nil {
+	if err := c.Fault(spec); err != nil {
 		t.Fatal(err)
 	}
 }
 
-func until(t *testing.T, what string, ok func() bool) {
+func waitFor(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(30 * time.Second); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		if ok() {
@@ -64,14 +64,14 @@
 }
 
 // state returns how many calls run and wait.
-func (c caller) state() (running, waiting int) {
+func (c testService) callCounts() (running, waiting int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.running, c.waiting
 }
 
 func TestCall(t *testing.T) {
-	c := listen(t, &Plain{Work: 1})
+	c := startService(t, &Service{WorkTime: 1})
 	for _, body := range []string{"", `{"seat":7}`, `{"seat":8}`} {
 		status, a := c.call(t.Context(), "confirm", "r"+body, body)
 		if want := Expect("confirm", []byte(body)); status != http.StatusOK || a != want {
@@ -101,15 +101,15 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.kind, func(t *testing.T) {
-			c := listen(t, &Plain{Work: 1})
-			c.set(t, fault.Order{Kind: tt.kind, Value: 1})
+			c := startService(t, &Service{WorkTime: 1})
+			c.setFault(t, fault.Spec{Kind: tt.kind, Value: 1})
 			if status, _ := c.call(t.Context(), "record", "r", "x"); status != tt.status {
 				t.Errorf("status %d", status)
 			}
 			if n := c.Counts(); len(n.Runs) != tt.runs || n.Refused != tt.refused || tt.runs == 1 && !n.Runs[0].Ended {
 				t.Errorf("counts %+v", n)
 			}
-			c.set(t, fault.Order{Kind: fault.Clear})
+			c.setFault(t, fault.Spec{Kind: fault.Clear})
 			if status, _ := c.call(t.Context(), "record", "r", "x"); status != http.StatusOK {
 				t.Errorf("after it: %d", status)
 			}
@@ -119,26 +119,26 @@
 
 // The service is slow and its places are full: more calls wait, and past the
 // bound they are refused without running.
-func TestPlaces(t *testing.T) {
+func TestConcurrencyLimit(t *testing.T) {
 	clock := magno.NewClock(1000)
-	c := listen(t, &Plain{Work: 10, Batch: 2, Queue: 1, Clock: clock})
-	c.set(t, fault.Order{Kind: fault.Slow, Value: 3})
+	c := startService(t, &Service{WorkTime: 10, Concurrency: 2, QueueLimit: 1, Clock: clock})
+	c.setFault(t, fault.Spec{Kind: fault.Slow, Value: 3})
 	var wg sync.WaitGroup
 	for range 2 {
 		wg.Go(func() { c.call(t.Context(), "a", "", "") })
 	}
-	until(t, "both running", func() bool { n, _ := c.state(); return n == 2 })
+	waitFor(t, "both running", func() bool { n, _ := c.callCounts(); return n == 2 })
 	wg.Go(func() { c.call(t.Context(), "a", "", "") })
-	until(t, "one waiting", func() bool { _, n := c.state(); return n == 1 })
+	waitFor(t, "one waiting", func() bool { _, n := c.callCounts(); return n == 1 })
 	if status, _ := c.call(t.Context(), "a", "", ""); status != http.StatusTooManyRequests {
 		t.Errorf("the fourth: %d", status)
 	}
 	clock.Advance(29)
-	if n, _ := c.state(); n != 2 {
+	if n, _ := c.callCounts(); n != 2 {
 		t.Errorf("%d running after 29 of 30 ms", n)
 	}
 	clock.Advance(1)
-	until(t, "the third", func() bool { n, _ := c.state(); return n == 1 && len(c.Counts().Runs) == 3 })
+	waitFor(t, "the third", func() bool { n, _ := c.callCounts(); return n == 1 && len(c.Counts().Runs) == 3 })
 	clock.Advance(30)
 	wg.Wait()
 	if n := c.Counts(); len(n.Runs) != 3 || n.Refused != 1 {
@@ -150,14 +150,14 @@
 // connections end and can't tell whether they were run; the record can.
 func TestCrash(t *testing.T) {
 	clock := magno.NewClock(1000)
-	c := listen(t, &Plain{Work: 1000, Restart: 50, Clock: clock})
-	c.set(t, fault.Order{Kind: fault.Crash, Match: "poison"})
+	c := startService(t, &Service{WorkTime: 1000, RestartTime: 50, Clock: clock})
+	c.setFault(t, fault.Spec{Kind: fault.Crash, Match: "poison"})
 	neighbour := make(chan int, 1)
 	go func() {
 		status, _ := c.call(t.Context(), "a", "one", "")
 		neighbour <- status
 	}()
-	until(t, "the neighbour", func() bool { n, _ := c.state(); return n == 1 })
+	waitFor(t, "the neighbour", func() bool { n, _ := c.callCounts(); return n == 1 })
 	if status, _ := c.call(t.Context(), "a", "two", "poison"); status != 0 {
 		t.Errorf("the crash was answered with %d", status)
 	}
@@ -168,13 +168,13 @@
 		t.Errorf("answered %d while down", status)
 	}
 	clock.Advance(50)
-	c.set(t, fault.Order{Kind: fault.Clear})
+	c.setFault(t, fault.Spec{Kind: fault.Clear})
 	up := make(chan int, 1)
 	go func() {
 		status, _ := c.call(t.Context(), "a", "four", "")
 		up <- status
 	}()
-	until(t, "a run after the restart", func() bool { n, _ := c.state(); return n == 1 })
+	waitFor(t, "a run after the restart", func() bool { n, _ := c.callCounts(); return n == 1 })
 	clock.Advance(1000)
 	if status := <-up; status != http.StatusOK {
 		t.Errorf("after the restart: %d", status)
@@ -189,20 +189,20 @@
 }
 
 // A caller that goes away doesn't undo what the service has begun to record.
-func TestCallerGone(t *testing.T) {
+func TestCallerDisconnects(t *testing.T) {
 	clock := magno.NewClock(1000)
-	c := listen(t, &Plain{Work: 10, Clock: clock})
+	c := startService(t, &Service{WorkTime: 10, Clock: clock})
 	ctx, cancel := context.WithCancel(t.Context())
 	gone := make(chan struct{})
 	go func() {
 		defer close(gone)
 		c.call(ctx, "a", "r", "")
 	}()
-	until(t, "the call", func() bool { n, _ := c.state(); return n == 1 })
+	waitFor(t, "the call", func() bool { n, _ := c.callCounts(); return n == 1 })
 	cancel()
 	<-gone
 	clock.Advance(10)
-	until(t, "its end", func() bool { n, _ := c.state(); return n == 0 })
+	waitFor(t, "its end", func() bool { n, _ := c.callCounts(); return n == 0 })
 	if runs := c.Counts().Runs; len(runs) != 1 || !runs[0].Ended {
 		t.Errorf("runs %+v", runs)
 	}
--- a/stand/publ/publ.go
+++ b/stand/publ/publ.go
@@ -22,18 +22,18 @@
 )
 
 // callLimit bounds one call to a stand-in.
-const callLimit = 5 * time.Second
+const requestTimeout = 5 * time.Second
 
 // Publisher publishes files. Its fields are set before use.
 type Publisher struct {
 	// Conf and List are URLs of the operators' ports.
-	Conf string
-	List string
+	ConfURL string
+	ListURL string
 }
 
 // Config publishes the configuration in file, whole, and returns its version.
-func (p *Publisher) Config(ctx context.Context, file string) (int64, error) {
-	cfg, err := Read(file)
+func (p *Publisher) PublishConfig(ctx context.Context, file string) (int64, error) {
+	cfg, err := ReadConfig(file)
 	if err != nil {
 		return 0, err
 	}
@@ -42,7 +42,7 @@
 		return 0, err
 	}
 	for _, v := range values {
-		if err := put(ctx, p.Conf+"/v1/value/"+v.Key, v.Data); err != nil {
+		if err := put(ctx, p.ConfURL+"/v1/value/"+v.Key, v.Data); err != nil {
 			return 0, err
 		}
 	}
@@ -50,7 +50,7 @@
 }
 
 // Read reads a configuration, JSON with comments.
-func Read(file string) (*magno.Config, error) {
+func ReadConfig(file string) (*magno.Config, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
 		return nil, err
@@ -67,17 +67,17 @@
 }
 
 // Instances publishes the instance list in file.
-func (p *Publisher) Instances(ctx context.Context, file string) error {
+func (p *Publisher) PublishInstances(ctx context.Context, file string) error {
 	data, err := os.ReadFile(file)
 	if err != nil {
 		return err
 	}
-	return put(ctx, p.List+"/v1/instances", data)
+	return put(ctx, p.ListURL+"/v1/instances", data)
 }
 
 // Fault switches a fault on at the stand-in whose operators' port is at url.
-func Fault(ctx context.Context, url string, order []byte) error {
-	return send(ctx, http.MethodPost, url+"/fault", order)
+func SetFault(ctx context.Context, url string, spec []byte) error {
+	return send(ctx, http.MethodPost, url+"/fault", spec)
 }
 
 func put(ctx context.Context, url string, data []byte) error {
@@ -85,7 +85,7 @@
 }
 
 func send(ctx context.Context, method, url string, data []byte) error {
-	ctx, cancel := context.WithTimeout(ctx, callLimit)
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(data))
 	if err != nil {
--- a/stand/publish.go
+++ b/stand/publish.go
@@ -12,7 +12,7 @@
 
 // publish serves `stand publish`: it publishes files as the platform's
 // operators would.
-func publish(ctx context.Context, args []string, log *slog.Logger) int {
+func runPublish(ctx context.Context, args []string, log *slog.Logger) int {
 	set := flag.NewFlagSet("stand publish", flag.ContinueOnError)
 	conf := set.String("conf", "http://127.0.0.1:7011", "`URL` of the configuration service's operators' port")
 	list := set.String("list", "http://127.0.0.1:7021", "`URL` of the instance list's operators' port")
@@ -21,20 +21,20 @@
 	if err := set.Parse(args); err != nil {
 		return setup.ExitUsage
 	}
-	p := &publ.Publisher{Conf: *conf, List: *list}
-	if err := both(ctx, p, *config, *instances, log); err != nil {
+	p := &publ.Publisher{ConfURL: *conf, ListURL: *list}
+	if err := publishFiles(ctx, p, *config, *instances, log); err != nil {
 		log.Error("publish", "err", err)
 		return 1
 	}
 	return 0
 }
 
-func both(ctx context.Context, p *publ.Publisher, config, instances string, log *slog.Logger) error {
+func publishFiles(ctx context.Context, p *publ.Publisher, config, instances string, log *slog.Logger) error {
 	if config == "" && instances == "" {
 		return fmt.Errorf("neither -config nor -instances names a file")
 	}
 	if config != "" {
-		version, err := p.Config(ctx, config)
+		version, err := p.PublishConfig(ctx, config)
 		if err != nil {
 			return err
 		}
@@ -43,7 +43,7 @@
 	if instances == "" {
 		return nil
 	}
-	if err := p.Instances(ctx, instances); err != nil {
+	if err := p.PublishInstances(ctx, instances); err != nil {
 		return err
 	}
 	log.Info("published", "instances", instances)
@@ -51,14 +51,14 @@
 }
 
 // order serves `stand fault`: it switches a fault on at a stand-in.
-func order(ctx context.Context, args []string, log *slog.Logger) int {
+func sendFault(ctx context.Context, args []string, log *slog.Logger) int {
 	set := flag.NewFlagSet("stand fault", flag.ContinueOnError)
 	to := set.String("to", "", "`URL` of the stand-in's operators' port")
 	body := set.String("order", "", "the fault, such as {\"kind\":\"outage\"}; see docs/PROTOCOLS.md")
 	if err := set.Parse(args); err != nil {
 		return setup.ExitUsage
 	}
-	if err := publ.Fault(ctx, *to, []byte(*body)); err != nil {
+	if err := publ.SetFault(ctx, *to, []byte(*body)); err != nil {
 		log.Error("fault", "err", err)
 		return 1
 	}
--- a/stand/serve/serve.go
+++ b/stand/serve/serve.go
@@ -19,12 +19,12 @@
 
 // Limits of a server.
 const (
-	MaxHeader  = 16 << 10 // bytes
-	MaxBody    = 1 << 20  // bytes; values of the configuration service are the largest
-	headerTime = 5 * time.Second
-	bodyTime   = 10 * time.Second
-	idleTime   = 2 * time.Minute
-	stopTime   = time.Second // grace for calls in progress at the end
+	MaxHeaderBytes  = 16 << 10 // bytes
+	MaxBodyBytes    = 1 << 20  // bytes; values of the configuration service are the largest
+	headerTimeout   = 5 * time.Second
+	bodyTimeout     = 10 * time.Second
+	idleTimeout     = 2 * time.Minute
+	shutdownTimeout = time.Second // grace for calls in progress at the end
 )
 
 // Server serves one handler on one address.
@@ -55,9 +55,9 @@
 func (s *Server) Run(ctx context.Context) error {
 	server := &http.Server{
 		Handler:           s.Handler,
-		ReadHeaderTimeout: headerTime,
-		IdleTimeout:       idleTime,
-		MaxHeaderBytes:    MaxHeader,
+		ReadHeaderTimeout: headerTimeout,
+		IdleTimeout:       idleTimeout,
+		MaxHeaderBytes:    MaxHeaderBytes,
 		BaseContext:       func(net.Listener) context.Context { return ctx },
 	}
 	ended := make(chan error, 1)
@@ -67,9 +67,9 @@
 		return err
 	case <-ctx.Done():
 	}
-	stop, cancel := context.WithTimeout(context.WithoutCancel(ctx), stopTime)
+	shutdownCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), shutdownTimeout)
 	defer cancel()
-	if server.Shutdown(stop) != nil {
+	if server.Shutdown(shutdownCtx) != nil {
 		_ = server.Close()
 	}
 	if err := <-ended; !errors.Is(err, http.ErrServerClosed) {
@@ -80,10 +80,10 @@
 
 // ErrCut ends a call as a process that dies does: its connection ends without
 // an answer, and a stream without its end.
-var ErrCut = errors.New("cut")
+var ErrAborted = errors.New("cut")
 
 // fault is the body of an error in the form of OpenAI's interface.
-type fault struct {
+type errorBody struct {
 	Error struct {
 		Message string `json:"message"`
 		Type    string `json:"type"`
@@ -93,11 +93,11 @@
 
 // Routes returns an empty router whose errors have the form that clients of
 // language models expect, and say when to come back where that may help.
-func Routes() *echo.Echo {
+func NewRouter() *echo.Echo {
 	e := echo.New()
 	e.HideBanner, e.HidePort = true, true
 	e.HTTPErrorHandler = func(err error, c echo.Context) {
-		if errors.Is(err, ErrCut) || errors.Is(err, context.Canceled) {
+		if errors.Is(err, ErrAborted) || errors.Is(err, context.Canceled) {
 			// A call that ends with its process must not look answered: its
 			// caller would take an error for an upstream's own, or the end
 			// of a stream for a whole one.
@@ -107,14 +107,14 @@
 			return
 		}
 		status, message := http.StatusInternalServerError, err.Error()
-		var known *echo.HTTPError
-		if errors.As(err, &known) {
-			status, message = known.Code, fmt.Sprint(known.Message)
+		var httpErr *echo.HTTPError
+		if errors.As(err, &httpErr) {
+			status, message = httpErr.Code, fmt.Sprint(httpErr.Message)
 		}
 		if status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable {
 			c.Response().Header().Set(echo.HeaderRetryAfter, "1")
 		}
-		var body fault
+		var body errorBody
 		body.Error.Message, body.Error.Code = message, status
 		body.Error.Type = http.StatusText(status)
 		_ = c.JSON(status, body)
@@ -124,7 +124,7 @@
 
 // Strict reads one JSON value and refuses keys that into doesn't have and text
 // behind it: operators' typing errors would otherwise pass without effect.
-func Strict(data []byte, into any) error {
+func DecodeStrict(data []byte, into any) error {
 	dec := json.NewDecoder(bytes.NewReader(data))
 	dec.DisallowUnknownFields()
 	if err := dec.Decode(into); err != nil {
@@ -139,14 +139,14 @@
 // Body reads a body of at most limit bytes; a longer one is an error with
 // status 413. The time for it is limited here, and not for the connection:
 // there it would also end a stream that takes long.
-func Body(c echo.Context, limit int64) ([]byte, error) {
+func ReadBody(c echo.Context, limit int64) ([]byte, error) {
 	// A handler that is called without a connection has no deadline to set.
 	control := http.NewResponseController(c.Response())
-	_ = control.SetReadDeadline(time.Now().Add(bodyTime))
+	_ = control.SetReadDeadline(time.Now().Add(bodyTimeout))
 	defer func() { _ = control.SetReadDeadline(time.Time{}) }()
 	data, err := io.ReadAll(http.MaxBytesReader(c.Response(), c.Request().Body, limit))
-	var long *http.MaxBytesError
-	if errors.As(err, &long) {
+	var tooLarge *http.MaxBytesError
+	if errors.As(err, &tooLarge) {
 		return nil, echo.NewHTTPError(http.StatusRequestEntityTooLarge, err.Error())
 	}
 	if err != nil {
--- a/stand/serve/serve_test.go
+++ b/stand/serve/serve_test.go
@@ -26,9 +26,9 @@
 }
 
 func TestLimits(t *testing.T) {
-	r := Routes()
+	r := NewRouter()
 	r.POST("/", func(c echo.Context) error {
-		data, err := Body(c, 10)
+		data, err := ReadBody(c, 10)
 		if err != nil {
 			return err
 		}
@@ -44,7 +44,7 @@
 	}{
 		{"within", "/", "0123456789", 0, http.StatusOK, "0123456789"},
 		{"body too long", "/", "0123456789a", 0, http.StatusRequestEntityTooLarge, `"code":413`},
-		{"header too long", "/", "", 2 * MaxHeader, http.StatusRequestHeaderFieldsTooLarge, "431"},
+		{"header too long", "/", "", 2 * MaxHeaderBytes, http.StatusRequestHeaderFieldsTooLarge, "431"},
 		{"no route", "/x", "", 0, http.StatusNotFound, `{"error":{"message":"Not Found"`},
 	}
 	for _, tt := range tests {
@@ -69,7 +69,7 @@
 // hang on it, and the caller must not take the end for an answer.
 func TestStopEndsCalls(t *testing.T) {
 	begun := make(chan struct{})
-	r := Routes()
+	r := NewRouter()
 	r.GET("/", func(c echo.Context) error {
 		close(begun)
 		<-c.Request().Context().Done()
@@ -100,7 +100,7 @@
 		var into struct {
 			A int `json:"a"`
 		}
-		if err := Strict([]byte(body), &into); (err == nil) != ok {
+		if err := DecodeStrict([]byte(body), &into); (err == nil) != ok {
 			t.Errorf("%s: %v", body, err)
 		}
 	}
--- a/stand/wait/wait.go
+++ b/stand/wait/wait.go
@@ -9,12 +9,12 @@
 )
 
 // look is how often a waiter looks at the clock: a driven one can't wake it.
-const look = 2 * time.Millisecond
+const pollInterval = 2 * time.Millisecond
 
 // Until returns nil at the time t, or the error of ctx if that ends first.
 func Until(ctx context.Context, clock *magno.Clock, t magno.Millis) error {
 	for clock.Now() < t {
-		timer := time.NewTimer(look)
+		timer := time.NewTimer(pollInterval)
 		select {
 		case <-ctx.Done():
 			timer.Stop()
--- a/stand/weight/weight.go
+++ b/stand/weight/weight.go
@@ -22,10 +22,10 @@
 
 // Defaults of a store: the smaller of the two deployments.
 const (
-	DefaultRate  = 2.0 // loads a second
-	DefaultWidth = 1
+	DefaultRate           = 2.0 // loads a second
+	DefaultFullSpeedLoads = 1
 
-	DefaultLoad magno.Millis = 500
+	DefaultLoadTime magno.Millis = 500
 )
 
 // Store is a stand-in weight store. Fields are set before Run and Handler; a
@@ -35,29 +35,29 @@
 	// Rate is how many loads a second may begin; more are answered 429.
 	Rate float64
 	// Width is how many loads run at full speed at once.
-	Width int
+	FullSpeedLoads int
 	// Load is the time of a load at full speed in milliseconds.
-	Load  magno.Millis
-	Clock *magno.Clock
+	LoadTime magno.Millis
+	Clock    *magno.Clock
 
 	once    sync.Once
-	faults  fault.State
+	faults  fault.Injector
 	limiter *rate.Limiter
 
 	mu sync.Mutex
 	// active are the loads in progress; all go at the same speed.
 	active map[*load]struct{}
 	// last is when active loads were last moved on.
-	last   magno.Millis
-	counts Counts
+	lastAdvance magno.Millis
+	counts      Counts
 }
 
 // load is one load in progress.
 type load struct {
 	// left is the time that it still takes at full speed, in milliseconds.
-	left float64
+	remaining float64
 	// factor is how many times as long it takes by a fault.
-	factor float64
+	slowdown float64
 }
 
 // Counts is the stand-in's own record.
@@ -68,16 +68,16 @@
 	Refused int64 `json:"refused"`
 	Failed  int64 `json:"failed"`
 	// Most is how many loads ran at once at most.
-	Most int `json:"most"`
+	MaxConcurrent int `json:"most"`
 }
 
 // Name returns the title, for the kernel.
 func (s *Store) Name() string { return s.Title }
 
 // Fault carries out an order as POST /fault does.
-func (s *Store) Fault(o fault.Order) error {
+func (s *Store) Fault(spec fault.Spec) error {
 	s.prepare()
-	return s.faults.Set(o)
+	return s.faults.Set(spec)
 }
 
 // Run ends with ctx; the store has no duty besides its handlers.
@@ -92,14 +92,14 @@
 		if s.Rate == 0 {
 			s.Rate = DefaultRate
 		}
-		if s.Width == 0 {
-			s.Width = DefaultWidth
+		if s.FullSpeedLoads == 0 {
+			s.FullSpeedLoads = DefaultFullSpeedLoads
 		}
-		if s.Load == 0 {
-			s.Load = DefaultLoad
+		if s.LoadTime == 0 {
+			s.LoadTime = DefaultLoadTime
 		}
 		s.faults.Kinds = map[string]bool{fault.Outage: false, fault.Slow: true, fault.Fail: true}
-		s.limiter = rate.NewLimiter(rate.Limit(s.Rate), max(s.Width, int(s.Rate)))
+		s.limiter = rate.NewLimiter(rate.Limit(s.Rate), max(s.FullSpeedLoads, int(s.Rate)))
 		s.active = map[*load]struct{}{}
 		s.counts.Loads = map[string]int64{}
 	})
@@ -108,22 +108,22 @@
 // Handler returns the routes of the store.
 func (s *Store) Handler() http.Handler {
 	s.prepare()
-	r := serve.Routes()
-	r.GET("/v1/weights/:adapter/:version", s.weights)
-	r.GET("/counts", s.tell)
+	r := serve.NewRouter()
+	r.GET("/v1/weights/:adapter/:version", s.serveWeights)
+	r.GET("/counts", s.serveCounts)
 	return r
 }
 
 // Admin returns the operators' routes.
 func (s *Store) Admin() http.Handler {
 	s.prepare()
-	r := serve.Routes()
+	r := serve.NewRouter()
 	s.faults.Register(r)
-	r.GET("/counts", s.tell)
+	r.GET("/counts", s.serveCounts)
 	return r
 }
 
-func (s *Store) tell(c echo.Context) error { return c.JSON(http.StatusOK, s.Counts()) }
+func (s *Store) serveCounts(c echo.Context) error { return c.JSON(http.StatusOK, s.Counts()) }
 
 // Counts returns the record of loads.
 func (s *Store) Counts() Counts {
@@ -139,14 +139,14 @@
 }
 
 // weights delivers one adapter after the time that its load takes.
-func (s *Store) weights(c echo.Context) error {
+func (s *Store) serveWeights(c echo.Context) error {
 	name := c.Param("adapter") + "@" + c.Param("version")
 	if err := s.admit(name); err != nil {
 		return err
 	}
-	l := s.begin(name)
-	err := s.deliver(c.Request().Context(), l)
-	s.end(l, name, err == nil)
+	l := s.startLoad(name)
+	err := s.waitLoad(c.Request().Context(), l)
+	s.endLoad(l, name, err == nil)
 	if err != nil {
 		return err
 	}
@@ -155,7 +155,7 @@
 
 // admit refuses a load that the store can't begin.
 func (s *Store) admit(name string) error {
-	_, out := s.faults.On(fault.Outage, "")
+	_, out := s.faults.Active(fault.Outage, "")
 	failed := out || s.faults.Hit(fault.Fail, name)
 	over := !failed && !s.limiter.AllowN(time.UnixMilli(int64(s.Clock.Now())), 1)
 	s.mu.Lock()
@@ -171,25 +171,25 @@
 	return nil
 }
 
-func (s *Store) begin(name string) *load {
+func (s *Store) startLoad(name string) *load {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.advance()
-	l := &load{left: float64(s.Load), factor: s.faults.Factor(name)}
+	l := &load{remaining: float64(s.LoadTime), slowdown: s.faults.Slowdown(name)}
 	s.active[l] = struct{}{}
-	s.counts.Most = max(s.counts.Most, len(s.active))
+	s.counts.MaxConcurrent = max(s.counts.MaxConcurrent, len(s.active))
 	return l
 }
 
 // deliver waits until a load has had its time. Its end moves when others come
 // and go, so it is looked at anew after each wait.
-func (s *Store) deliver(ctx context.Context, l *load) error {
+func (s *Store) waitLoad(ctx context.Context, l *load) error {
 	for {
 		s.mu.Lock()
 		s.advance()
-		left := l.left
+		remaining := l.remaining
 		s.mu.Unlock()
-		if left <= 0 {
+		if remaining <= 0 {
 			return nil
 		}
 		if err := wait.Until(ctx, s.Clock, s.Clock.Now()+1); err != nil {
@@ -201,15 +201,15 @@
 // advance moves every active load on to the present. The caller holds mu.
 func (s *Store) advance() {
 	now := s.Clock.Now()
-	passed := float64(now - s.last)
-	s.last = now
-	speed := min(1, float64(s.Width)/float64(max(len(s.active), 1)))
+	elapsed := float64(now - s.lastAdvance)
+	s.lastAdvance = now
+	speed := min(1, float64(s.FullSpeedLoads)/float64(max(len(s.active), 1)))
 	for l := range s.active {
-		l.left -= passed * speed / l.factor
+		l.remaining -= elapsed * speed / l.slowdown
 	}
 }
 
-func (s *Store) end(l *load, name string, delivered bool) {
+func (s *Store) endLoad(l *load, name string, delivered bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.advance()
--- a/stand/weight/weight_test.go
+++ b/stand/weight/weight_test.go
@@ -34,7 +34,7 @@
 }
 
 // active waits until n loads are in progress.
-func active(t *testing.T, s *Store, n int) {
+func waitActive(t *testing.T, s *Store, n int) {
 	t.Helper()
 	for end := time.Now().Add(30 * time.Second); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		s.mu.Lock()
@@ -48,13 +48,13 @@
 }
 
 // left returns what the slowest load still takes at full speed.
-func left(s *Store) float64 {
+func maxRemaining(s *Store) float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.advance()
 	most := 0.0
 	for l := range s.active {
-		most = max(most, l.left)
+		most = max(most, l.remaining)
 	}
 	return most
 }
@@ -68,14 +68,14 @@
 	}{{1, 1, 700}, {2, 2, 700}, {1, 2, 850}, {2, 6, 900}}
 	for _, tt := range tests {
 		clock := magno.NewClock(1000)
-		s := &Store{Rate: 100, Width: tt.width, Load: 1000, Clock: clock}
+		s := &Store{Rate: 100, FullSpeedLoads: tt.width, LoadTime: 1000, Clock: clock}
 		got := make([]<-chan int, 0, tt.loads)
 		for range tt.loads {
 			got = append(got, fetch(t.Context(), s, "a"))
 		}
-		active(t, s, tt.loads)
+		waitActive(t, s, tt.loads)
 		clock.Advance(300)
-		if n := left(s); n < tt.left-1 || n > tt.left+1 {
+		if n := maxRemaining(s); n < tt.left-1 || n > tt.left+1 {
 			t.Errorf("%+v: %v ms left", tt, n)
 		}
 		clock.Advance(100_000)
@@ -84,7 +84,7 @@
 				t.Errorf("%+v: status %d", tt, status)
 			}
 		}
-		if c := s.Counts(); c.Loads["a@1"] != int64(tt.loads) || c.Most != tt.loads {
+		if c := s.Counts(); c.Loads["a@1"] != int64(tt.loads) || c.MaxConcurrent != tt.loads {
 			t.Errorf("%+v: counts %+v", tt, c)
 		}
 	}
@@ -93,13 +93,13 @@
 // A caller that gives up gives its share of the speed back.
 func TestCancelGivesSpeedBack(t *testing.T) {
 	clock := magno.NewClock(1000)
-	s := &Store{Rate: 100, Width: 1, Load: 1000, Clock: clock}
+	s := &Store{Rate: 100, FullSpeedLoads: 1, LoadTime: 1000, Clock: clock}
 	ctx, cancel := context.WithCancel(t.Context())
 	first, second := fetch(ctx, s, "a"), fetch(t.Context(), s, "b")
-	active(t, s, 2)
+	waitActive(t, s, 2)
 	cancel()
 	<-first
-	active(t, s, 1)
+	waitActive(t, s, 1)
 	clock.Advance(1000)
 	if status := <-second; status != http.StatusOK {
 		t.Errorf("status %d", status)
@@ -113,16 +113,16 @@
 // wait; the allowance comes back with time.
 func TestRate(t *testing.T) {
 	clock := magno.NewClock(1000)
-	s := &Store{Rate: 2, Width: 1, Load: 1, Clock: clock}
+	s := &Store{Rate: 2, FullSpeedLoads: 1, LoadTime: 1, Clock: clock}
 	got := map[int]int{}
 	for range 5 {
-		got[outcome(clock, s, fetch(t.Context(), s, "a"))]++
+		got[fetchStatus(clock, s, fetch(t.Context(), s, "a"))]++
 	}
 	if got[http.StatusOK] != 2 || got[http.StatusTooManyRequests] != 3 {
 		t.Fatalf("got %v", got)
 	}
 	clock.Advance(500)
-	got[outcome(clock, s, fetch(t.Context(), s, "a"))]++
+	got[fetchStatus(clock, s, fetch(t.Context(), s, "a"))]++
 	if got[http.StatusOK] != 3 || s.Counts().Refused != 3 {
 		t.Fatalf("got %v, counts %+v", got, s.Counts())
 	}
@@ -130,7 +130,7 @@
 
 // outcome returns the status of a fetch. It moves the clock once, when the load
 // is in progress, so that the allowance doesn't come back meanwhile.
-func outcome(clock *magno.Clock, s *Store, status <-chan int) int {
+func fetchStatus(clock *magno.Clock, s *Store, status <-chan int) int {
 	for {
 		select {
 		case n := <-status:
@@ -149,28 +149,28 @@
 
 func TestFaults(t *testing.T) {
 	clock := magno.NewClock(1000)
-	s := &Store{Rate: 100, Load: 100, Clock: clock}
-	set := func(o fault.Order) {
+	s := &Store{Rate: 100, LoadTime: 100, Clock: clock}
+	set := func(o fault.Spec) {
 		if err := s.Fault(o); err != nil {
 			t.Fatal(err)
 		}
 	}
-	set(fault.Order{Kind: fault.Fail, Value: 1, Match: "b@"})
+	set(fault.Spec{Kind: fault.Fail, Value: 1, Match: "b@"})
 	if status := <-fetch(t.Context(), s, "b"); status != http.StatusServiceUnavailable {
 		t.Errorf("fail: %d", status)
 	}
-	set(fault.Order{Kind: fault.Slow, Value: 4})
+	set(fault.Spec{Kind: fault.Slow, Value: 4})
 	slow := fetch(t.Context(), s, "a")
-	active(t, s, 1)
+	waitActive(t, s, 1)
 	clock.Advance(200)
-	if n := left(s); n < 49 || n > 51 {
+	if n := maxRemaining(s); n < 49 || n > 51 {
 		t.Errorf("slow: %v ms left", n)
 	}
 	clock.Advance(200)
 	if status := <-slow; status != http.StatusOK {
 		t.Errorf("slow: %d", status)
 	}
-	set(fault.Order{Kind: fault.Outage})
+	set(fault.Spec{Kind: fault.Outage})
 	if status := <-fetch(t.Context(), s, "a"); status != http.StatusServiceUnavailable {
 		t.Errorf("outage: %d", status)
 	}
