--- a/magctl/diff.go
+++ b/magctl/diff.go
@@ -26,13 +26,13 @@
 	if !ok {
 		return code
 	}
-	old, faults, err := read(rest[0], nil)
+	old, faults, err := readConfig(rest[0], nil)
 	if err != nil || len(faults) > 0 {
-		return broken(f, out, err, faults)
+		return reportInvalid(f, out, err, faults)
 	}
-	next, faults, err := read(rest[1], old.Rosters)
+	next, faults, err := readConfig(rest[1], old.Rosters)
 	if err != nil || len(faults) > 0 {
-		return broken(f, out, err, faults)
+		return reportInvalid(f, out, err, faults)
 	}
 	changes := compare(old, next)
 	if *f.json {
@@ -55,18 +55,18 @@
 		changes = append(changes, change{"version", fmt.Sprint(next.Version),
 			fmt.Sprintf("is not above %d: no process will put it in force", old.Version)})
 	}
-	changes = append(changes, lists(old.Adapters, next.Adapters, func(a magno.Adapter) string { return a.Name }, adapterEffect)...)
-	changes = append(changes, lists(old.Profiles, next.Profiles, func(p magno.Profile) string { return p.Name }, profileEffect)...)
-	changes = append(changes, lists(old.Customers, next.Customers, func(b magno.Customer) string { return b.Name }, customerEffect)...)
-	changes = append(changes, lists(old.Pools, next.Pools, func(p magno.Pool) string { return p.Name }, poolEffect)...)
-	changes = append(changes, lists(old.Drained, next.Drained, func(d string) string { return d }, drainEffect)...)
-	changes = append(changes, lists(old.Rosters, next.Rosters, func(r magno.Roster) string { return fmt.Sprint(int64(r.Since)) }, rosterEffect)...)
+	changes = append(changes, diffRecords(old.Adapters, next.Adapters, func(a magno.Adapter) string { return a.Name }, adapterEffect)...)
+	changes = append(changes, diffRecords(old.Profiles, next.Profiles, func(p magno.Profile) string { return p.Name }, profileEffect)...)
+	changes = append(changes, diffRecords(old.Customers, next.Customers, func(b magno.Customer) string { return b.Name }, customerEffect)...)
+	changes = append(changes, diffRecords(old.Pools, next.Pools, func(p magno.Pool) string { return p.Name }, poolEffect)...)
+	changes = append(changes, diffRecords(old.Drained, next.Drained, func(d string) string { return d }, drainEffect)...)
+	changes = append(changes, diffRecords(old.Rosters, next.Rosters, func(r magno.Roster) string { return fmt.Sprint(int64(r.Since)) }, rosterEffect)...)
 	return changes
 }
 
 // lists compares two lists of records by name. effect gets nil for a record
 // that one of them lacks.
-func lists[T any](old, next []T, name func(T) string, effect func(before, after *T) change) []change {
+func diffRecords[T any](old, next []T, name func(T) string, effect func(before, after *T) change) []change {
 	before, after := map[string]*T{}, map[string]*T{}
 	names := map[string]bool{}
 	for i := range old {
@@ -85,7 +85,7 @@
 	var changes []change
 	for _, n := range sorted {
 		b, a := before[n], after[n]
-		if b != nil && a != nil && encoded(b) == encoded(a) {
+		if b != nil && a != nil && encodeJSON(b) == encodeJSON(a) {
 			continue
 		}
 		c := effect(b, a)
@@ -96,7 +96,7 @@
 }
 
 // verb names what happens to a record.
-func verb[T any](kind string, before, after *T) string {
+func action[T any](kind string, before, after *T) string {
 	switch {
 	case before == nil:
 		return "add " + kind
@@ -107,7 +107,7 @@
 }
 
 func adapterEffect(before, after *magno.Adapter) change {
-	c := change{What: verb("adapter", before, after)}
+	c := change{What: action("adapter", before, after)}
 	switch {
 	case before == nil:
 		c.Effect = "is loaded on an upstream when a request first needs it"
@@ -120,7 +120,7 @@
 }
 
 func profileEffect(before, after *magno.Profile) change {
-	c := change{What: verb("profile", before, after)}
+	c := change{What: action("profile", before, after)}
 	switch {
 	case before == nil:
 		c.Effect = fmt.Sprintf("requests run on %s@%s in pool %s", after.Adapter, after.Version, after.Pool)
@@ -138,7 +138,7 @@
 }
 
 func customerEffect(before, after *magno.Customer) change {
-	c := change{What: verb("customer", before, after), Effect: "shares of engine time change at once"}
+	c := change{What: action("customer", before, after), Effect: "shares of engine time change at once"}
 	if before == nil || after == nil {
 		return c
 	}
@@ -146,23 +146,23 @@
 	if before.Weight != after.Weight {
 		effects = append(effects, fmt.Sprintf("weight %v becomes %v", before.Weight, after.Weight))
 	}
-	if n := fewer(after.Keys, before.Keys); n > 0 {
+	if n := countMissing(after.Keys, before.Keys); n > 0 {
 		effects = append(effects, fmt.Sprintf("%d new keys are accepted", n))
 	}
-	if n := fewer(before.Keys, after.Keys); n > 0 {
+	if n := countMissing(before.Keys, after.Keys); n > 0 {
 		effects = append(effects, fmt.Sprintf("%d keys are refused with kind credential", n))
 	}
-	if encoded(before.Limit) != encoded(after.Limit) {
-		effects = append(effects, fmt.Sprintf("limit %s becomes %s", encoded(before.Limit), encoded(after.Limit)))
+	if encodeJSON(before.Limit) != encodeJSON(after.Limit) {
+		effects = append(effects, fmt.Sprintf("limit %s becomes %s", encodeJSON(before.Limit), encodeJSON(after.Limit)))
 	}
 	c.Effect = strings.Join(effects, "; ")
 	return c
 }
 
 // fewer counts the keys of one list that the other lacks.
-func fewer(of, than []magno.Digest) (n int) {
-	for _, d := range of {
-		if !slices.Contains(than, d) {
+func countMissing(from, in []magno.Digest) (n int) {
+	for _, d := range from {
+		if !slices.Contains(in, d) {
 			n++
 		}
 	}
@@ -170,7 +170,7 @@
 }
 
 func poolEffect(before, after *magno.Pool) change {
-	return change{What: verb("pool", before, after), Effect: "load turns follow the new allowance"}
+	return change{What: action("pool", before, after), Effect: "load turns follow the new allowance"}
 }
 
 func drainEffect(before, _ *string) change {
@@ -181,7 +181,7 @@
 }
 
 func rosterEffect(before, after *magno.Roster) change {
-	c := change{What: verb("roster", before, after)}
+	c := change{What: action("roster", before, after)}
 	if after != nil {
 		c.Effect = fmt.Sprintf("keys from %d until %d are witnessed by %d instances", after.Since, after.Until, len(after.Members))
 	}
--- a/magctl/explain.go
+++ b/magctl/explain.go
@@ -29,28 +29,28 @@
 	if !ok {
 		return code
 	}
-	if _, err := peers.Load(*f.fleet, *f.list); err != nil {
+	if _, err := peers.Load(*f.fleet, *f.admins); err != nil {
 		return fail(err)
 	}
 	// Agents explain nothing, so their answers are no fault.
-	found, _, err := ask[explanation](ctx, f, "/v1/explain?profile="+url.QueryEscape(rest[0]))
+	explanations, _, err := queryAll[explanation](ctx, f, "/v1/explain?profile="+url.QueryEscape(rest[0]))
 	if err != nil {
 		return fail(err)
 	}
-	if len(found) == 0 {
+	if len(explanations) == 0 {
 		fmt.Fprintf(os.Stderr, "magctl: no entry knows profile %q\n", rest[0])
-		return exitFound
+		return exitFindings
 	}
 	if *f.json {
-		printJSON(out, found)
+		printJSON(out, explanations)
 		return exitOK
 	}
-	e := found[0]
+	e := explanations[0]
 	p := e.Profile
 	_, _ = fmt.Fprintf(out, "profile  %s  customer %s  pool %s  adapter %s@%s  urgency %d  repeat %t  retired %t\n",
 		p.Name, p.Customer, p.Pool, p.Adapter, p.Version, p.Urgency, p.Repeat, e.Retired)
-	for i, one := range found {
-		_, _ = fmt.Fprintf(out, "entry %d would try  %s\n", i, strings.Join(one.Order, ", "))
+	for i, entry := range explanations {
+		_, _ = fmt.Fprintf(out, "entry %d would try  %s\n", i, strings.Join(entry.Order, ", "))
 	}
 	if !p.Repeat {
 		_, _ = fmt.Fprintln(out, "its requests carry a key, whose home is asked first; the order above holds for none of them")
--- a/magctl/file.go
+++ b/magctl/file.go
@@ -13,7 +13,7 @@
 
 // read takes a configuration file, a magno.Config with its version, and
 // checks it with the daemons' own rules.
-func read(file string, old []magno.Roster) (*magno.Config, []*setup.Fault, error) {
+func readConfig(file string, old []magno.Roster) (*magno.Config, []*setup.Fault, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
 		return nil, nil, err
@@ -34,7 +34,7 @@
 }
 
 // encoded returns a value as JSON, for comparison.
-func encoded(value any) string {
+func encodeJSON(value any) string {
 	data, err := json.Marshal(value)
 	if err != nil {
 		return ""
--- a/magctl/flags.go
+++ b/magctl/flags.go
@@ -14,9 +14,9 @@
 
 // flags are those that commands about running processes share.
 type flags struct {
-	set         *flag.FlagSet
-	fleet, list *string
-	json        *bool
+	set           *flag.FlagSet
+	fleet, admins *string
+	json          *bool
 }
 
 func newFlags(name, usage string) *flags {
@@ -26,14 +26,14 @@
 		f.set.PrintDefaults()
 	}
 	f.fleet = f.set.String("fleet", os.Getenv("MAGNO_FLEET"), "`file` that lists the administration APIs; default $MAGNO_FLEET")
-	f.list = f.set.String("admin", "", "`addresses` of administration APIs, comma-separated, instead of -fleet")
+	f.admins = f.set.String("admin", "", "`addresses` of administration APIs, comma-separated, instead of -fleet")
 	f.json = f.set.Bool("json", false, "print JSON for scripts")
 	return f
 }
 
 // parse returns the arguments left after the flags; ok is false when the
 // command is to end with code.
-func (f *flags) parse(args []string, least, most int) (rest []string, code int, ok bool) {
+func (f *flags) parse(args []string, minArgs, maxArgs int) (rest []string, code int, ok bool) {
 	err := f.set.Parse(args)
 	if errors.Is(err, flag.ErrHelp) {
 		return nil, exitOK, false
@@ -41,7 +41,7 @@
 	if err != nil {
 		return nil, exitUsage, false
 	}
-	if n := f.set.NArg(); n < least || n > most {
+	if n := f.set.NArg(); n < minArgs || n > maxArgs {
 		f.set.Usage()
 		return nil, exitUsage, false
 	}
@@ -50,8 +50,8 @@
 
 // ask reads path of every process. The answers come back decoded in order;
 // missing names those that gave none.
-func ask[T any](ctx context.Context, f *flags, path string) (found []T, missing []string, err error) {
-	p, err := peers.Load(*f.fleet, *f.list)
+func queryAll[T any](ctx context.Context, f *flags, path string) (values []T, missing []string, err error) {
+	p, err := peers.Load(*f.fleet, *f.admins)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -64,18 +64,18 @@
 			missing = append(missing, fmt.Sprintf("%s: %v", a.Address, a.Err))
 			continue
 		}
-		found = append(found, value)
+		values = append(values, value)
 	}
-	return found, missing, nil
+	return values, missing, nil
 }
 
 // report prints who could not be asked and returns the exit code.
-func report(missing []string) int {
+func reportMissing(missing []string) int {
 	for _, m := range missing {
 		fmt.Fprintln(os.Stderr, "magctl: no answer from", m)
 	}
 	if len(missing) > 0 {
-		return exitMissing
+		return exitUnreachable
 	}
 	return exitOK
 }
--- a/magctl/key.go
+++ b/magctl/key.go
@@ -23,7 +23,7 @@
 	if _, code, ok := f.parse(args, 0, 0); !ok {
 		return code
 	}
-	key, err := givenKey(*path)
+	key, err := obtainKey(*path)
 	if err != nil {
 		return fail(err)
 	}
@@ -32,7 +32,7 @@
 }
 
 // givenKey is a new key, written to path, or the first line of standard input.
-func givenKey(path string) (string, error) {
+func obtainKey(path string) (string, error) {
 	if path != "" {
 		return newKey(path)
 	}
--- a/magctl/main.go
+++ b/magctl/main.go
@@ -12,10 +12,10 @@
 
 // Exit codes.
 const (
-	exitOK      = 0
-	exitFound   = 1 // faults in a file, a process not ready, nothing found
-	exitUsage   = 2
-	exitMissing = 3 // a process could not be asked
+	exitOK          = 0
+	exitFindings    = 1 // faults in a file, a process not ready, nothing found
+	exitUsage       = 2
+	exitUnreachable = 3 // a process could not be asked
 )
 
 // command is one subcommand.
@@ -47,11 +47,11 @@
 
 func run(ctx context.Context, args []string, out io.Writer) int {
 	if len(args) == 0 {
-		help(os.Stderr)
+		printHelp(os.Stderr)
 		return exitUsage
 	}
 	if args[0] == "help" || args[0] == "-help" || args[0] == "-h" {
-		help(out)
+		printHelp(out)
 		return exitOK
 	}
 	for _, c := range commands() {
@@ -63,7 +63,7 @@
 	return exitUsage
 }
 
-func help(w io.Writer) {
+func printHelp(w io.Writer) {
 	_, _ = fmt.Fprint(w, "usage: magctl COMMAND [flags]\n\n")
 	for _, c := range commands() {
 		_, _ = fmt.Fprintf(w, "  %-20s %s\n", c.usage, c.help)
--- a/magctl/pack.go
+++ b/magctl/pack.go
@@ -23,9 +23,9 @@
 	if *dir == "" {
 		return fail(fmt.Errorf("-out names no folder"))
 	}
-	cfg, faults, err := read(rest[0], nil)
+	cfg, faults, err := readConfig(rest[0], nil)
 	if err != nil || len(faults) > 0 {
-		return broken(f, out, err, faults)
+		return reportInvalid(f, out, err, faults)
 	}
 	values, err := pack.Pack(*cfg)
 	if err != nil {
@@ -50,9 +50,9 @@
 }
 
 // broken reports why a file can't be used.
-func broken(f *flags, out io.Writer, err error, faults []*setup.Fault) int {
+func reportInvalid(f *flags, out io.Writer, err error, faults []*setup.Fault) int {
 	if err != nil {
 		return fail(err)
 	}
-	return told(f, out, faults)
+	return printFaults(f, out, faults)
 }
--- a/magctl/peers/peers.go
+++ b/magctl/peers/peers.go
@@ -19,19 +19,19 @@
 
 // Limits of reading.
 const (
-	callLimit  = 3 * time.Second
-	answerMost = 16 << 20 // bytes
-	width      = 32       // processes read at once
+	requestTimeout   = 3 * time.Second
+	maxResponseBytes = 16 << 20 // bytes
+	maxConcurrent    = 32       // processes read at once
 )
 
 // Peers are the processes of a fleet.
-type Peers struct {
+type Fleet struct {
 	// Addresses are those of the administration APIs, IP and port.
 	Addresses []string
 }
 
 // Answer is what one process gave.
-type Answer struct {
+type Response struct {
 	Address string
 	// Body is set unless Err is.
 	Body []byte
@@ -40,9 +40,9 @@
 
 // Load reads a fleet file, {"admins": ["IP:PORT", ...]} in JSON with comments,
 // or takes a comma-separated list of addresses.
-func Load(file, list string) (*Peers, error) {
+func Load(file, list string) (*Fleet, error) {
 	if list != "" {
-		return &Peers{Addresses: strings.Split(list, ",")}, nil
+		return &Fleet{Addresses: strings.Split(list, ",")}, nil
 	}
 	if file == "" {
 		return nil, errors.New("neither -fleet nor -admin says which processes to ask")
@@ -55,7 +55,7 @@
 }
 
 // parse reads a fleet file's text.
-func parse(file string, data []byte) (*Peers, error) {
+func parse(file string, data []byte) (*Fleet, error) {
 	text, err := hujson.Standardize(bytes.Clone(data))
 	if err != nil {
 		return nil, errors.Wrap(err, file)
@@ -69,38 +69,38 @@
 	if len(f.Admins) == 0 {
 		return nil, errors.Newf("%s: admins: lists no process", file)
 	}
-	return &Peers{Addresses: f.Admins}, nil
+	return &Fleet{Addresses: f.Admins}, nil
 }
 
 // Get asks every process for path and returns the answers in the order of
 // Addresses.
-func (p *Peers) Get(ctx context.Context, path string) []Answer {
-	answers := make([]Answer, len(p.Addresses))
-	places := make(chan struct{}, width)
+func (f *Fleet) Get(ctx context.Context, path string) []Response {
+	responses := make([]Response, len(f.Addresses))
+	sem := make(chan struct{}, maxConcurrent)
 	var wg sync.WaitGroup
-	for i, address := range p.Addresses {
+	for i, address := range f.Addresses {
 		wg.Add(1)
-		places <- struct{}{}
+		sem <- struct{}{}
 		go func() {
 			defer wg.Done()
-			defer func() { <-places }()
+			defer func() { <-sem }()
 			body, err := get(ctx, "http://"+address+path)
-			answers[i] = Answer{Address: address, Body: body, Err: err}
+			responses[i] = Response{Address: address, Body: body, Err: err}
 		}()
 	}
 	wg.Wait()
-	return answers
+	return responses
 }
 
 func get(ctx context.Context, url string) ([]byte, error) {
-	ctx, cancel := context.WithTimeout(ctx, callLimit)
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
-	answer, err := fetch.Get(ctx, http.DefaultClient, url, answerMost)
+	resp, err := fetch.Get(ctx, http.DefaultClient, url, maxResponseBytes)
 	if err == nil {
-		err = answer.OK()
+		err = resp.OK()
 	}
 	if err != nil {
 		return nil, err
 	}
-	return answer.Body, nil
+	return resp.Body, nil
 }
--- a/magctl/status.go
+++ b/magctl/status.go
@@ -14,7 +14,7 @@
 
 // state is what entries and agents tell of themselves; the fields that only
 // one role has are empty for the other.
-type state struct {
+type processState struct {
 	Name       string        `json:"name"`
 	Role       magno.Role    `json:"role"`
 	DataCentre string        `json:"dc"`
@@ -39,20 +39,20 @@
 	if _, code, ok := f.parse(args, 0, 0); !ok {
 		return code
 	}
-	states, missing, err := ask[state](ctx, f, "/v1/status")
+	states, missing, err := queryAll[processState](ctx, f, "/v1/status")
 	if err != nil {
 		return fail(err)
 	}
 	if *f.json {
 		printJSON(out, states)
-		return report(missing)
+		return reportMissing(missing)
 	}
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	_, _ = fmt.Fprintln(w, "NAME\tROLE\tDC\tPOOL\tSTATE\tCONFIG\tBUSY\tQUEUED\tWAIT ms\tHELD\tPINNED\tKEYS\tGRANTS\tSUSPECTS\tBACKLOG BY BUSINESS")
 	for _, s := range states {
 		_, _ = fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%s\n", s.Name, s.Role, s.DataCentre, s.Pool,
-			s.word(), s.Config.Version, s.Busy, s.Backlog.Queued, s.Backlog.Wait, len(s.Held), len(s.Pinned),
-			s.Keys, s.Grants, s.Suspects, customers(s.Backlog.Customer))
+			s.summary(), s.Config.Version, s.Busy, s.Backlog.Queued, s.Backlog.Wait, len(s.Held), len(s.Pinned),
+			s.Keys, s.Grants, s.Suspects, formatBacklog(s.Backlog.Customer))
 	}
 	_ = w.Flush()
 	for _, s := range states {
@@ -60,11 +60,11 @@
 			_, _ = fmt.Fprintf(out, "%s refused version %d: %s\n", s.Name, s.Config.Refused.Version, s.Config.Refused.Reason)
 		}
 	}
-	return report(missing)
+	return reportMissing(missing)
 }
 
 // word is the one thing to know of a process first.
-func (s state) word() string {
+func (s processState) summary() string {
 	switch {
 	case s.Drained:
 		return "drained"
@@ -78,7 +78,7 @@
 	return "ready"
 }
 
-func customers(tokens map[string]int) string {
+func formatBacklog(tokens map[string]int) string {
 	list := make([]string, 0, len(tokens))
 	for name, n := range tokens {
 		list = append(list, fmt.Sprintf("%s=%d", name, n))
--- a/magctl/trace.go
+++ b/magctl/trace.go
@@ -22,27 +22,27 @@
 	if len(rest) == 1 {
 		request = rest[0]
 	}
-	rings, missing, err := ask[[]event.Event](ctx, f, "/v1/events?after=0")
+	rings, missing, err := queryAll[[]event.Event](ctx, f, "/v1/events?after=0")
 	if err != nil {
 		return fail(err)
 	}
-	events := merge(rings, request)
+	events := mergeEvents(rings, request)
 	if *last > 0 && len(events) > *last {
 		events = events[len(events)-*last:]
 	}
 	if *f.json {
 		printJSON(out, events)
-		return report(missing)
+		return reportMissing(missing)
 	}
 	for _, e := range events {
 		at := time.UnixMilli(int64(e.Time)).UTC().Format("15:04:05.000")
 		_, _ = fmt.Fprintf(out, "%s %-10s %-9s %s %s\n", at, e.Process, e.Kind, e.Request, e.Text)
 	}
-	if code := report(missing); code != exitOK {
+	if code := reportMissing(missing); code != exitOK {
 		return code
 	}
 	if len(events) == 0 {
-		return exitFound
+		return exitFindings
 	}
 	return exitOK
 }
@@ -50,21 +50,21 @@
 // merge takes the earliest event of those that are next in their processes, so
 // that each process keeps its own order whatever its clock did. A request's
 // attempts carry its identifier with a suffix and belong to it.
-func merge(rings [][]event.Event, request string) []event.Event {
+func mergeEvents(rings [][]event.Event, request string) []event.Event {
 	all := []event.Event{}
 	next := make([]int, len(rings))
 	for {
-		first := -1
+		earliest := -1
 		for i, ring := range rings {
-			if next[i] < len(ring) && (first < 0 || ring[next[i]].Time < rings[first][next[first]].Time) {
-				first = i
+			if next[i] < len(ring) && (earliest < 0 || ring[next[i]].Time < rings[earliest][next[earliest]].Time) {
+				earliest = i
 			}
 		}
-		if first < 0 {
+		if earliest < 0 {
 			return all
 		}
-		e := rings[first][next[first]]
-		next[first]++
+		e := rings[earliest][next[earliest]]
+		next[earliest]++
 		if request == "" || e.Request == request || strings.HasPrefix(e.Request, request+".") {
 			all = append(all, e)
 		}
--- a/magctl/trace_test.go
+++ b/magctl/trace_test.go
@@ -18,7 +18,7 @@
 		}
 		return events
 	}
-	got := merge([][]event.Event{ring("a", 10, 30, 50), ring("b", 20, 5, 40)}, "")
+	got := mergeEvents([][]event.Event{ring("a", 10, 30, 50), ring("b", 20, 5, 40)}, "")
 	if len(got) != 6 {
 		t.Fatalf("%d events", len(got))
 	}
@@ -32,7 +32,7 @@
 	if got[0].Process != "a" || got[1].Process != "b" {
 		t.Errorf("the earliest come first: %+v", got)
 	}
-	if n := len(merge([][]event.Event{ring("a", 1)}, "other")); n != 0 {
+	if n := len(mergeEvents([][]event.Event{ring("a", 1)}, "other")); n != 0 {
 		t.Errorf("%d events of another request", n)
 	}
 }
--- a/magctl/wait.go
+++ b/magctl/wait.go
@@ -11,36 +11,36 @@
 )
 
 // waitLook is how often processes are asked.
-const waitLook = 100 * time.Millisecond
+const pollInterval = 100 * time.Millisecond
 
 // runWait waits until every process is ready.
 func runWait(ctx context.Context, args []string, _ io.Writer) int {
 	f := newFlags("wait", "wait [-for 30s]")
-	limit := f.set.Duration("for", 30*time.Second, "longest wait")
+	timeout := f.set.Duration("for", 30*time.Second, "longest wait")
 	if _, code, ok := f.parse(args, 0, 0); !ok {
 		return code
 	}
-	p, err := peers.Load(*f.fleet, *f.list)
+	p, err := peers.Load(*f.fleet, *f.admins)
 	if err != nil {
 		return fail(err)
 	}
-	ctx, cancel := context.WithTimeout(ctx, *limit)
+	ctx, cancel := context.WithTimeout(ctx, *timeout)
 	defer cancel()
 	for {
-		last := ""
+		notReady := ""
 		for _, a := range p.Get(ctx, "/ready") {
 			if a.Err != nil {
-				last = fmt.Sprintf("%s: %v", a.Address, a.Err)
+				notReady = fmt.Sprintf("%s: %v", a.Address, a.Err)
 			}
 		}
-		if last == "" {
+		if notReady == "" {
 			return exitOK
 		}
 		select {
 		case <-ctx.Done():
-			fmt.Fprintln(os.Stderr, "magctl: not ready:", last)
-			return exitFound
-		case <-time.After(waitLook):
+			fmt.Fprintln(os.Stderr, "magctl: not ready:", notReady)
+			return exitFindings
+		case <-time.After(pollInterval):
 		}
 	}
 }
