--- a/stand/engine/answer.go
+++ b/stand/engine/answer.go
@@ -11,13 +11,15 @@
 	"magnoliastall.example/stand/serve"
 )
 
-// statusGone is told to a caller whose request was cancelled.
+// statusClientClosedRequest answers a cancelled request. nginx uses the same
+// code for a client that closed its connection.
 const statusClientClosedRequest = 499
 
-// done ends a whole stream; a stream without it was cut.
+// streamEnd ends a complete stream; a stream without it was aborted.
 const streamEnd = "data: [DONE]\n\n"
 
-// choice, usage and answer are OpenAI's form of a completion.
+// choice, usage and completionResponse have the format of OpenAI's completions
+// API.
 type choice struct {
 	Index  int    `json:"index"`
 	Text   string `json:"text"`
@@ -28,7 +30,7 @@
 	Prompt     int `json:"prompt_tokens"`
 	Completion int `json:"completion_tokens"`
 	Total      int `json:"total_tokens"`
-	// Cached is the part of the prompt that the prefix cache spared.
+	// Cached is the number of prompt tokens found in the prefix cache.
 	Cached int `json:"cached_tokens"`
 }
 
@@ -41,7 +43,7 @@
 	Usage   *usage   `json:"usage,omitempty"`
 }
 
-// complete runs one request and answers it whole or as a stream.
+// complete runs one request and answers with one body or a stream.
 func (e *Engine) complete(c echo.Context) error {
 	data, err := serve.ReadBody(c, serve.MaxBodyBytes)
 	if err != nil {
@@ -62,14 +64,14 @@
 	return e.writeResponse(c, r)
 }
 
-// leave takes a request out whose caller has gone.
+// cancelIfActive cancels a request whose client disconnected.
 func (e *Engine) cancelIfActive(r *request) {
 	if r.state.Load() == stateActive {
 		e.cancelMatching(func(other *request) bool { return other == r })
 	}
 }
 
-// accept queues a request, or refuses it without running it.
+// submit queues a request, or rejects it without running it.
 func (e *Engine) submit(req completionRequest) (*request, error) {
 	failed := e.faults.Hit(fault.Fail, req.Prompt)
 	r := e.newRequest(req)
@@ -88,8 +90,8 @@
 	return r, nil
 }
 
-// newRun works out all that follows from the request alone, outside the lock
-// that the steps need.
+// newRequest computes everything that depends on the request alone. It runs
+// without mu, so that it does not delay steps.
 func (e *Engine) newRequest(req completionRequest) *request {
 	r := &request{
 		id: req.RequestID, model: req.Model, prompt: req.Prompt, hash: HashPrompt(req.Prompt),
@@ -100,7 +102,7 @@
 	return r
 }
 
-// refusal says why a request can't run; nil means that it can.
+// checkRequest returns why a request cannot run, or nil. The caller holds mu.
 func (e *Engine) checkRequest(req completionRequest, failed bool) error {
 	if failed {
 		return echo.NewHTTPError(http.StatusInternalServerError, "failed before running")
@@ -119,7 +121,7 @@
 	return nil
 }
 
-// whole answers with one body once every word is made.
+// writeResponse answers with one body once every output token is generated.
 func (e *Engine) writeResponse(c echo.Context, r *request) error {
 	for r.state.Load() == stateActive {
 		select {
@@ -139,8 +141,8 @@
 	return c.JSON(http.StatusOK, a)
 }
 
-// stream sends words as they are made. A cut or cancelled stream ends without
-// its last event.
+// streamResponse sends output tokens as they are generated. An aborted or
+// cancelled stream ends without its last event.
 func (e *Engine) streamResponse(c echo.Context, r *request) error {
 	w := c.Response()
 	w.Header().Set(echo.HeaderContentType, "text/event-stream")
@@ -187,7 +189,7 @@
 	return &usage{Prompt: r.tokens, Completion: r.outputTokens, Total: r.tokens + r.outputTokens, Cached: r.cached}
 }
 
-// send writes one event and flushes it.
+// writeEvent writes one server-sent event and flushes it.
 func writeEvent(w *echo.Response, a completionResponse) error {
 	data, err := json.Marshal(a)
 	if err != nil {
--- a/stand/engine/answer_test.go
+++ b/stand/engine/answer_test.go
@@ -38,10 +38,10 @@
 				t.Errorf("got %+v, want %q", a, text)
 			}
 			if n := len(strings.Fields(text)); n != tt.want {
-				t.Errorf("%d words", n)
+				t.Errorf("%d tokens", n)
 			}
 			if got, whole := s.stream(req); got != text || !whole {
-				t.Errorf("streamed %q, whole %v", got, whole)
+				t.Errorf("streamed %q, complete %v", got, whole)
 			}
 		})
 	}
@@ -55,7 +55,7 @@
 		}
 	}
 	if len(texts) != 9 {
-		t.Fatalf("%d texts of 9", len(texts))
+		t.Fatalf("%d different texts of 9", len(texts))
 	}
 }
 
@@ -87,8 +87,8 @@
 	}
 }
 
-// Hundreds of callers share one engine. A word that reached another's stream,
-// or one lost between step and handler, shows in the text.
+// Hundreds of concurrent callers share one engine. A token that reached the wrong
+// stream, or was lost between step and handler, changes the text.
 func TestManyStreams(t *testing.T) {
 	const callers = 300
 	s := startEngine(t, &Engine{LoadTime: 1, StepTime: 1, BatchSize: 64, AdapterSlots: 4})
@@ -101,7 +101,7 @@
 		wg.Go(func() {
 			req := completionRequest{Model: models[i%len(models)], Prompt: fmt.Sprintf("caller %d len=%d", i, 1+i%40), MaxTokens: 64}
 			if text, whole := s.stream(req); !whole || text != Expect(req.Model, req.Prompt, req.MaxTokens) {
-				t.Errorf("caller %d: whole %v, got %q", i, whole, text)
+				t.Errorf("caller %d: complete %v, got %q", i, whole, text)
 			}
 		})
 	}
@@ -109,7 +109,7 @@
 	c := s.Counts()
 	for _, r := range c.Runs {
 		if !r.Ended {
-			t.Errorf("not ended: %+v", r)
+			t.Errorf("run not ended: %+v", r)
 		}
 	}
 	if len(c.Runs) != callers || c.Refused != 0 {
@@ -117,8 +117,8 @@
 	}
 }
 
-// An outage is told at once and nothing is run, so the agent may send the work
-// elsewhere.
+// During an outage the engine must answer 503 without running anything, so that
+// the agent may retry on another engine.
 func TestOutage(t *testing.T) {
 	s := startEngine(t, &Engine{LoadTime: 1})
 	s.load("a@1", 0)
@@ -128,7 +128,7 @@
 	}
 	s.setFault(fault.Spec{Kind: fault.Clear})
 	if status, _ := s.post("/v1/completions", completionRequest{Model: "a@1", Prompt: "x"}); status != http.StatusOK {
-		t.Errorf("after it: %d", status)
+		t.Errorf("after the outage: status %d", status)
 	}
 	if c := s.Counts(); len(c.Runs) != 1 {
 		t.Errorf("runs %+v", c.Runs)
@@ -146,11 +146,11 @@
 		if c, err := parseCompletionRequest(data); err == nil {
 			n, _ := outputLength(c.Prompt, c.MaxTokens)
 			if n < 1 || n > c.MaxTokens || c.MaxTokens > maxOutputTokens || c.Model == "" || c.Priority < 0 {
-				t.Errorf("took %+v with length %d", c, n)
+				t.Errorf("accepted %+v with length %d", c, n)
 			}
 		}
 		if o, err := parseAdapterRequest(data); err == nil && !strings.Contains(o.Name, "@") {
-			t.Errorf("took %+v", o)
+			t.Errorf("accepted %+v", o)
 		}
 	})
 }
--- a/stand/engine/cache.go
+++ b/stand/engine/cache.go
@@ -10,7 +10,8 @@
 	"magnoliastall.example/magno"
 )
 
-// maxEvents bounds the ring of cache events; older ones are lost, as a gap.
+// maxEvents bounds the buffer of cache events. Older ones are dropped, which
+// readers see as a gap in Seq.
 const maxEvents = 4096
 
 // The kinds of cache event.
@@ -19,40 +20,40 @@
 	EventRemoved = "removed"
 )
 
-// Event tells that a prefix came into the cache or left it.
+// Event reports that a prefix was added to the cache or removed from it.
 type Event struct {
-	// Seq counts from 1 since boot; a gap means that events were lost.
+	// Seq counts from 1 at each boot; a gap means that events were lost.
 	Seq  int64  `json:"seq"`
 	Kind string `json:"kind"`
-	// Prefix is a hash of model and prompt start in hexadecimal.
+	// Prefix is the hash of the model and the start of the prompt, in hexadecimal.
 	Prefix string `json:"prefix"`
 	at     magno.Millis
 }
 
-// cache holds hashes of prompt prefixes, the least recently used going first.
+// cache is an LRU cache of the hashes of prompt prefixes.
 type cache struct {
 	block        int
 	eventDelay   magno.Millis
 	lossInterval int
 	seq          int64
 	now          magno.Millis
-	// events are in order of seq and at most maxEvents.
+	// events is ordered by Seq and has at most maxEvents entries.
 	events  []Event
 	entries *lru.Cache[uint64, struct{}]
 }
 
 func newCache(size, block int, eventDelay magno.Millis, lossInterval int) *cache {
 	c := &cache{block: block, eventDelay: eventDelay, lossInterval: lossInterval}
-	// The only error is a size under 1, which prepare rules out.
+	// The only error is a size below 1, which the settings and the default rule out.
 	c.entries, _ = lru.NewWithEvict(size, func(prefix uint64, _ struct{}) {
 		c.addEvent(EventRemoved, prefix)
 	})
 	return c
 }
 
-// prefixes returns the hash of each whole block's prefix and the number of
-// tokens in the prompt. The hashes are of one model: another adapter's keys
-// and values differ.
+// prefixes returns the hash of the prompt up to the end of each whole block, and
+// the number of tokens in the prompt. The hashes include the model, because the
+// keys and values of another adapter differ.
 func prefixes(model, prompt string, block int) ([]uint64, int) {
 	fields := strings.Fields(prompt)
 	var hashes []uint64
@@ -68,7 +69,7 @@
 	return hashes, len(fields)
 }
 
-// spared returns how many tokens of a prompt are cached.
+// cachedTokens returns how many tokens at the start of a prompt are cached.
 func (c *cache) cachedTokens(hashes []uint64) int {
 	n := 0
 	for _, h := range hashes {
@@ -80,7 +81,7 @@
 	return n
 }
 
-// store keeps the prefixes of a prompt that was read.
+// insert adds the prefixes of a prompt whose prefill has finished.
 func (c *cache) insert(now magno.Millis, hashes []uint64) {
 	c.now = now
 	for _, h := range hashes {
@@ -92,7 +93,7 @@
 	}
 }
 
-// tell records an event, or loses it while its number is used up.
+// addEvent records an event. A lost event still uses up its sequence number.
 func (c *cache) addEvent(kind string, prefix uint64) {
 	c.seq++
 	if c.lossInterval > 0 && c.seq%int64(c.lossInterval) == 0 {
@@ -104,7 +105,7 @@
 	c.events = append(c.events, Event{Seq: c.seq, Kind: kind, Prefix: strconv.FormatUint(prefix, 16), at: c.now})
 }
 
-// after returns the events over seq that show by now.
+// visibleEvents returns the events after seq that are visible at time now.
 func (c *cache) visibleEvents(seq int64, now magno.Millis) []Event {
 	visible := []Event{}
 	for _, ev := range c.events {
--- a/stand/engine/engine.go
+++ b/stand/engine/engine.go
@@ -1,14 +1,14 @@
-// Package engine is a stand-in of a model engine. It keeps an engine's books
-// (batch, steps, slots, prefix cache, fencing number) and none of its
-// arithmetic: its answer is a plain function of model and prompt, so a test
-// knows what each caller must get.
+// Package engine simulates a model engine with continuous batching. It models
+// the batch, steps, adapter slots, prefix cache and fencing token, but runs no
+// inference: the output depends only on model and prompt, so a test can compute
+// the expected answer of each caller.
 //
-//	POST /v1/completions --> waiting --admit--> running --step--> words --> caller
-//	                         by priority        at most Batch     one a step
-//	POST /v1/load_lora_adapter --> weight store --> slot
+//	POST /v1/completions --> waiting --admit--> running --step--> tokens --> caller
+//	                         by priority        at most BatchSize one per step
+//	POST /v1/load_lora_adapter --> weight store --> adapter slot
 //
-// One goroutine makes the steps; handlers wait for the words of their own
-// request. The words are worked out by the handler, so a step only counts.
+// One goroutine runs the steps; each handler waits for the output tokens of its
+// own request. Handlers build the text themselves, so a step only counts tokens.
 package engine
 
 import (
@@ -23,14 +23,14 @@
 	"magnoliastall.example/stand/past"
 )
 
-// Defaults of an engine.
+// Defaults of the fields of Engine.
 const (
 	DefaultBatchSize    = 32
-	DefaultTokenBudget  = 256 // a step's capacity: prompt and output tokens
+	DefaultTokenBudget  = 256 // prompt and output tokens per step
 	DefaultAdapterSlots = 8
-	DefaultQueueLimit   = 1024 // requests that wait; more are refused
+	DefaultQueueLimit   = 1024 // waiting requests; more are rejected
 	DefaultCacheSize    = 4096 // prefixes
-	DefaultBlockSize    = 16   // tokens; prefixes are cached in multiples of it
+	DefaultBlockSize    = 16   // tokens; prefixes are cached in whole blocks
 
 	DefaultStepTime    magno.Millis = 5
 	DefaultReportLag   magno.Millis = 200
@@ -39,41 +39,43 @@
 	DefaultLoadTime    magno.Millis = 100
 )
 
-// maxRuns bounds the record of runs, to some tens of megabytes; further ones
-// are counted as dropped.
+// maxRunRecords bounds the recorded runs to some tens of megabytes of memory.
+// Further runs are only counted, as dropped.
 const maxRunRecords = 1 << 18
 
-// Engine is a stand-in engine. Fields are set before Run and Handler; a zero
-// field takes its default.
+// Engine simulates a model engine. Fields must be set before Run and Handler are
+// called; a zero field takes its default.
 type Engine struct {
 	Title string
-	// Step is the time of a step in milliseconds.
+	// StepTime is the duration of a step in milliseconds.
 	StepTime magno.Millis
-	// Batch is the number of requests in a step, Tokens a step's capacity.
+	// BatchSize is the most requests in a step. TokenBudget is the most prompt
+	// and output tokens that a step processes.
 	BatchSize   int
 	TokenBudget int
-	// Slots is the number of adapters held at once.
+	// AdapterSlots is the number of adapters that can be loaded at once.
 	AdapterSlots int
-	// Queue is the number of requests that may wait.
+	// QueueLimit is the number of requests that may wait.
 	QueueLimit int
-	// Cache is the number of prefixes kept, Block their unit in tokens.
+	// CacheSize is the number of prefixes in the prefix cache. BlockSize is the
+	// number of tokens in a block; only whole blocks are cached.
 	CacheSize int
 	BlockSize int
-	// Lag is how old a report is; Late is how long a cache event takes to
-	// show. Each Gap-th event never shows; 0 loses none.
+	// ReportLag is the age of a report. EventDelay is the time until a cache
+	// event is visible. Every EventLossInterval-th event is lost; 0 loses none.
 	ReportLag         magno.Millis
 	EventDelay        magno.Millis
 	EventLossInterval int
-	// Restart is how long the engine is down after a crash.
+	// RestartTime is how long the engine is down after a crash.
 	RestartTime magno.Millis
-	// Store is the weight store's URL without a path. When it is empty, a
-	// load takes Load and can't fail.
+	// StoreURL is the URL of the weight store, without a path. When it is empty,
+	// a load takes LoadTime and cannot fail.
 	StoreURL string
-	// Load is what the report states as the time of a load at full speed.
+	// LoadTime is the full-speed load time that reports state.
 	LoadTime magno.Millis
-	// Client fetches from the store; nil means http.DefaultClient.
+	// Client fetches weights from the store; nil means http.DefaultClient.
 	Client *http.Client
-	// Ticks lets a test make each step; nil means one each Step.
+	// Ticks lets a test trigger each step; nil means one step per StepTime.
 	Ticks <-chan struct{}
 	Clock *magno.Clock
 
@@ -81,70 +83,72 @@
 	faults fault.Injector
 
 	mu sync.Mutex
-	// boot changes with each restart and is never reused.
+	// boot identifies an incarnation. It increases with each restart, so no value
+	// is reused.
 	boot int64
-	// upAt is when the engine answers again after a restart.
+	// upAt is the time from which the engine answers after a restart.
 	upAt magno.Millis
-	// fence is the highest number seen since boot.
+	// fence is the highest fencing token seen since boot.
 	fence int64
-	// slots maps adapter@version to its state. Its length is at most Slots.
+	// slots maps adapter@version to its state. It has at most AdapterSlots entries.
 	slots map[string]*slot
-	// names are the loaded adapters in order; the slice is replaced, never
-	// changed, for reports share it.
+	// loadedNames lists the loaded adapters, sorted. The slice is replaced and
+	// never modified, because reports share it.
 	loadedNames []string
-	// waiting is in order of priority, then arrival.
+	// waiting is ordered by priority, then arrival.
 	waiting []*request
-	// running holds at most Batch.
-	running    []*request
-	cache      *cache
-	reports    past.History[Report]
-	totalSteps stepCounts
-	// since counts from boot on, total from the start.
+	// running has at most BatchSize requests.
+	running []*request
+	cache   *cache
+	reports past.History[Report]
+	// totalSteps counts over all boots, stepsSinceBoot since the last one.
+	totalSteps     stepCounts
 	stepsSinceBoot stepCounts
 	runs           []*Run
-	// dropped counts runs over maxRuns; refused counts requests never run.
+	// dropped counts runs past maxRunRecords, refused requests that never ran.
 	dropped  int64
 	refused  int64
 	arrivals int64
-	// life ends with a restart or with Run; loads in progress hold it.
-	bootCtx    context.Context //nolint:containedctx // the life of a simulated process
+	// bootCtx ends with a restart or when Run returns; it cancels loads in progress.
+	bootCtx    context.Context //nolint:containedctx // lifetime of a simulated process
 	cancelBoot context.CancelFunc
-	// ended is true once Run is over: no step will be made for a request.
+	// ended is set when Run returns: later requests would wait for ever, as no
+	// further step runs.
 	ended bool
-	// passes counts calls of step, with or without work.
+	// stepCalls counts calls of step, with or without work.
 	stepCalls int64
-	// work wakes the step loop.
+	// workReady wakes the step loop.
 	workReady chan struct{}
 }
 
-// slot is one adapter in memory or on its way there.
+// slot is an adapter that is loaded or being loaded.
 type slot struct {
-	// loaded is true once requests may use it.
+	// loaded is set once requests may use the adapter.
 	loaded bool
-	// uses counts waiting and running requests; it is never unloaded over 0.
+	// refs counts waiting and running requests; an adapter is only unloaded at 0.
 	refs int
-	// done is closed when the load ends; err tells how, and is set before.
+	// done is closed when the load ends. err is its result and is set before.
 	done chan struct{}
 	err  error
-	// life is that of the process that loads it.
-	bootCtx context.Context //nolint:containedctx // the life of a simulated process
+	// bootCtx is the one of the boot that loads the adapter.
+	bootCtx context.Context //nolint:containedctx // lifetime of a simulated process
 }
 
-// tally counts steps.
+// stepCounts counts steps, their token budget and the tokens processed.
 type stepCounts struct {
 	steps, capacity, used int64
 }
 
-// Name returns the title, for the kernel.
+// Name implements magno.Duty.
 func (e *Engine) Name() string { return e.Title }
 
-// Fault carries out an order as POST /fault does.
+// Fault activates a fault, as POST /fault does.
 func (e *Engine) Fault(spec fault.Spec) error {
 	e.prepare()
 	return e.faults.Set(spec)
 }
 
-// prepare fills defaults and the first boot.
+// prepare sets defaults and starts the first boot.
 func (e *Engine) prepare() {
 	e.once.Do(func() {
 		e.StepTime = orDefault(e.StepTime, DefaultStepTime)
@@ -183,8 +187,8 @@
 	return v
 }
 
-// Run makes steps until ctx ends, then cuts what is in progress. An idle engine
-// makes none.
+// Run runs steps until ctx ends, then aborts all requests and loads. An idle
+// engine runs no steps.
 func (e *Engine) Run(ctx context.Context) error {
 	e.prepare()
 	defer e.shutdown()
@@ -200,13 +204,14 @@
 	}
 }
 
-// busy makes steps while there is work; it returns false when ctx ended.
+// runSteps runs steps while there is work. It returns false when ctx ended.
 func (e *Engine) runSteps(ctx context.Context) bool {
 	next := time.Now()
 	for {
 		next = next.Add(time.Duration(float64(e.StepTime.Span()) * e.faults.Slowdown("")))
 		if now := time.Now(); next.Before(now) {
-			// A machine that stalls makes fewer steps, not a burst of them.
+			// After a stall of the machine, skip the missed steps instead of
+			// running them in a burst.
 			next = now
 		}
 		if !e.waitStep(ctx, time.Until(next)) {
@@ -218,7 +223,7 @@
 	}
 }
 
-// tick waits for the next step.
+// waitStep waits until the next step is due. It returns false when ctx ended.
 func (e *Engine) waitStep(ctx context.Context, delay time.Duration) bool {
 	if e.Ticks != nil {
 		select {
@@ -238,7 +243,7 @@
 	}
 }
 
-// stop cuts every request and load when the engine ends.
+// shutdown aborts every request and load.
 func (e *Engine) shutdown() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -247,8 +252,8 @@
 	e.ended = true
 }
 
-// empty drops all that an engine holds in memory. The caller holds mu, or is
-// the only user.
+// reset clears all state that a restart of the process would lose. The caller
+// holds mu, or is the only user.
 func (e *Engine) reset() {
 	for _, s := range e.slots {
 		s.fail(errRestarted)
@@ -262,8 +267,8 @@
 	e.recordReport()
 }
 
-// restart cuts every request and empties the engine; it answers again after
-// down. The caller holds mu.
+// restart aborts every request and resets the engine, which is unavailable for
+// the time down. The caller holds mu.
 func (e *Engine) restart(down magno.Millis) {
 	for _, r := range slices.Concat(e.waiting, e.running) {
 		r.terminate(stateAborted)
@@ -276,7 +281,7 @@
 	e.reset()
 }
 
-// up tells whether the engine answers.
+// up reports whether the engine answers.
 func (e *Engine) up() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/stand/engine/help_test.go
+++ b/stand/engine/help_test.go
@@ -19,7 +19,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// served is an engine behind a server on loopback, with its steps running.
+// testEngine is a running engine behind an HTTP server on the loopback interface.
 type testEngine struct {
 	*Engine
 	t      *testing.T
@@ -46,8 +46,8 @@
 	return s
 }
 
-// post sends a body and returns status and answer; status 0 means that the
-// connection was cut.
+// post sends a body and returns the status and body of the response. Status 0
+// means that the connection was aborted.
 func (s *testEngine) post(path string, body any) (int, []byte) {
 	s.t.Helper()
 	return s.send(context.Background(), path, body)
@@ -86,7 +86,7 @@
 	return status
 }
 
-// stream returns the text of all events and whether the stream was whole.
+// stream returns the text of all events and whether the stream was complete.
 func (s *testEngine) stream(req completionRequest) (text string, whole bool) {
 	req.Stream = true
 	_, body := s.send(context.Background(), "/v1/completions", req)
@@ -107,7 +107,7 @@
 	return text, false
 }
 
-// until waits for a condition, far longer than it should take.
+// waitFor waits for a condition. The timeout is far longer than it should take.
 func waitFor(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(30 * time.Second); time.Now().Before(end); time.Sleep(time.Millisecond) {
@@ -115,7 +115,7 @@
 			return
 		}
 	}
-	t.Fatalf("waited in vain for: %s", what)
+	t.Fatalf("timed out waiting for %s", what)
 }
 
 func (s *testEngine) setFault(spec fault.Spec) {
@@ -125,14 +125,15 @@
 	}
 }
 
-// counted returns how many requests wait and run.
+// queueSizes returns the number of waiting and running requests.
 func (e *Engine) queueSizes() (waiting, running int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return len(e.waiting), len(e.running)
 }
 
-// ready returns an engine without server or step loop that holds names.
+// newLoadedEngine returns an engine without server or step loop that has the
+// adapters names loaded.
 func newLoadedEngine(e *Engine, names ...string) *Engine {
 	e.prepare()
 	for _, name := range names {
--- a/stand/engine/http.go
+++ b/stand/engine/http.go
@@ -15,14 +15,14 @@
 
 // Limits of a request.
 const (
-	maxOutputTokens     = 8192 // tokens
-	defaultOutputTokens = 16   // tokens when the request states none
+	maxOutputTokens     = 8192
+	defaultOutputTokens = 16 // when the request has no max_tokens
 	maxPriority         = 9
-	maxNameBytes        = 256 // bytes of a model's name or a request's id
+	maxNameBytes        = 256 // of a model name or a request ID
 )
 
-// completion is the body of POST /v1/completions. Keys that this engine does
-// not know are passed over, as clients send many.
+// completionRequest is the body of POST /v1/completions. Unknown keys are
+// ignored, because clients of the API send many optional ones.
 type completionRequest struct {
 	Model     string `json:"model"`
 	Prompt    string `json:"prompt"`
@@ -33,13 +33,13 @@
 	Fence     int64  `json:"fence"`
 }
 
-// order is the body of a load or unload.
+// adapterRequest is the body of a request to load or unload an adapter.
 type adapterRequest struct {
 	Name  string `json:"lora_name"`
 	Fence int64  `json:"fence"`
 }
 
-// parseCompletion reads and checks a request.
+// parseCompletionRequest decodes and validates a completion request.
 func parseCompletionRequest(data []byte) (completionRequest, error) {
 	var c completionRequest
 	if err := json.Unmarshal(data, &c); err != nil {
@@ -50,11 +50,11 @@
 	}
 	switch {
 	case c.Model == "" || len(c.Model) > maxNameBytes:
-		return c, fmt.Errorf("model: wants 1 to %d bytes", maxNameBytes)
+		return c, fmt.Errorf("model: must have 1 to %d bytes", maxNameBytes)
 	case len(c.RequestID) > maxNameBytes:
-		return c, fmt.Errorf("request_id: over %d bytes", maxNameBytes)
+		return c, fmt.Errorf("request_id: longer than %d bytes", maxNameBytes)
 	case strings.TrimSpace(c.Prompt) == "":
-		return c, fmt.Errorf("prompt: is empty")
+		return c, fmt.Errorf("prompt: must not be empty")
 	case c.MaxTokens < 1 || c.MaxTokens > maxOutputTokens:
 		return c, fmt.Errorf("max_tokens: %d is out of range 1 to %d", c.MaxTokens, maxOutputTokens)
 	case c.Priority < 0 || c.Priority > maxPriority:
@@ -63,7 +63,7 @@
 	return c, nil
 }
 
-// parseOrder reads and checks a load or unload.
+// parseAdapterRequest decodes and validates a request to load or unload.
 func parseAdapterRequest(data []byte) (adapterRequest, error) {
 	var req adapterRequest
 	if err := json.Unmarshal(data, &req); err != nil {
@@ -71,12 +71,12 @@
 	}
 	adapter, version, ok := strings.Cut(req.Name, "@")
 	if !ok || adapter == "" || version == "" || len(req.Name) > maxNameBytes {
-		return req, fmt.Errorf("lora_name: %q is not adapter@version", req.Name)
+		return req, fmt.Errorf("lora_name: %q does not have the form adapter@version", req.Name)
 	}
 	return req, nil
 }
 
-// Handler returns the routes of the engine.
+// Handler returns the engine's API.
 func (e *Engine) Handler() http.Handler {
 	e.prepare()
 	r := serve.NewRouter()
@@ -91,7 +91,7 @@
 	return r
 }
 
-// Admin returns the operators' routes.
+// Admin returns the administration API.
 func (e *Engine) Admin() http.Handler {
 	e.prepare()
 	r := serve.NewRouter()
@@ -102,8 +102,9 @@
 
 func (e *Engine) counts(c echo.Context) error { return c.JSON(http.StatusOK, e.Counts()) }
 
-// gate answers for an engine that is down: a restarting one drops the
-// connection as a dead process would, an outage answers 503.
+// checkAvailable is middleware that rejects calls while the engine is down: a
+// restarting engine drops the connection, as a dead process would, and an outage
+// is answered with 503.
 func (e *Engine) checkAvailable(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		if c.Path() == "/counts" {
@@ -136,7 +137,7 @@
 	}
 }
 
-// cancelCall is the body of POST /v1/cancel.
+// cancelRequest is the body of POST /v1/cancel.
 type cancelRequest struct {
 	RequestID string `json:"request_id"`
 }
--- a/stand/engine/load.go
+++ b/stand/engine/load.go
@@ -17,12 +17,12 @@
 	"magnoliastall.example/stand/wait"
 )
 
-// maxWeights is the most bytes read of an adapter's weights.
+// maxWeightBytes limits how much of the weights of an adapter is read.
 const maxWeightBytes = 1 << 20
 
-var errRestarted = errors.New("the engine restarted")
+var errRestarted = errors.New("engine restarted")
 
-// fail ends a load that is under way.
+// fail ends a load that is in progress.
 func (s *slot) fail(err error) {
 	if s.loaded || s.err != nil {
 		return
@@ -31,7 +31,7 @@
 	close(s.done)
 }
 
-// fenced refuses an order whose number is older than one seen before. The
+// checkFence rejects a fencing token that is lower than one seen before. The
 // caller holds mu.
 func (e *Engine) checkFence(fence int64) error {
 	if _, ignored := e.faults.Active(fault.IgnoreFence, ""); ignored {
@@ -44,16 +44,16 @@
 	return nil
 }
 
-// load puts an adapter into a slot and waits until it is there. A second order
-// for the same adapter waits for the first.
+// loadAdapter loads an adapter into a slot and waits until the load ends. A
+// second request for the same adapter waits for the first load.
 func (e *Engine) loadAdapter(ctx context.Context, req adapterRequest) error {
 	s, first, err := e.reserveSlot(req)
 	if err != nil {
 		return err
 	}
 	if first {
-		// The load goes on when the one who ordered it has gone: the slot is
-		// taken already, and a load cut short would leave it in doubt.
+		// The load continues when its caller disconnects: the slot is already
+		// reserved, and cancelling the load would leave its state unknown.
 		go e.fillSlot(s.bootCtx, req.Name, s)
 	}
 	select {
@@ -70,7 +70,7 @@
 	return nil
 }
 
-// reserve takes a slot; first is true when the caller has to fill it.
+// reserveSlot reserves a slot. first is true when the caller has to fill it.
 func (e *Engine) reserveSlot(req adapterRequest) (s *slot, first bool, err error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -88,13 +88,13 @@
 	return s, true, nil
 }
 
-// fetch fills a slot from the weight store and reports its end on s.done.
+// fillSlot loads a slot from the weight store and closes s.done at the end.
 func (e *Engine) fillSlot(ctx context.Context, name string, s *slot) {
 	err := e.fetchWeights(ctx, name)
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if s.err != nil {
-		// The engine restarted meanwhile; the slot is no longer ours.
+		// The engine restarted meanwhile and has dropped the slot.
 		return
 	}
 	if err != nil {
@@ -133,8 +133,8 @@
 	return nil
 }
 
-// unload takes an adapter out that nothing uses; one that isn't there is out
-// already.
+// unloadAdapter removes an unused adapter. Unloading an adapter that has no
+// slot succeeds.
 func (e *Engine) unloadAdapter(req adapterRequest) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/stand/engine/order_test.go
+++ b/stand/engine/order_test.go
@@ -14,8 +14,8 @@
 	"magnoliastall.example/stand/serve"
 )
 
-// held returns an engine whose steps are made by the test; each is over when
-// the function returns.
+// newSteppedEngine returns an engine and a function that runs one step and
+// returns when it has ended.
 func newSteppedEngine(t *testing.T, e *Engine) (*testEngine, func()) {
 	ticks := make(chan struct{})
 	e.Ticks = ticks
@@ -30,14 +30,14 @@
 		select {
 		case ticks <- struct{}{}:
 		case <-time.After(30 * time.Second):
-			t.Fatal("the engine waits for no step")
+			t.Fatal("the engine does not wait for a step")
 		}
 		waitFor(t, "the step", func() bool { return calls() > before })
 	}
 }
 
-// A request is sent to an engine that dropped its adapter or never had it. If
-// the engine ran it anyway, the user would get an answer by another adapter.
+// A request for an adapter that is not loaded must be rejected: running it would
+// answer with the wrong adapter.
 func TestNotLoadedNeverRuns(t *testing.T) {
 	s := startEngine(t, &Engine{LoadTime: 1})
 	s.load("a@1", 0)
@@ -51,8 +51,8 @@
 	}
 }
 
-// An agent evicts an adapter while a request waits or runs on it. The user
-// would get half an answer by one adapter and half by another.
+// An adapter must not be unloaded while a request waits or runs on it, or the
+// answer would mix the output of two adapters.
 func TestUnloadInUse(t *testing.T) {
 	s, step := newSteppedEngine(t, &Engine{LoadTime: 1, BatchSize: 1})
 	s.load("a@1", 0)
@@ -62,30 +62,31 @@
 	}
 	waitFor(t, "two waiting", func() bool { n, _ := s.queueSizes(); return n == 2 })
 	if status := s.unload("a@1", 0); status != http.StatusConflict {
-		t.Fatalf("while waiting: %d", status)
+		t.Fatalf("while a request waits: status %d", status)
 	}
 	step()
 	if _, n := s.queueSizes(); n != 1 {
 		t.Fatalf("%d running", n)
 	}
 	if status := s.unload("a@1", 0); status != http.StatusConflict {
-		t.Fatalf("while running: %d", status)
+		t.Fatalf("while a request runs: status %d", status)
 	}
 	for range 3 {
 		step()
 	}
 	wg.Wait()
 	if status := s.unload("a@1", 0); status != http.StatusOK {
-		t.Fatalf("after the last: %d", status)
+		t.Fatalf("after the last request: status %d", status)
 	}
 	if status, _ := s.post("/v1/completions", completionRequest{Model: "a@1", Prompt: "x"}); status != http.StatusNotFound {
-		t.Fatalf("unloaded adapter ran: %d", status)
+		t.Fatalf("request on an unloaded adapter: status %d", status)
 	}
 }
 
-// An agent is paused, its successor takes over, and the old one wakes and goes
-// on giving orders. An engine that checks refuses them; one that ignores the
-// number obeys, and adapters vanish under the successor's requests.
+// An agent is paused, its successor takes over, and the old agent resumes and
+// sends more requests. The engine must reject their lower fencing token. With the
+// ignorefence fault it accepts them, and adapters that the successor uses are
+// unloaded.
 func TestFence(t *testing.T) {
 	s := startEngine(t, &Engine{LoadTime: 1})
 	steps := []struct {
@@ -121,7 +122,8 @@
 	}
 }
 
-// store answers loads with a status and counts them; a load waits for go.
+// newStore starts a weight store that answers with status once proceed is closed.
+// It returns its URL and the number of loads.
 func newStore(t *testing.T, status int, proceed <-chan struct{}) (string, *atomic.Int64) {
 	var n atomic.Int64
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -136,9 +138,9 @@
 	return server.URL, &n
 }
 
-// Agents and a waking predecessor order the same load twice, all slots are
-// taken, or the store fails. Each must be told apart, or the agent would wait
-// for a load that never comes.
+// A second load of the same adapter waits for the first; a load without a free
+// slot is rejected. The agent needs different statuses for these cases, or it
+// would wait for a load that never ends.
 func TestLoads(t *testing.T) {
 	proceed := make(chan struct{})
 	url, n := newStore(t, http.StatusOK, proceed)
@@ -149,22 +151,22 @@
 	}
 	waitFor(t, "the load at the store", func() bool { return n.Load() == 1 })
 	if status := s.unload("a@1", 0); status != http.StatusConflict {
-		t.Fatalf("unloaded while it loads: %d", status)
+		t.Fatalf("unload during the load: status %d", status)
 	}
 	if status, _ := s.post("/v1/completions", completionRequest{Model: "a@1", Prompt: "x"}); status != http.StatusNotFound {
-		t.Errorf("ran while it loads: %d", status)
+		t.Errorf("request during the load: status %d", status)
 	}
 	if status := s.load("b@1", 0); status != http.StatusConflict {
-		t.Errorf("no slot: %d", status)
+		t.Errorf("load without a free slot: status %d", status)
 	}
 	close(proceed)
 	for range 2 {
 		if status := <-got; status != http.StatusOK {
-			t.Errorf("load: %d", status)
+			t.Errorf("load: status %d", status)
 		}
 	}
 	if n.Load() != 1 {
-		t.Errorf("%d loads at the store", n.Load())
+		t.Errorf("the store got %d loads, want 1", n.Load())
 	}
 }
 
@@ -174,15 +176,15 @@
 	url, _ := newStore(t, http.StatusServiceUnavailable, proceed)
 	s := startEngine(t, &Engine{AdapterSlots: 1, StoreURL: url, Client: &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}})
 	for range 2 {
-		// The second finds the slot free again.
+		// The failed load must have freed the slot.
 		if status := s.load("a@1", 0); status != http.StatusFailedDependency {
 			t.Fatalf("status %d", status)
 		}
 	}
 }
 
-// A load is under way when the engine restarts. The agent must not take the
-// late end of it for an adapter in a slot.
+// The engine restarts during a load. The load must be aborted, so that the agent
+// does not assume that the adapter is loaded.
 func TestRestartEndsLoad(t *testing.T) {
 	url, n := newStore(t, http.StatusOK, make(chan struct{}))
 	s := startEngine(t, &Engine{StoreURL: url, Client: &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}})
@@ -191,47 +193,47 @@
 	waitFor(t, "the load at the store", func() bool { return n.Load() == 1 })
 	s.setFault(fault.Spec{Kind: fault.Restart})
 	if status := <-got; status != 0 {
-		t.Fatalf("status %d, want a cut", status)
+		t.Fatalf("status %d, want an aborted connection", status)
 	}
 	if r := s.laggedReport(); len(r.Loaded) != 0 {
 		t.Fatalf("loaded %v", r.Loaded)
 	}
 }
 
-// An engine restarts empty: whoever trusts the report of before sends it work
-// for adapters that are gone. The boot number tells.
+// A restart unloads all adapters and resets the fencing token. The boot number
+// must change, so that agents discard reports of the boot before.
 func TestRestartClearsState(t *testing.T) {
 	s, step := newSteppedEngine(t, &Engine{LoadTime: 1})
 	s.load("a@1", 7)
 	before := s.laggedReport().Boot
-	cut := make(chan bool, 1)
+	aborted := make(chan bool, 1)
 	go func() {
 		_, whole := s.stream(completionRequest{Model: "a@1", Prompt: "x", MaxTokens: 100})
-		cut <- !whole
+		aborted <- !whole
 	}()
 	waitFor(t, "a waiting request", func() bool { n, _ := s.queueSizes(); return n == 1 })
 	step()
 	s.setFault(fault.Spec{Kind: fault.Restart})
-	if !<-cut {
-		t.Error("the stream ended as if whole")
+	if !<-aborted {
+		t.Error("the aborted stream looks complete")
 	}
 	r := s.laggedReport()
 	if r.Boot <= before || len(r.Loaded) != 0 || r.Steps != 0 || r.Running != 0 {
 		t.Errorf("report %+v", r)
 	}
 	if status, _ := s.post("/v1/completions", completionRequest{Model: "a@1", Prompt: "x"}); status != http.StatusNotFound {
-		t.Errorf("an adapter outlived the restart: %d", status)
+		t.Errorf("request after the restart: status %d", status)
 	}
 	if status := s.load("a@1", 1); status != http.StatusOK {
-		t.Errorf("the fence outlived the restart: %d", status)
+		t.Errorf("load with a lower fencing token after the restart: status %d", status)
 	}
 	if c := s.Counts(); len(c.Runs) != 1 || c.Runs[0].Ended {
 		t.Errorf("runs %+v", c.Runs)
 	}
 }
 
-// An engine is ended under its callers. Requests left waiting for steps that
-// nobody makes would hang until their callers give up.
+// An engine that stops must abort its requests: without further steps they would
+// hang until their callers time out.
 func TestShutdownAbortsRequests(t *testing.T) {
 	e := newLoadedEngine(&Engine{StepTime: 1}, "a@1")
 	ctx, cancel := context.WithCancel(t.Context())
@@ -243,28 +245,27 @@
 		t.Fatalf("ended with %v, request in state %d", err, r.state.Load())
 	}
 	if _, err := e.submit(completionRequest{Model: "a@1", Prompt: "x", MaxTokens: 1}); !errors.Is(err, serve.ErrAborted) {
-		t.Fatalf("after the end: %v", err)
+		t.Fatalf("submit after the end: %v", err)
 	}
 }
 
-// One request kills whatever runs it. Its neighbours' streams are cut with it,
-// and they must look cut, not finished.
+// A request crashes the engine. The other streams must look aborted, not complete.
 func TestCrash(t *testing.T) {
 	s := startEngine(t, &Engine{LoadTime: 1, StepTime: 1, RestartTime: 1})
 	s.load("a@1", 0)
 	before := s.laggedReport().Boot
 	s.setFault(fault.Spec{Kind: fault.Crash, Match: "poison"})
-	neighbour := make(chan bool, 1)
+	other := make(chan bool, 1)
 	go func() {
 		_, whole := s.stream(completionRequest{Model: "a@1", Prompt: "x", MaxTokens: maxOutputTokens})
-		neighbour <- whole
+		other <- whole
 	}()
-	waitFor(t, "the neighbour", func() bool { _, n := s.queueSizes(); return n == 1 })
+	waitFor(t, "the other request", func() bool { _, n := s.queueSizes(); return n == 1 })
 	if status, _ := s.post("/v1/completions", completionRequest{Model: "a@1", Prompt: "a poison pill"}); status != 0 {
-		t.Errorf("the crash was answered with %d", status)
+		t.Errorf("the crashing request got status %d", status)
 	}
-	if <-neighbour {
-		t.Error("the neighbour's stream ended as if whole")
+	if <-other {
+		t.Error("the other stream looks complete")
 	}
 	waitFor(t, "the engine to be up", s.up)
 	if r := s.laggedReport(); r.Boot <= before || len(r.Loaded) != 0 {
@@ -275,8 +276,8 @@
 	}
 }
 
-// The caller gives up, by a cancel or by going away. A place that stayed taken
-// would be lost until the words nobody reads are made.
+// A cancelled request, or one whose client disconnects, must free its place in the
+// batch at once and not only when all its tokens are generated.
 func TestCancelFreesBatchSlot(t *testing.T) {
 	tests := map[string]func(s *testEngine, drop context.CancelFunc){
 		"cancel":     func(s *testEngine, _ context.CancelFunc) { s.post("/v1/cancel", cancelRequest{RequestID: "one"}) },
@@ -303,18 +304,18 @@
 			waitFor(t, "the second", func() bool { n, _ := s.queueSizes(); return n == 1 })
 			end(s, drop)
 			if status := <-first; status == http.StatusOK {
-				t.Error("the first was answered")
+				t.Error("the cancelled request got status 200")
 			}
 			waitFor(t, "the place", func() bool { _, n := s.queueSizes(); return n == 0 })
 			step()
 			if status := <-second; status != http.StatusOK {
-				t.Errorf("the second: %d", status)
+				t.Errorf("the second request: status %d", status)
 			}
 			if c := s.Counts(); len(c.Runs) != 2 || c.Runs[0].Ended || !c.Runs[1].Ended {
 				t.Errorf("runs %+v", c.Runs)
 			}
 			if status := s.unload("a@1", 0); status != http.StatusOK {
-				t.Errorf("a use was left over: %d", status)
+				t.Errorf("unload: status %d, a reference is left", status)
 			}
 		})
 	}
--- a/stand/engine/report.go
+++ b/stand/engine/report.go
@@ -5,40 +5,43 @@
 	"magnoliastall.example/stand/fault"
 )
 
-// Report is what an engine tells of itself; it lags.
+// Report is the state that an engine reports, with a lag of ReportLag.
 type Report struct {
 	Boot   int64        `json:"boot"`
 	Slots  int          `json:"slots"`
 	Batch  int          `json:"batch"`
 	Tokens int          `json:"tokens"`
 	Step   magno.Millis `json:"step"`
-	// Load is the time of a load at full speed.
+	// Load is the duration of a load at full speed.
 	Load    magno.Millis `json:"load"`
 	Loaded  []string     `json:"loaded"`
 	Running int          `json:"running"`
 	Waiting int          `json:"waiting"`
-	// Steps, Capacity and Used count since Boot.
+	// Steps, Capacity and Used are totals since boot: steps, their token budget,
+	// and tokens processed.
 	Steps    int64 `json:"steps"`
 	Capacity int64 `json:"capacity"`
 	Used     int64 `json:"used"`
 }
 
-// Counts is the stand-in's own record over all boots, to check others by.
+// Counts is the engine's own record over all boots. Tests compare it with what
+// agents, entries and callers report.
 type Counts struct {
 	Runs     []Run `json:"runs"`
 	Steps    int64 `json:"steps"`
 	Capacity int64 `json:"capacity"`
 	Used     int64 `json:"used"`
-	// Refused counts requests that were never run.
+	// Refused counts requests that never ran.
 	Refused int64 `json:"refused"`
-	// Dropped counts runs that Runs has no room for.
+	// Dropped counts runs missing from Runs because the record was full.
 	Dropped int64 `json:"dropped"`
 }
 
-// noteParts is how many reports a lag is divided into.
+// reportsPerLag is how many reports are recorded per lag. It bounds the
+// history at high step rates.
 const reportsPerLag = 8
 
-// note records the present state for later reports. The caller holds mu.
+// recordReport records the current state for later reports. The caller holds mu.
 func (e *Engine) recordReport() {
 	now := e.Clock.Now()
 	last, ok := e.reports.LastTime()
@@ -58,8 +61,9 @@
 	}
 }
 
-// report returns the state of a while ago. A fresh boot tells its first state,
-// for a new process can't know what was before it.
+// laggedReport returns the state as of the lag ago. Shortly after a boot it
+// returns the first state of that boot, because a new process does not know the
+// state of the one before.
 func (e *Engine) laggedReport() Report {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/stand/engine/run.go
+++ b/stand/engine/run.go
@@ -8,53 +8,53 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// The states of a request; it ends in one of the last three.
+// The states of a request. All but the first are final.
 const (
 	stateActive    = int32(iota) // waiting or running
-	stateDone                    // every word is made
-	stateCancelled               // its caller gave it up
-	stateAborted                 // the engine went down under it
+	stateDone                    // every output token was generated
+	stateCancelled               // cancelled, or its client disconnected
+	stateAborted                 // the engine went down
 )
 
-// Run is the record of one request that entered a batch.
+// Run records one request that entered a batch.
 type Run struct {
 	ID    string `json:"request_id"`
 	Model string `json:"model"`
 	// Prompt is the hash of the prompt in hexadecimal.
 	Prompt string `json:"prompt"`
-	// Ended is true once every word was made.
+	// Ended is true once every output token was generated.
 	Ended bool `json:"ended"`
 }
 
-// run is a request that the engine has taken.
+// request is a request that the engine has accepted.
 type request struct {
 	id       string
 	model    string
 	prompt   string
 	hash     string // of the prompt
 	priority int
-	// order is the number of its arrival, created its time in seconds.
+	// arrival is the sequence number of its arrival, created the time in seconds.
 	arrival int64
 	created int64
-	// tokens is the prompt's length; fill is what of it is still to be read,
-	// and cached what the prefix cache spared.
+	// tokens is the length of the prompt, prefillLeft the number of tokens still
+	// to prefill, and cached the number found in the prefix cache.
 	tokens, prefillLeft, cached int
-	// want is the number of words to make.
+	// outputTokens is the number of tokens to generate.
 	outputTokens int
-	// finish is the reason told at the end.
+	// finish is the finish reason.
 	finish string
-	// prefixes are the hashes of the prompt's whole blocks.
+	// prefixes are the hashes of the prompt up to the end of each whole block.
 	prefixes []uint64
 	// record is nil until the request enters a batch.
 	record *Run
-	// made counts words and never exceeds want.
+	// generated counts output tokens and never exceeds outputTokens.
 	generated atomic.Int64
 	state     atomic.Int32
-	// wake tells the handler that made or state changed.
+	// wake notifies the handler that generated or state changed.
 	wake chan struct{}
 }
 
-// end moves an open request to its last state and wakes its handler.
+// terminate moves an active request to a final state and wakes its handler.
 func (r *request) terminate(state int32) {
 	r.state.CompareAndSwap(stateActive, state)
 	r.notify()
@@ -67,20 +67,21 @@
 	}
 }
 
-// Expect returns the whole answer to a prompt. Each word tells the model, a
-// hash of the prompt and its own place, so that a word of another answer, a
-// lost one and a doubled one all show.
+// Expect returns the complete output for a prompt. Each token contains the
+// model, a hash of the prompt and its index, so that tokens of another answer,
+// lost tokens and duplicate tokens can be detected.
 func Expect(model, prompt string, maxTokens int) string {
 	want, _ := outputLength(prompt, maxTokens)
 	return outputText(model, HashPrompt(prompt), 0, want)
 }
 
-// HashPrompt returns the hash under which /counts lists a prompt.
+// HashPrompt returns the hash that identifies a prompt in Run and Counts.
 func HashPrompt(prompt string) string {
 	return strconv.FormatUint(xxhash.Sum64String(prompt), 16)
 }
 
-// words returns the words from first to just before last.
+// outputText returns the output tokens with an index from first to last,
+// excluding last.
 func outputText(model, hash string, first, last int) string {
 	var b strings.Builder
 	for i := first; i < last; i++ {
@@ -96,8 +97,8 @@
 	return b.String()
 }
 
-// length returns how many words answer a prompt, and why they end: a prompt
-// with a word len=N is answered by N words at most.
+// outputLength returns the number of output tokens and the finish reason. A
+// prompt that contains the word len=N ends after N tokens if maxTokens allows.
 func outputLength(prompt string, maxTokens int) (int, string) {
 	const prefix = "len="
 	for _, word := range strings.Fields(prompt) {
--- a/stand/engine/step.go
+++ b/stand/engine/step.go
@@ -7,9 +7,10 @@
 	"magnoliastall.example/stand/fault"
 )
 
-// step makes one step and returns false when there was nothing to do. Running
-// requests make one word each, then what is left of the capacity reads
-// prompts; both in order of priority, so a full step takes from the last.
+// step runs one step and returns false when there was nothing to do. Each
+// running request that has finished its prefill generates one token; the rest of
+// the token budget goes to prefill. Both follow the order of priority, so when
+// the budget is short, the requests of lowest priority get less.
 func (e *Engine) step() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -44,8 +45,8 @@
 	t.used += int64(used)
 }
 
-// admit moves waiting requests into the batch; true means that one of them
-// crashes the engine. It had entered the batch, so it counts as run.
+// admit moves waiting requests into the batch. It returns true when one of them
+// crashes the engine; that request is recorded as run, as it entered the batch.
 func (e *Engine) admit() bool {
 	n := min(e.BatchSize-len(e.running), len(e.waiting))
 	if n <= 0 {
@@ -65,7 +66,7 @@
 	return crash
 }
 
-// record notes that a request runs.
+// recordRun records that a request entered the batch.
 func (e *Engine) recordRun(r *request) {
 	r.record = &Run{ID: r.id, Model: r.model, Prompt: r.hash}
 	if len(e.runs) >= maxRunRecords {
@@ -75,8 +76,8 @@
 	e.runs = append(e.runs, r.record)
 }
 
-// read reads at most left tokens of a prompt and returns how many. Reading the
-// last of them gives the first word.
+// prefill processes at most budget tokens of a prompt and returns how many. The
+// last prompt token also yields the first output token.
 func (e *Engine) prefill(r *request, budget int) int {
 	if r.prefillLeft == 0 || budget <= 0 {
 		return 0
@@ -90,7 +91,8 @@
 	return n
 }
 
-// finish takes whole answers out of the batch and wakes the handlers.
+// finishCompleted removes completed requests from the batch and wakes all
+// handlers.
 func (e *Engine) finishCompleted() {
 	unfinished := e.running[:0]
 	for _, r := range e.running {
@@ -107,7 +109,7 @@
 	e.running = unfinished
 }
 
-// before orders requests by priority, then arrival.
+// precedes orders requests by priority, then arrival.
 func precedes(a, b *request) bool {
 	if a.priority != b.priority {
 		return a.priority > b.priority
@@ -115,14 +117,15 @@
 	return a.arrival < b.arrival
 }
 
-// release ends one use of an adapter.
+// releaseAdapter drops one reference to an adapter.
 func (e *Engine) releaseAdapter(model string) {
 	if s := e.slots[model]; s != nil && s.refs > 0 {
 		s.refs--
 	}
 }
 
-// queue takes a request among those that wait.
+// enqueue inserts a request into the waiting queue and takes a reference to its
+// adapter.
 func (e *Engine) enqueue(r *request) {
 	at := sort.Search(len(e.waiting), func(i int) bool { return precedes(r, e.waiting[i]) })
 	e.waiting = slices.Insert(e.waiting, at, r)
@@ -133,7 +136,7 @@
 	}
 }
 
-// remove ends the requests that match and returns how many.
+// cancelMatching cancels the requests that match and returns how many.
 func (e *Engine) cancelMatching(match func(*request) bool) int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/stand/engine/step_test.go
+++ b/stand/engine/step_test.go
@@ -10,7 +10,7 @@
 	"magnoliastall.example/stand/fault"
 )
 
-// take queues a request or fails the test.
+// mustSubmit queues a request or fails the test.
 func mustSubmit(t testing.TB, e *Engine, req completionRequest) *request {
 	t.Helper()
 	if req.MaxTokens == 0 {
@@ -29,7 +29,7 @@
 		batch, tokens int
 		prompts       []int // tokens of each request's prompt
 		output        int
-		// made is each request's words after each step.
+		// made is the number of output tokens of each request after each step.
 		made [][]int64
 		used int64
 	}{
@@ -53,11 +53,11 @@
 					got = append(got, r.generated.Load())
 				}
 				if !reflect.DeepEqual(got, want) {
-					t.Fatalf("step %d: words %v, want %v", i+1, got, want)
+					t.Fatalf("step %d: generated %v, want %v", i+1, got, want)
 				}
 			}
 			if e.step() {
-				t.Error("an idle engine made a step")
+				t.Error("an idle engine ran a step")
 			}
 			c := e.Counts()
 			if c.Steps != int64(len(tt.made)) || c.Capacity != c.Steps*int64(tt.tokens) || c.Used != tt.used {
@@ -89,7 +89,7 @@
 		mustSubmit(t, e, completionRequest{Model: "a@1", Prompt: "x"})
 	}
 	if _, err := e.submit(completionRequest{Model: "a@1", Prompt: "x", MaxTokens: 1}); err == nil {
-		t.Fatal("a third was taken")
+		t.Fatal("a third request was accepted")
 	}
 	if c := e.Counts(); c.Refused != 1 {
 		t.Fatalf("counts %+v", c)
@@ -117,13 +117,13 @@
 			t.Errorf("%s: %d tokens cached, want %d", tt.name, r.cached, tt.cached)
 		}
 		if n := e.cache.entries.Len(); n > 4 {
-			t.Errorf("%s: %d prefixes kept", tt.name, n)
+			t.Errorf("%s: %d prefixes cached", tt.name, n)
 		}
 	}
 }
 
-// Cache events come late and some never do. Whoever counts on each of them
-// would believe in prefixes that are long gone.
+// Cache events are delayed and some are lost. Readers must see the loss as a gap in
+// Seq, or they would keep counting on evicted prefixes.
 func TestCacheEvents(t *testing.T) {
 	clock := magno.NewClock(1000)
 	e := newLoadedEngine(&Engine{BlockSize: 1, CacheSize: 2, EventDelay: 50, EventLossInterval: 3, Clock: clock}, "a@1")
@@ -136,7 +136,7 @@
 	for _, ev := range e.cache.visibleEvents(1, clock.Now()+50) {
 		got = append(got, fmt.Sprint(ev.Seq, ev.Kind))
 	}
-	// stored 1, stored 2, then 3 is lost, and the third prefix shows as 4.
+	// Events 1 and 2 store two prefixes, event 3 is lost, event 4 stores the third.
 	if want := []string{"2stored", "4stored"}; !reflect.DeepEqual(got, want) {
 		t.Fatalf("got %v, want %v", got, want)
 	}
@@ -165,8 +165,8 @@
 	}
 }
 
-// The share of a fault is kept without chance, so that counts are the same in
-// each run of a test.
+// Fault rates are applied without randomness, so that counts are the same in each
+// run of a test.
 func TestFailBeforeRun(t *testing.T) {
 	e := newLoadedEngine(&Engine{Clock: magno.NewClock(0)}, "a@1")
 	if err := e.Fault(fault.Spec{Kind: fault.Fail, Value: 0.25}); err != nil {
@@ -182,7 +182,7 @@
 	}
 }
 
-// BenchmarkStep is the cost of a step with a full batch.
+// BenchmarkStep measures a step with a full batch.
 func BenchmarkStep(b *testing.B) {
 	for _, n := range []int{1, 32, 256} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
