--- a/stand/fault/fault.go
+++ b/stand/fault/fault.go
@@ -1,7 +1,6 @@
-// Package fault holds the faults that are switched on at a stand-in. Each
-// stand-in asks it at the places where a real upstream or platform would fail;
-// without it, every stand-in would grow its own switches and a test could not
-// set them the same way.
+// Package fault injects faults into simulated services. Each service consults its
+// Injector wherever a real upstream or platform could fail, so that tests
+// activate faults of all services in the same way.
 package fault
 
 import (
@@ -19,58 +18,59 @@
 
 // The kinds of fault.
 const (
-	Outage      = "outage"      // every call is answered 503
-	Stale       = "stale"       // answers tell the state of Value ms ago
-	Lag         = "lag"         // reports and lists are Value ms behind
+	Outage      = "outage"      // every call is answered with 503
+	Stale       = "stale"       // reads return the state of Value ms ago
+	Lag         = "lag"         // reports and lists lag by Value ms
 	Slow        = "slow"        // work takes Value times as long
-	Fail        = "fail"        // a share Value of calls fails before it runs
-	Lost        = "lost"        // a share Value of calls runs and loses its answer
-	Crash       = "crash"       // requests that hold Match kill the upstream
-	Restart     = "restart"     // once: empty, with a new boot, after Value ms
-	IgnoreFence = "ignorefence" // orders with an old fencing number are obeyed
-	Clear       = "clear"       // ends every fault
+	Fail        = "fail"        // a fraction Value of calls fails before running
+	Lost        = "lost"        // a fraction Value of calls runs, but its answer is lost
+	Crash       = "crash"       // requests that contain Match crash the upstream
+	Restart     = "restart"     // once: the state is lost, down for Value ms, then a new boot
+	IgnoreFence = "ignorefence" // a lower fencing token is accepted
+	Clear       = "clear"       // deactivates all faults
 )
 
-// MaxBody is the most bytes of an order.
+// MaxBodyBytes limits the body of POST /fault.
 const MaxBodyBytes = 1 << 16
 
-// maxValue bounds a Value that is neither a share nor a time in the past.
+// maxValue limits a Value that is neither a fraction nor a time in the past.
 const maxValue = float64(magno.Hour)
 
-// Order switches one fault on.
+// Spec describes one fault to activate. It is the body of POST /fault.
 type Spec struct {
 	Kind string `json:"kind"`
-	// Value is in the unit of the kind; a share is 0 to 1.
+	// Value is in the unit of the kind; a fraction is 0 to 1.
 	Value float64 `json:"value,omitempty"`
-	// Match limits the fault to calls whose subject holds it: the prompt of
-	// an engine, the name and body of a plain call, the adapter@version of a
-	// load. Empty means every call.
+	// Match limits the fault to calls whose subject contains it. The subject is
+	// the prompt for an engine, the name and body for a plain call, and
+	// adapter@version for a load. Empty matches every call.
 	Match string `json:"match,omitempty"`
 }
 
-// State is the set of faults that are on. Its zero value has none.
+// Injector holds the active faults of one service. The zero value has none.
 type Injector struct {
-	// Kinds holds the kinds that the stand-in heeds, true where it heeds
-	// Match too. It is set before use. An order for anything else is refused:
-	// taken without effect, it would let a test pass that brings about
-	// nothing.
+	// Kinds has the kinds that the service supports; the value tells whether
+	// it supports Match too. It must be set before use. Any other spec is
+	// rejected: accepted without effect, it would let a test pass that injects
+	// no fault.
 	Kinds map[string]bool
-	// OnRestart is called for a restart order with the time that the
-	// stand-in stays down. It may be nil, and is set before use.
+	// OnRestart is called for the kind Restart with the time that the service
+	// stays down. It may be nil and must be set before use.
 	OnRestart func(down magno.Millis)
-	// OnChange is called after each order. It may be nil, and is set before
-	// use.
+	// OnChange is called after each spec is applied. It may be nil and must be
+	// set before use.
 	OnChange func()
 
 	mu sync.Mutex
-	// on maps a kind to its order; Restart and Clear are never in it.
+	// active maps a kind to its spec. It never contains Restart or Clear.
 	active map[string]Spec
-	// owed maps a kind with a share to the part of a call still to fail. It
-	// is under 1 between calls, so that a share is kept without chance.
+	// accumulated maps a kind to the sum of the fractions of its calls, less
+	// the calls hit. It is below 1 between calls. Counting in this way applies
+	// a fraction without randomness.
 	accumulated map[string]float64
 }
 
-// Parse reads an order and checks its kind and range.
+// Parse decodes a spec and validates its kind and range.
 func Parse(data []byte) (Spec, error) {
 	var spec Spec
 	if err := serve.DecodeStrict(data, &spec); err != nil {
@@ -89,7 +89,7 @@
 		highest = 1
 	case Crash:
 		if s.Match == "" {
-			return fmt.Errorf("match: a crash needs one")
+			return fmt.Errorf("match: required for kind crash")
 		}
 	default:
 		return fmt.Errorf("kind: %q is unknown", s.Kind)
@@ -100,17 +100,17 @@
 	return nil
 }
 
-// Set carries out an order.
+// Set applies a spec.
 func (s *Injector) Set(spec Spec) error {
 	if err := spec.validate(); err != nil {
 		return err
 	}
 	matches, known := s.Kinds[spec.Kind]
 	if !known && spec.Kind != Clear {
-		return fmt.Errorf("kind: %q is none of this stand-in", spec.Kind)
+		return fmt.Errorf("kind: %q is not supported by this service", spec.Kind)
 	}
 	if spec.Match != "" && !matches {
-		return fmt.Errorf("match: %q takes none here", spec.Kind)
+		return fmt.Errorf("match: not supported for kind %q", spec.Kind)
 	}
 	s.mu.Lock()
 	switch spec.Kind {
@@ -133,7 +133,7 @@
 	return nil
 }
 
-// On returns the value of a fault and whether it is on for subject.
+// Active returns the value of a fault and whether it is active for subject.
 func (s *Injector) Active(kind, subject string) (float64, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -141,9 +141,9 @@
 	return spec.Value, ok && strings.Contains(subject, spec.Match)
 }
 
-// Hit tells whether this call is among the share that a fault takes. A share
-// of a quarter takes each fourth call, so that a test counts the same each
-// time.
+// Hit reports whether this call is among the fraction of calls that a fault
+// affects. A fraction of 0.25 affects every fourth call, so that a test gets the
+// same counts on each run.
 func (s *Injector) Hit(kind, subject string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -160,7 +160,8 @@
 	return true
 }
 
-// Span returns the value of a fault in milliseconds, or usual when it is off.
+// Delay returns the value of a fault in milliseconds, or fallback when it is not
+// active.
 func (s *Injector) Delay(kind string, fallback magno.Millis) magno.Millis {
 	if value, ok := s.Active(kind, ""); ok {
 		return magno.Millis(value)
@@ -168,7 +169,7 @@
 	return fallback
 }
 
-// Factor returns how many times as long work on subject takes, at least 1.
+// Slowdown returns the factor by which work on subject takes longer, at least 1.
 func (s *Injector) Slowdown(subject string) float64 {
 	if value, ok := s.Active(Slow, subject); ok {
 		return max(value, 1)
@@ -176,7 +177,7 @@
 	return 1
 }
 
-// Register adds POST /fault to the operators' routes.
+// Register adds POST /fault to the administration API.
 func (s *Injector) Register(e *echo.Echo) {
 	e.POST("/fault", func(c echo.Context) error {
 		data, err := serve.ReadBody(c, MaxBodyBytes)
--- a/stand/fault/fault_test.go
+++ b/stand/fault/fault_test.go
@@ -7,7 +7,7 @@
 	"magnoliastall.example/magno"
 )
 
-// all heeds every kind and match.
+// allKinds supports every kind, with Match.
 var allKinds = map[string]bool{
 	Outage: true, Stale: true, Lag: true, Slow: true, Fail: true, Lost: true, Crash: true, Restart: true, IgnoreFence: true,
 }
@@ -38,8 +38,8 @@
 	}
 }
 
-// A test orders a fault that the stand-in doesn't know. Taken in silence, the
-// test would go on to prove nothing.
+// A fault that the service does not support must be rejected. Ignored, it would let
+// a test pass that injects no fault.
 func TestUnsupportedKind(t *testing.T) {
 	s := Injector{Kinds: map[string]bool{Slow: false, Fail: true}}
 	tests := []struct {
@@ -69,14 +69,14 @@
 		n := 0
 		for range calls {
 			if s.Hit(Fail, "y") {
-				t.Fatal("another subject was hit")
+				t.Fatal("a call that does not match was hit")
 			}
 			if s.Hit(Fail, "xx") {
 				n++
 			}
 		}
 		if want := share * calls; float64(n) < want-1 || float64(n) > want+1 {
-			t.Errorf("share %v: %d of %d", share, n, calls)
+			t.Errorf("fraction %v: %d of %d calls hit", share, n, calls)
 		}
 	}
 }
@@ -97,7 +97,7 @@
 		t.Fatal(err)
 	}
 	if s.Slowdown("any") != 1 || s.Delay(Lag, 5) != 5 {
-		t.Fatal("a fault outlived the clear")
+		t.Fatal("a fault is still active after clear")
 	}
 }
 
