--- a/stand/past/past_test.go
+++ b/stand/past/past_test.go
@@ -11,7 +11,7 @@
 func TestAt(t *testing.T) {
 	var l History[string]
 	if _, ok := l.At(5); ok {
-		t.Fatal("an empty log has a value")
+		t.Fatal("an empty history has a value")
 	}
 	l.Add(10, "a")
 	l.Add(20, "b")
@@ -27,8 +27,8 @@
 	}
 }
 
-// A log that runs for long must stay bounded and still answer like one that
-// keeps all, as far back as it promises.
+// A history with many values must stay bounded and, within its retention, still
+// return the same values as one that keeps everything.
 func TestPruned(t *testing.T) {
 	for _, pause := range []int64{1, 200, 2000} {
 		rnd := rand.New(rand.NewPCG(1, uint64(pause)))
@@ -50,7 +50,7 @@
 			}
 		}
 		if got, ok := l.At(0); !ok || !l.pruned || got == 0 {
-			t.Errorf("pause %d: beyond what is kept: %d %v", pause, got, ok)
+			t.Errorf("pause %d: before the oldest value: %d %v", pause, got, ok)
 		}
 	}
 }
--- a/stand/serve/serve.go
+++ b/stand/serve/serve.go
@@ -1,6 +1,6 @@
-// Package serve is the HTTP server that every stand-in stands behind, with
-// limits on header, body and time: a stand-in that a stuck client can exhaust
-// would fail tests for reasons of its own.
+// Package serve is the HTTP server of the simulated services. It limits headers,
+// bodies and times, because a stuck client that exhausts a simulated service would
+// fail tests that check something else.
 package serve
 
 import (
@@ -19,26 +19,26 @@
 
 // Limits of a server.
 const (
-	MaxHeaderBytes  = 16 << 10 // bytes
-	MaxBodyBytes    = 1 << 20  // bytes; values of the configuration service are the largest
+	MaxHeaderBytes  = 16 << 10
+	MaxBodyBytes    = 1 << 20 // values of the configuration service are the largest
 	headerTimeout   = 5 * time.Second
 	bodyTimeout     = 10 * time.Second
 	idleTimeout     = 2 * time.Minute
-	shutdownTimeout = time.Second // grace for calls in progress at the end
+	shutdownTimeout = time.Second // for calls in progress when the process stops
 )
 
 // Server serves one handler on one address.
 type Server struct {
-	// Title names the duty.
+	// Title is the name of the duty.
 	Title string
-	// Addr is IP:PORT; port 0 takes a free one.
+	// Addr is IP:PORT; port 0 selects a free one.
 	Addr    string
 	Handler http.Handler
 
 	listener net.Listener
 }
 
-// Listen binds the address and returns the one that was taken.
+// Listen binds the address and returns the actual one.
 func (s *Server) Listen() (string, error) {
 	listener, err := net.Listen("tcp", s.Addr) //nolint:noctx // bound once at start
 	if err != nil {
@@ -48,10 +48,10 @@
 	return listener.Addr().String(), nil
 }
 
-// Name returns the title.
+// Name implements magno.Duty.
 func (s *Server) Name() string { return s.Title }
 
-// Run serves until ctx ends; Listen comes before it.
+// Run serves until ctx ends. Listen must be called first.
 func (s *Server) Run(ctx context.Context) error {
 	server := &http.Server{
 		Handler:           s.Handler,
@@ -78,11 +78,11 @@
 	return nil
 }
 
-// ErrCut ends a call as a process that dies does: its connection ends without
-// an answer, and a stream without its end.
-var ErrAborted = errors.New("cut")
+// ErrAborted aborts a call as a dying process would: the connection closes without
+// an answer, or a stream without its last event.
+var ErrAborted = errors.New("connection aborted")
 
-// fault is the body of an error in the form of OpenAI's interface.
+// errorBody is the body of an error in the format of OpenAI's API.
 type errorBody struct {
 	Error struct {
 		Message string `json:"message"`
@@ -91,16 +91,16 @@
 	} `json:"error"`
 }
 
-// Routes returns an empty router whose errors have the form that clients of
-// language models expect, and say when to come back where that may help.
+// NewRouter returns an empty router. Its errors have the format of OpenAI's API,
+// and those with status 429 or 503 have a Retry-After header.
 func NewRouter() *echo.Echo {
 	e := echo.New()
 	e.HideBanner, e.HidePort = true, true
 	e.HTTPErrorHandler = func(err error, c echo.Context) {
 		if errors.Is(err, ErrAborted) || errors.Is(err, context.Canceled) {
-			// A call that ends with its process must not look answered: its
-			// caller would take an error for an upstream's own, or the end
-			// of a stream for a whole one.
+			// Abort the connection: an error response would look like the
+			// answer of a working upstream, and a stream that ends normally
+			// would look complete.
 			panic(http.ErrAbortHandler)
 		}
 		if c.Response().Committed {
@@ -122,8 +122,8 @@
 	return e
 }
 
-// Strict reads one JSON value and refuses keys that into doesn't have and text
-// behind it: operators' typing errors would otherwise pass without effect.
+// DecodeStrict decodes one JSON value. It rejects unknown keys and trailing data,
+// so that typing errors of operators are not silently ignored.
 func DecodeStrict(data []byte, into any) error {
 	dec := json.NewDecoder(bytes.NewReader(data))
 	dec.DisallowUnknownFields()
@@ -131,16 +131,17 @@
 		return fmt.Errorf("body: %w", err)
 	}
 	if _, err := dec.Token(); !errors.Is(err, io.EOF) {
-		return errors.New("body: goes on behind its end")
+		return errors.New("body: unexpected data after the JSON value")
 	}
 	return nil
 }
 
-// Body reads a body of at most limit bytes; a longer one is an error with
-// status 413. The time for it is limited here, and not for the connection:
-// there it would also end a stream that takes long.
+// ReadBody reads a body of at most limit bytes; a longer one is an error with
+// status 413. The read deadline is set here and not on the server, where it would
+// also end long streams.
 func ReadBody(c echo.Context, limit int64) ([]byte, error) {
-	// A handler that is called without a connection has no deadline to set.
+	// The deadline cannot be set when a test calls the handler without a
+	// connection; that error is ignored.
 	control := http.NewResponseController(c.Response())
 	_ = control.SetReadDeadline(time.Now().Add(bodyTimeout))
 	defer func() { _ = control.SetReadDeadline(time.Time{}) }()
--- a/stand/serve/serve_test.go
+++ b/stand/serve/serve_test.go
@@ -65,8 +65,8 @@
 	}
 }
 
-// A stand-in is ended while a long call is in progress. The process must not
-// hang on it, and the caller must not take the end for an answer.
+// The server stops during a long call. The process must not hang on the call, and
+// the caller must see an aborted connection and no answer.
 func TestStopEndsCalls(t *testing.T) {
 	begun := make(chan struct{})
 	r := NewRouter()
--- a/stand/wait/wait.go
+++ b/stand/wait/wait.go
@@ -1,4 +1,4 @@
-// Package wait waits by the project's clock, which may be driven by a test.
+// Package wait waits by a magno.Clock, which a test may advance.
 package wait
 
 import (
@@ -8,10 +8,11 @@
 	"magnoliastall.example/magno"
 )
 
-// look is how often a waiter looks at the clock: a driven one can't wake it.
+// pollInterval is how often a waiter reads the clock, because a clock that a test
+// advances does not wake it.
 const pollInterval = 2 * time.Millisecond
 
-// Until returns nil at the time t, or the error of ctx if that ends first.
+// Until waits until time t. It returns the error of ctx if that ends first.
 func Until(ctx context.Context, clock *magno.Clock, t magno.Millis) error {
 	for clock.Now() < t {
 		timer := time.NewTimer(pollInterval)
