--- a/stand/conf/conf.go
+++ b/stand/conf/conf.go
@@ -1,7 +1,7 @@
-// Package conf is a stand-in of the platform's configuration service. The
-// system reads and watches it and can write nothing; operators publish on a
-// handler of their own. Its rate is limited, a waiting watch counts as a call,
-// and it may be down or stale for long.
+// Package conf simulates the configuration service of the platform. The system can
+// only read and watch values; operators publish them on the administration API.
+// Calls are rate-limited, and a watch counts as a call. Faults make the service
+// unavailable or return stale values.
 package conf
 
 import (
@@ -20,22 +20,22 @@
 	"magnoliastall.example/stand/serve"
 )
 
-// Limits of a service.
+// Limits and defaults of a service.
 const (
-	DefaultRate   = 2000.0 // calls a second over all readers
+	DefaultRate   = 2000.0 // calls per second of all readers
 	MaxValueBytes = 1 << 20
-	MaxWait       = magno.Minute // a watch waits at most
-	maxKeyBytes   = 512          // bytes
-	// lookStale is how often a watch on a stale service looks whether a
+	MaxWait       = magno.Minute // longest wait of a watch
+	maxKeyBytes   = 512
+	// stalePollInterval is how often a watch on a stale service checks whether a
 	// change has become visible.
 	stalePollInterval = 20 * time.Millisecond
 )
 
-// Service is a stand-in configuration service. Fields are set before Run and
-// Handler; a zero field takes its default.
+// Service simulates a configuration service. Fields must be set before Run and
+// Handler are called; a zero field takes its default.
 type Service struct {
 	Title string
-	// Rate is how many calls a second are answered; more get 429.
+	// Rate is the limit of calls per second; more are answered with 429.
 	Rate  float64
 	Clock *magno.Clock
 
@@ -45,12 +45,12 @@
 	values  *values
 
 	mu sync.Mutex
-	// changed is closed and replaced when a value or a fault changes.
+	// changed is closed and replaced when a value or fault changes.
 	changed chan struct{}
 	counts  Counts
 }
 
-// Counts is the stand-in's own record.
+// Counts is the service's own record.
 type Counts struct {
 	Reads   int64 `json:"reads"`
 	Watches int64 `json:"watches"`
@@ -61,24 +61,24 @@
 	Revision int64 `json:"revision"`
 }
 
-// News answers a watch.
+// WatchResponse is the answer to a watch.
 type WatchResponse struct {
-	// Revision is to be watched after next.
+	// Revision is the one to pass as after in the next watch.
 	Revision int64 `json:"revision"`
-	// Keys changed since; empty when the wait ended without a change.
+	// Keys has the changed keys. It is empty when the wait timed out.
 	Keys []string `json:"keys"`
 }
 
-// Name returns the title, for the kernel.
+// Name implements magno.Duty.
 func (s *Service) Name() string { return s.Title }
 
-// Fault carries out an order as POST /fault does.
+// Fault activates a fault, as POST /fault does.
 func (s *Service) Fault(spec fault.Spec) error {
 	s.prepare()
 	return s.faults.Set(spec)
 }
 
-// Run ends with ctx; the service has no duty besides its handlers.
+// Run waits until ctx ends; all work is done by the handlers.
 func (s *Service) Run(ctx context.Context) error {
 	s.prepare()
 	<-ctx.Done()
@@ -98,7 +98,7 @@
 	})
 }
 
-// Handler returns the readers' routes.
+// Handler returns the API for readers.
 func (s *Service) Handler() http.Handler {
 	s.prepare()
 	r := serve.NewRouter()
@@ -107,7 +107,7 @@
 	return r
 }
 
-// Admin returns the operators' routes.
+// Admin returns the administration API.
 func (s *Service) Admin() http.Handler {
 	s.prepare()
 	r := serve.NewRouter()
@@ -127,7 +127,8 @@
 	return counts
 }
 
-// gate counts a reader's call against the rate and refuses it in an outage.
+// limitCalls is middleware that applies the rate limit to calls of readers and
+// rejects them during an outage.
 func (s *Service) limitCalls(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		if s.inOutage() {
@@ -155,7 +156,7 @@
 	add(&s.counts)
 }
 
-// wake lets every waiting watch look again.
+// wakeWatches makes every waiting watch check for changes again.
 func (s *Service) wakeWatches() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -163,7 +164,7 @@
 	s.changed = make(chan struct{})
 }
 
-// asOf is the time whose state readers are shown.
+// visibleTime returns the time as of which readers see the values.
 func (s *Service) visibleTime() magno.Millis {
 	return s.Clock.Now() - s.faults.Delay(fault.Stale, 0)
 }
@@ -172,10 +173,10 @@
 func (s *Service) Put(key string, value []byte) (int64, error) {
 	s.prepare()
 	if key == "" || len(key) > maxKeyBytes {
-		return 0, errors.New("key: wants 1 to " + strconv.Itoa(maxKeyBytes) + " bytes")
+		return 0, errors.New("key: must have 1 to " + strconv.Itoa(maxKeyBytes) + " bytes")
 	}
 	if len(value) > MaxValueBytes {
-		return 0, errors.New("value: over a megabyte")
+		return 0, errors.New("value: longer than 1 MiB")
 	}
 	s.mu.Lock()
 	revision := s.values.put(s.Clock.Now(), key, append([]byte(nil), value...))
--- a/stand/conf/conf_test.go
+++ b/stand/conf/conf_test.go
@@ -51,7 +51,7 @@
 	s := &Service{Clock: magno.NewClock(0)}
 	readers, operators := s.Handler(), s.Admin()
 	if status := put(readers, "/v1/value/index", []byte("x")); status != http.StatusMethodNotAllowed {
-		t.Errorf("a reader published: %d", status)
+		t.Errorf("PUT on the readers' API: status %d", status)
 	}
 	if status := put(operators, "/v1/value/shard/a/0", []byte("one")); status != http.StatusOK {
 		t.Errorf("publish: %d", status)
@@ -106,11 +106,11 @@
 		t.Fatal(err)
 	}
 	if resp := <-got; resp.Revision != 4 || !reflect.DeepEqual(resp.Keys, []string{"c"}) {
-		t.Errorf("woken with %+v", resp)
+		t.Errorf("the waiting watch got %+v", resp)
 	}
 }
 
-// waiting waits until n watches were begun.
+// waitWatches waits until n watches have started.
 func waitWatches(t *testing.T, s *Service, n int64) {
 	t.Helper()
 	for end := time.Now().Add(30 * time.Second); time.Now().Before(end); time.Sleep(time.Millisecond) {
@@ -118,12 +118,11 @@
 			return
 		}
 	}
-	t.Fatalf("never %d watches", n)
+	t.Fatalf("timed out waiting for %d watches", n)
 }
 
-// A whole fleet restarts and reads at once. Over the rate the service refuses
-// reads and watches alike, and a process that counted on it starts with
-// nothing.
+// A whole fleet restarts and reads at once. Over the rate the service rejects reads
+// and watches alike, so processes must be able to start without an answer.
 func TestRate(t *testing.T) {
 	clock := magno.NewClock(0)
 	s := &Service{Rate: 3, Clock: clock}
@@ -144,8 +143,8 @@
 	}
 }
 
-// The service answers, but with the state of some time ago. A process that
-// trusts it would take back a version that is already in force.
+// A stale service returns an earlier state. A process that trusts it would go back
+// from the active version to an older one.
 func TestStale(t *testing.T) {
 	clock := magno.NewClock(1000)
 	s := &Service{Clock: clock}
@@ -170,7 +169,7 @@
 	}
 	s.setFault(t, fault.Spec{Kind: fault.Stale, Value: 501})
 	if w := get(h, "/v1/value/index"); w.Code != http.StatusNotFound {
-		t.Errorf("before the first: %d", w.Code)
+		t.Errorf("before the first value: status %d", w.Code)
 	}
 	got := make(chan WatchResponse, 1)
 	go func() { got <- decodeWatch(t, get(h, "/v1/watch?after=1&wait=60000")) }()
@@ -181,8 +180,8 @@
 	}
 }
 
-// The service goes down while processes wait on it. Their watches end with an
-// error and not as if nothing had changed; publishing goes on.
+// An outage must end waiting watches with an error, not with an empty answer that
+// looks as if nothing had changed. Publishing still works.
 func TestOutage(t *testing.T) {
 	s := &Service{Clock: magno.NewClock(0)}
 	h := s.Handler()
@@ -191,28 +190,29 @@
 	waitWatches(t, s, 1)
 	s.setFault(t, fault.Spec{Kind: fault.Outage})
 	if status := <-got; status != http.StatusServiceUnavailable {
-		t.Errorf("the watch: %d", status)
+		t.Errorf("watch: status %d", status)
 	}
 	if w := get(h, "/v1/value/x"); w.Code != http.StatusServiceUnavailable {
-		t.Errorf("a read: %d", w.Code)
+		t.Errorf("read: status %d", w.Code)
 	}
 	if status := put(s.Admin(), "/v1/value/x", []byte("y")); status != http.StatusOK {
 		t.Errorf("publish: %d", status)
 	}
 	s.setFault(t, fault.Spec{Kind: fault.Clear})
 	if w := get(h, "/v1/value/x"); w.Body.String() != "y" {
-		t.Errorf("after it: %d %s", w.Code, w.Body)
+		t.Errorf("after the outage: %d %s", w.Code, w.Body)
 	}
 }
 
-// Who watches after a change that is no longer on record hears of every key.
+// A watch after a change that is no longer kept must return every key, or it would
+// miss changes.
 func TestOldWatchReturnsAllKeys(t *testing.T) {
 	v := newValues()
 	for i := range 3 * maxChanges {
 		v.put(magno.Millis(i), "k"+strconv.Itoa(i%3), nil)
 	}
 	if n := len(v.changes); n > 2*maxChanges {
-		t.Fatalf("%d changes kept", n)
+		t.Fatalf("%d changes are kept", n)
 	}
 	now := magno.Millis(3 * maxChanges)
 	for after, want := range map[int64]int{0: 3, v.revision - 1: 1, v.revision: 0} {
@@ -229,7 +229,7 @@
 	f.Fuzz(func(t *testing.T, after, wait string) {
 		call, err := parseWatch(after, wait)
 		if err == nil && (call.after < 0 || call.wait < 0 || call.wait > MaxWait) {
-			t.Errorf("took %+v", call)
+			t.Errorf("accepted %+v", call)
 		}
 	})
 }
--- a/stand/conf/values.go
+++ b/stand/conf/values.go
@@ -9,24 +9,24 @@
 	"magnoliastall.example/stand/past"
 )
 
-// maxChanges bounds the record of changes; who watches after an older one is
-// told every key.
+// maxChanges is the number of latest changes that are always kept. A watch after
+// an older change returns every key.
 const maxChanges = 1 << 16
 
-// change is one put.
+// change records one put.
 type change struct {
 	revision int64
 	at       magno.Millis
 	key      string
 }
 
-// values is every key with its past. It is not safe for concurrent use.
+// values holds every key with its history. It is not safe for concurrent use.
 type values struct {
 	// revision counts puts.
 	revision int64
 	byKey    map[string]*past.History[[]byte]
-	// changes are in order of revision without gaps, the last being the
-	// newest, so that a watch costs what changed and not what there is.
+	// changes is ordered by revision without gaps and ends with the latest, so
+	// that the cost of a watch depends on the number of changes and not of keys.
 	changes []change
 }
 
@@ -34,7 +34,7 @@
 	return &values{byKey: map[string]*past.History[[]byte]{}}
 }
 
-// put sets a key from now on and returns the new revision.
+// put sets a value from now on and returns the new revision.
 func (v *values) put(now magno.Millis, key string, value []byte) int64 {
 	if v.byKey[key] == nil {
 		v.byKey[key] = &past.History[[]byte]{}
@@ -56,7 +56,7 @@
 	return v.byKey[key].At(t)
 }
 
-// at returns the revision at time t.
+// revisionAt returns the revision at time t.
 func (v *values) revisionAt(t magno.Millis) int64 {
 	if n := v.countChanges(t); n > 0 {
 		return v.changes[n-1].revision
@@ -64,15 +64,16 @@
 	return v.baseRevision()
 }
 
-// shown returns how many of the changes were made by time t.
+// countChanges returns how many of the kept changes were made by time t.
 func (v *values) countChanges(t magno.Millis) int {
 	return sort.Search(len(v.changes), func(i int) bool { return v.changes[i].at > t })
 }
 
-// oldest returns the revision before the first change that is kept.
+// baseRevision returns the revision before the first change that is kept.
 func (v *values) baseRevision() int64 { return v.revision - int64(len(v.changes)) }
 
-// since returns the revision at time t and the keys put after another one.
+// changedSince returns the revision at time t and the keys that changed between
+// the revision after and that one.
 func (v *values) changedSince(t magno.Millis, after int64) (int64, []string) {
 	revision := v.revisionAt(t)
 	if revision <= after {
--- a/stand/conf/watch.go
+++ b/stand/conf/watch.go
@@ -11,13 +11,13 @@
 	"magnoliastall.example/stand/fault"
 )
 
-// watchCall is what a watch asks for.
+// watchParams are the parameters of a watch.
 type watchParams struct {
 	after int64
 	wait  magno.Millis
 }
 
-// parseWatch reads the parameters of a watch; a missing one counts as zero.
+// parseWatch parses the parameters of a watch; a missing one is zero.
 func parseWatch(after, wait string) (watchParams, error) {
 	var params watchParams
 	var err error
@@ -36,7 +36,7 @@
 	return params, nil
 }
 
-// watch answers once something changed after a revision, or the wait is over.
+// watch answers when a key has changed after a revision, or when the wait ends.
 func (s *Service) watch(c echo.Context) error {
 	params, err := parseWatch(c.QueryParam("after"), c.QueryParam("wait"))
 	if err != nil {
@@ -66,8 +66,8 @@
 	}
 }
 
-// pause is how long a watch sleeps at most: on a stale service a change shows
-// later than it is made, when nothing wakes the watch.
+// maxSleep returns how long a watch may sleep. On a stale service a change becomes
+// visible later than it is made, and nothing wakes the watch then.
 func (s *Service) maxSleep(remaining magno.Millis) time.Duration {
 	if _, stale := s.faults.Active(fault.Stale, ""); stale {
 		return min(remaining.Span(), stalePollInterval)
@@ -75,8 +75,8 @@
 	return remaining.Span()
 }
 
-// news returns what changed after a revision, and the channel that closes with
-// the next change.
+// changesAfter returns the changes after a revision, and a channel that is closed
+// at the next change.
 func (s *Service) changesAfter(after int64) (WatchResponse, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/stand/insts/insts.go
+++ b/stand/insts/insts.go
@@ -1,5 +1,5 @@
-// Package insts is a stand-in of the platform's list of instances. Readers see
-// what operators put some time later, as on a platform whose list lags.
+// Package insts simulates the instance list of the platform. Readers see a
+// published list after a lag, as on a real platform.
 package insts
 
 import (
@@ -16,18 +16,18 @@
 	"magnoliastall.example/stand/serve"
 )
 
-// Limits of a list.
+// Limits and defaults of a list.
 const (
 	DefaultLag   = magno.Second
-	MaxBodyBytes = 8 << 20 // bytes, for ten thousand instances and more
+	MaxBodyBytes = 8 << 20 // enough for more than ten thousand instances
 )
 
-// List is a stand-in instance list. Fields are set before Run and Handler; a
-// zero field takes its default.
+// List simulates an instance list. Fields must be set before Run and Handler are
+// called; a zero field takes its default.
 type List struct {
 	Title string
-	// Lag is how long a change takes to show, in milliseconds; less than 0
-	// means none.
+	// Lag is the time until a change is visible, in milliseconds; a negative
+	// value means none.
 	Lag   magno.Millis
 	Clock *magno.Clock
 
@@ -35,27 +35,27 @@
 	faults fault.Injector
 
 	mu sync.Mutex
-	// revision counts puts.
+	// revision counts the lists published.
 	revision int64
 	history  past.History[State]
 }
 
-// State is the list at one time.
+// State is the list at a point in time.
 type State struct {
 	Revision  int64            `json:"revision"`
 	Instances []magno.Instance `json:"instances"`
 }
 
-// Name returns the title, for the kernel.
+// Name implements magno.Duty.
 func (l *List) Name() string { return l.Title }
 
-// Fault carries out an order as POST /fault does.
+// Fault activates a fault, as POST /fault does.
 func (l *List) Fault(spec fault.Spec) error {
 	l.prepare()
 	return l.faults.Set(spec)
 }
 
-// Run ends with ctx; the list has no duty besides its handlers.
+// Run waits until ctx ends; all work is done by the handlers.
 func (l *List) Run(ctx context.Context) error {
 	l.prepare()
 	<-ctx.Done()
@@ -72,7 +72,7 @@
 	})
 }
 
-// Handler returns the readers' routes.
+// Handler returns the API for readers.
 func (l *List) Handler() http.Handler {
 	l.prepare()
 	r := serve.NewRouter()
@@ -80,7 +80,7 @@
 	return r
 }
 
-// Admin returns the operators' routes.
+// Admin returns the administration API.
 func (l *List) Admin() http.Handler {
 	l.prepare()
 	r := serve.NewRouter()
@@ -89,8 +89,8 @@
 	return r
 }
 
-// Put replaces the list. The first put shows at once: a platform that has
-// just been built has nothing older to tell.
+// Put replaces the list and returns its revision. The first list is visible at
+// once, because there is no older one to return.
 func (l *List) Put(instances []magno.Instance) int64 {
 	l.prepare()
 	l.mu.Lock()
@@ -117,7 +117,8 @@
 	return c.JSON(http.StatusOK, state)
 }
 
-// parse reads a list in the form that readers get; its revision is ignored.
+// parse decodes and validates a list in the format that readers get. Its revision
+// is ignored.
 func parse(data []byte) ([]magno.Instance, error) {
 	var state State
 	if err := serve.DecodeStrict(data, &state); err != nil {
@@ -127,7 +128,7 @@
 	for i, in := range state.Instances {
 		switch {
 		case in.Name == "" || seen[in.Name]:
-			return nil, fmt.Errorf("instances[%d].name: %q is empty or twice there", i, in.Name)
+			return nil, fmt.Errorf("instances[%d].name: %q is empty or a duplicate", i, in.Name)
 		case in.State != magno.InstanceLive && in.State != magno.InstanceLeaving:
 			return nil, fmt.Errorf("instances[%d].state: %q is unknown", i, in.State)
 		}
--- a/stand/insts/insts_test.go
+++ b/stand/insts/insts_test.go
@@ -20,8 +20,8 @@
 	return w.Code, state
 }
 
-// The list tells late that an instance leaves. Until then, whoever goes by the
-// list alone sends it new work.
+// The list shows only after its lag that an instance is leaving. Until then, a
+// process that relies on the list alone sends it new work.
 func TestLag(t *testing.T) {
 	clock := magno.NewClock(1000)
 	l := &List{Lag: 300, Clock: clock}
@@ -31,7 +31,7 @@
 	live := `{"instances":[{"name":"a","role":"agent","dc":"x","address":"127.0.0.1:1","state":"live"}]}`
 	leaving := `{"instances":[{"name":"a","role":"agent","dc":"x","address":"127.0.0.1:1","state":"leaving"}]}`
 	if status, _ := call(l.Handler(), http.MethodPut, live); status != http.StatusMethodNotAllowed {
-		t.Errorf("a reader published: %d", status)
+		t.Errorf("PUT on the readers' API: status %d", status)
 	}
 	for _, body := range []string{live, leaving} {
 		if status, _ := call(l.Admin(), http.MethodPut, body); status != http.StatusOK {
@@ -94,7 +94,7 @@
 		}
 		for _, in := range instances {
 			if in.Name == "" {
-				t.Errorf("took a nameless instance of %q", data)
+				t.Errorf("accepted an instance without a name in %q", data)
 			}
 		}
 	})
--- a/stand/publ/publ.go
+++ b/stand/publ/publ.go
@@ -1,6 +1,6 @@
-// Package publ plays the platform's operators: it publishes a configuration
-// and an instance list on the stand-ins' operators' ports. The system itself
-// has no such thing, for it writes nothing.
+// Package publ is a client of the administration APIs of the simulated services.
+// It publishes configurations and instance lists, as operators of the platform do,
+// and activates faults. The system itself never writes to the platform.
 //
 //	Publisher --PUT shards, then index--> configuration service
 //	          --PUT instances-----------> instance list
@@ -21,17 +21,18 @@
 	"magnoliastall.example/magno/pack"
 )
 
-// callLimit bounds one call to a stand-in.
+// requestTimeout limits one request.
 const requestTimeout = 5 * time.Second
 
-// Publisher publishes files. Its fields are set before use.
+// Publisher publishes files. Its fields must be set before use.
 type Publisher struct {
-	// Conf and List are URLs of the operators' ports.
+	// ConfURL and ListURL are the URLs of the administration APIs of the
+	// configuration service and the instance list.
 	ConfURL string
 	ListURL string
 }
 
-// Config publishes the configuration in file, whole, and returns its version.
+// PublishConfig publishes the full configuration in file and returns its version.
 func (p *Publisher) PublishConfig(ctx context.Context, file string) (int64, error) {
 	cfg, err := ReadConfig(file)
 	if err != nil {
@@ -49,7 +50,7 @@
 	return cfg.Version, nil
 }
 
-// Read reads a configuration, JSON with comments.
+// ReadConfig reads a configuration in JSON with comments.
 func ReadConfig(file string) (*magno.Config, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
@@ -66,7 +67,7 @@
 	return cfg, nil
 }
 
-// Instances publishes the instance list in file.
+// PublishInstances publishes the instance list in file.
 func (p *Publisher) PublishInstances(ctx context.Context, file string) error {
 	data, err := os.ReadFile(file)
 	if err != nil {
@@ -75,7 +76,7 @@
 	return put(ctx, p.ListURL+"/v1/instances", data)
 }
 
-// Fault switches a fault on at the stand-in whose operators' port is at url.
+// SetFault sends a fault spec to the administration API at url.
 func SetFault(ctx context.Context, url string, spec []byte) error {
 	return send(ctx, http.MethodPost, url+"/fault", spec)
 }
--- a/stand/weight/weight.go
+++ b/stand/weight/weight.go
@@ -1,7 +1,6 @@
-// Package weight is a stand-in of the weight store, from which engines load
-// adapters. It allows so many loads a second and runs so many at once at full
-// speed; more share that speed, so that loading everything at once makes every
-// load slow.
+// Package weight simulates the weight store from which engines load adapters. It
+// limits the rate at which loads start, and the bandwidth: beyond FullSpeedLoads
+// concurrent loads, all share it, so that many loads at once are all slow.
 package weight
 
 import (
@@ -20,23 +19,23 @@
 	"magnoliastall.example/stand/wait"
 )
 
-// Defaults of a store: the smaller of the two deployments.
+// Defaults of a store: the limits of the smaller of the two deployments.
 const (
-	DefaultRate           = 2.0 // loads a second
+	DefaultRate           = 2.0 // loads per second
 	DefaultFullSpeedLoads = 1
 
 	DefaultLoadTime magno.Millis = 500
 )
 
-// Store is a stand-in weight store. Fields are set before Run and Handler; a
-// zero field takes its default.
+// Store simulates a weight store. Fields must be set before Run and Handler are
+// called; a zero field takes its default.
 type Store struct {
 	Title string
-	// Rate is how many loads a second may begin; more are answered 429.
+	// Rate is how many loads per second may start; more are answered with 429.
 	Rate float64
-	// Width is how many loads run at full speed at once.
+	// FullSpeedLoads is how many concurrent loads run at full speed.
 	FullSpeedLoads int
-	// Load is the time of a load at full speed in milliseconds.
+	// LoadTime is the duration of a load at full speed in milliseconds.
 	LoadTime magno.Millis
 	Clock    *magno.Clock
 
@@ -45,42 +44,42 @@
 	limiter *rate.Limiter
 
 	mu sync.Mutex
-	// active are the loads in progress; all go at the same speed.
+	// active has the loads in progress. All run at the same speed.
 	active map[*load]struct{}
-	// last is when active loads were last moved on.
+	// lastAdvance is when the progress of active loads was last updated.
 	lastAdvance magno.Millis
 	counts      Counts
 }
 
-// load is one load in progress.
+// load is a load in progress.
 type load struct {
-	// left is the time that it still takes at full speed, in milliseconds.
+	// remaining is the time that it still takes at full speed, in milliseconds.
 	remaining float64
-	// factor is how many times as long it takes by a fault.
+	// slowdown is the factor by which a fault makes it take longer.
 	slowdown float64
 }
 
-// Counts is the stand-in's own record.
+// Counts is the store's own record. Tests compare it with what engines report.
 type Counts struct {
-	// Loads maps adapter@version to how often it was delivered.
+	// Loads maps adapter@version to the number of completed loads.
 	Loads map[string]int64 `json:"loads"`
-	// Refused counts calls over the rate, Failed those that a fault failed.
+	// Refused counts calls over the rate, Failed those that failed by a fault.
 	Refused int64 `json:"refused"`
 	Failed  int64 `json:"failed"`
-	// Most is how many loads ran at once at most.
+	// MaxConcurrent is the highest number of concurrent loads.
 	MaxConcurrent int `json:"most"`
 }
 
-// Name returns the title, for the kernel.
+// Name implements magno.Duty.
 func (s *Store) Name() string { return s.Title }
 
-// Fault carries out an order as POST /fault does.
+// Fault activates a fault, as POST /fault does.
 func (s *Store) Fault(spec fault.Spec) error {
 	s.prepare()
 	return s.faults.Set(spec)
 }
 
-// Run ends with ctx; the store has no duty besides its handlers.
+// Run waits until ctx ends; all work is done by the handlers.
 func (s *Store) Run(ctx context.Context) error {
 	s.prepare()
 	<-ctx.Done()
@@ -105,7 +104,7 @@
 	})
 }
 
-// Handler returns the routes of the store.
+// Handler returns the store's API.
 func (s *Store) Handler() http.Handler {
 	s.prepare()
 	r := serve.NewRouter()
@@ -114,7 +113,7 @@
 	return r
 }
 
-// Admin returns the operators' routes.
+// Admin returns the administration API.
 func (s *Store) Admin() http.Handler {
 	s.prepare()
 	r := serve.NewRouter()
@@ -138,7 +137,7 @@
 	return counts
 }
 
-// weights delivers one adapter after the time that its load takes.
+// serveWeights answers with the weights of an adapter after the load time.
 func (s *Store) serveWeights(c echo.Context) error {
 	name := c.Param("adapter") + "@" + c.Param("version")
 	if err := s.admit(name); err != nil {
@@ -153,7 +152,7 @@
 	return c.Blob(http.StatusOK, echo.MIMEOctetStream, []byte("weights of "+name))
 }
 
-// admit refuses a load that the store can't begin.
+// admit rejects a load that a fault fails or that exceeds the rate.
 func (s *Store) admit(name string) error {
 	_, out := s.faults.Active(fault.Outage, "")
 	failed := out || s.faults.Hit(fault.Fail, name)
@@ -181,8 +180,9 @@
 	return l
 }
 
-// deliver waits until a load has had its time. Its end moves when others come
-// and go, so it is looked at anew after each wait.
+// waitLoad waits until a load has ended. The time of its end changes whenever
+// another load starts or ends, so the remaining time is computed again each
+// millisecond.
 func (s *Store) waitLoad(ctx context.Context, l *load) error {
 	for {
 		s.mu.Lock()
@@ -198,7 +198,7 @@
 	}
 }
 
-// advance moves every active load on to the present. The caller holds mu.
+// advance updates the progress of all active loads. The caller holds mu.
 func (s *Store) advance() {
 	now := s.Clock.Now()
 	elapsed := float64(now - s.lastAdvance)
--- a/stand/weight/weight_test.go
+++ b/stand/weight/weight_test.go
@@ -15,7 +15,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// fetch asks for an adapter in the background; the channel gets the status.
+// fetch loads an adapter in the background and sends the status to the channel.
 func fetch(ctx context.Context, s *Store, name string) <-chan int {
 	got := make(chan int, 1)
 	handler := s.Handler()
@@ -33,7 +33,7 @@
 	return got
 }
 
-// active waits until n loads are in progress.
+// waitActive waits until n loads are in progress.
 func waitActive(t *testing.T, s *Store, n int) {
 	t.Helper()
 	for end := time.Now().Add(30 * time.Second); time.Now().Before(end); time.Sleep(time.Millisecond) {
@@ -44,10 +44,10 @@
 			return
 		}
 	}
-	t.Fatalf("never %d loads at once", n)
+	t.Fatalf("timed out waiting for %d concurrent loads", n)
 }
 
-// left returns what the slowest load still takes at full speed.
+// maxRemaining returns the longest remaining time of a load at full speed.
 func maxRemaining(s *Store) float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -59,8 +59,8 @@
 	return most
 }
 
-// A fleet that loads everything at once makes each load slow: over the width,
-// all share the speed.
+// Beyond FullSpeedLoads, concurrent loads share the bandwidth, so that a fleet that
+// loads many adapters at once makes all loads slow.
 func TestLoadsShareSpeed(t *testing.T) {
 	tests := []struct {
 		width, loads int
@@ -90,7 +90,7 @@
 	}
 }
 
-// A caller that gives up gives its share of the speed back.
+// A cancelled load must free its share of the bandwidth.
 func TestCancelGivesSpeedBack(t *testing.T) {
 	clock := magno.NewClock(1000)
 	s := &Store{Rate: 100, FullSpeedLoads: 1, LoadTime: 1000, Clock: clock}
@@ -109,8 +109,8 @@
 	}
 }
 
-// Over the rate the store refuses, and each refusal costs an engine's slot a
-// wait; the allowance comes back with time.
+// Loads over the rate are rejected; the allowance refills with time. Each rejection
+// delays an engine that has reserved a slot.
 func TestRate(t *testing.T) {
 	clock := magno.NewClock(1000)
 	s := &Store{Rate: 2, FullSpeedLoads: 1, LoadTime: 1, Clock: clock}
@@ -128,8 +128,8 @@
 	}
 }
 
-// outcome returns the status of a fetch. It moves the clock once, when the load
-// is in progress, so that the allowance doesn't come back meanwhile.
+// fetchStatus returns the status of a fetch. It advances the clock by 1 ms once the
+// load is in progress, so that the rate limiter hardly refills meanwhile.
 func fetchStatus(clock *magno.Clock, s *Store, status <-chan int) int {
 	for {
 		select {
