--- a/stand/plain/call.go
+++ b/stand/plain/call.go
@@ -12,7 +12,7 @@
 	"magnoliastall.example/stand/wait"
 )
 
-// call runs one call. Work that began is finished when its caller goes away,
+// handleCall runs one call. It completes the work even if the caller disconnects,
 // as a service that records something would.
 func (s *Service) handleCall(c echo.Context) error {
 	body, err := serve.ReadBody(c, serve.MaxBodyBytes)
@@ -37,7 +37,7 @@
 	if _, poison := s.faults.Active(fault.Crash, subject); poison {
 		s.restart(s.RestartTime)
 	}
-	// An error means that the service went down under the call.
+	// An error means that the service went down during the call.
 	completed := wait.Until(processCtx, s.Clock, endsAt) == nil
 	s.endRun(run, completed)
 	if !completed || s.faults.Hit(fault.Lost, subject) {
@@ -46,8 +46,9 @@
 	return c.JSON(http.StatusOK, answer)
 }
 
-// place waits until the call may run. It returns the life of the process that
-// runs it; a call that waited in one that died is cut.
+// acquireSlot waits until the call may run. It returns the context of the
+// simulated process that runs it; a call that waits while the process dies is
+// aborted.
 func (s *Service) acquireSlot(ctx context.Context) (context.Context, error) {
 	s.mu.Lock()
 	processCtx, full := s.processCtx, s.waiting >= s.QueueLimit
@@ -83,7 +84,7 @@
 	s.refused++
 }
 
-// begin records a run.
+// startRun records a run.
 func (s *Service) startRun(r Run) *Run {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/stand/plain/plain.go
+++ b/stand/plain/plain.go
@@ -1,6 +1,6 @@
-// Package plain is a stand-in of a plain service, such as one that records a
-// receipt or confirms a seat. Some of its calls may not be repeated, so it
-// counts each run: a test finds a doubled call there and nowhere else.
+// Package plain simulates a service that is not an engine, such as one that records
+// a receipt or confirms a seat. Some of its calls are not idempotent, so it records
+// each run: only this record shows whether a call ran twice.
 package plain
 
 import (
@@ -17,29 +17,30 @@
 	"magnoliastall.example/stand/serve"
 )
 
-// Defaults of a plain service.
+// Defaults of the fields of Service.
 const (
 	DefaultConcurrency = 16
-	DefaultQueueLimit  = 1024 // calls that wait; more are refused
+	DefaultQueueLimit  = 1024 // waiting calls; more are rejected
 
 	DefaultWorkTime    magno.Millis = 10
 	DefaultRestartTime magno.Millis = 500
 )
 
-// maxRuns bounds the record of runs, to some tens of megabytes; further ones
-// are counted as dropped.
+// maxRunRecords bounds the recorded runs to some tens of megabytes of memory.
+// Further runs are only counted, as dropped.
 const maxRunRecords = 1 << 18
 
-// Plain is a stand-in plain service. Fields are set before Run and Handler; a
-// zero field takes its default.
+// Service simulates a plain service. Fields must be set before Run and Handler are
+// called; a zero field takes its default.
 type Service struct {
 	Title string
-	// Work is the time of a call in milliseconds.
+	// WorkTime is the duration of a call in milliseconds.
 	WorkTime magno.Millis
-	// Batch is how many calls run at once; Queue is how many more may wait.
+	// Concurrency is how many calls run at once, QueueLimit how many more may
+	// wait.
 	Concurrency int
 	QueueLimit  int
-	// Restart is how long the service is down after a crash.
+	// RestartTime is how long the service is down after a crash.
 	RestartTime magno.Millis
 	Clock       *magno.Clock
 
@@ -48,74 +49,76 @@
 	slots  chan struct{}
 
 	mu sync.Mutex
-	// boot changes with each restart.
+	// boot identifies an incarnation. It increases with each restart.
 	boot int64
+	// upAt is the time from which the service answers after a restart.
 	upAt magno.Millis
-	// life ends with a restart; every call in progress holds it.
-	processCtx    context.Context //nolint:containedctx // the life of a simulated process
+	// processCtx ends with a restart, which aborts all calls in progress.
+	processCtx    context.Context //nolint:containedctx // lifetime of a simulated process
 	cancelProcess context.CancelFunc
-	// running is how many calls run; at most Batch.
+	// running is the number of running calls, at most Concurrency.
 	running int
-	// waiting is how many calls wait; at most Queue.
+	// waiting is the number of waiting calls, at most QueueLimit.
 	waiting int
 	runs    []*Run
 	dropped int64
 	refused int64
 }
 
-// Run is the record of one call that ran.
+// Run records one call that ran.
 type Run struct {
 	ID   string `json:"request_id"`
 	Call string `json:"call"`
 	// Body is the hash of the body in hexadecimal.
 	Body string `json:"body"`
-	// Ended is true once the call's work was done, whether or not its answer
-	// reached anyone.
+	// Ended is true once the work of the call was completed, whether or not the
+	// caller got the answer.
 	Ended bool `json:"ended"`
 }
 
-// Answer is the body of an answer.
+// Answer is the body of the answer to a call.
 type Answer struct {
 	Call string `json:"call"`
-	// Sum is the hash of the body in hexadecimal, Number a value that stands
-	// for the service's result. Both follow from call and body.
+	// Sum is the hash of the body in hexadecimal. Number represents the result
+	// of the service. Both depend only on call and body.
 	Sum    string `json:"sum"`
 	Number int    `json:"number"`
 }
 
-// Report is what the service tells of itself.
+// Report is the state that the service reports.
 type Report struct {
 	Boot    int64 `json:"boot"`
 	Batch   int   `json:"batch"`
 	Running int   `json:"running"`
 }
 
-// Counts is the stand-in's own record over all boots, to check others by.
+// Counts is the service's own record over all boots. Tests compare it with what
+// agents, entries and callers report.
 type Counts struct {
 	Runs []Run `json:"runs"`
-	// Refused counts calls that were never run.
+	// Refused counts calls that never ran.
 	Refused int64 `json:"refused"`
-	// Dropped counts runs that Runs has no room for.
+	// Dropped counts runs missing from Runs because the record was full.
 	Dropped int64 `json:"dropped"`
 }
 
-// Expect returns the answer to a call.
+// Expect returns the expected answer to a call.
 func Expect(call string, body []byte) Answer {
 	const numbers = 1_000_000
 	sum := xxhash.Sum64(body)
 	return Answer{Call: call, Sum: strconv.FormatUint(sum, 16), Number: int((sum ^ xxhash.Sum64String(call)) % numbers)}
 }
 
-// Name returns the title, for the kernel.
+// Name implements magno.Duty.
 func (s *Service) Name() string { return s.Title }
 
-// Fault carries out an order as POST /fault does.
+// Fault activates a fault, as POST /fault does.
 func (s *Service) Fault(spec fault.Spec) error {
 	s.prepare()
 	return s.faults.Set(spec)
 }
 
-// Run ends with ctx; the service has no duty besides its handlers.
+// Run waits until ctx ends; all work is done by the handlers.
 func (s *Service) Run(ctx context.Context) error {
 	s.prepare()
 	<-ctx.Done()
@@ -147,7 +150,8 @@
 	})
 }
 
-// restart cuts every call in progress; the service answers again after down.
+// restart aborts every call in progress and makes the service unavailable for the
+// time down.
 func (s *Service) restart(down magno.Millis) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -158,7 +162,7 @@
 	s.processCtx, s.cancelProcess = context.WithCancel(context.Background())
 }
 
-// Handler returns the routes of the service.
+// Handler returns the service's API.
 func (s *Service) Handler() http.Handler {
 	s.prepare()
 	r := serve.NewRouter()
@@ -168,7 +172,7 @@
 	return r
 }
 
-// Admin returns the operators' routes.
+// Admin returns the administration API.
 func (s *Service) Admin() http.Handler {
 	s.prepare()
 	r := serve.NewRouter()
@@ -177,8 +181,9 @@
 	return r
 }
 
-// gate answers for a service that is down: a restarting one drops the
-// connection as a dead process would, an outage answers 503.
+// checkAvailable is middleware that rejects calls while the service is down: a
+// restarting service drops the connection, as a dead process would, and an outage
+// is answered with 503.
 func (s *Service) checkAvailable(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		s.mu.Lock()
--- a/stand/plain/plain_test.go
+++ b/stand/plain/plain_test.go
@@ -30,7 +30,7 @@
 	return testService{p, server.URL}
 }
 
-// call returns status 0 when the connection was cut.
+// call returns status 0 when the connection was aborted.
 func (c testService) call(ctx context.Context, name, id, body string) (int, Answer) {
 	req, _ := http.NewRequestWithContext(ctx, http.MethodPost, c.url+"/call/"+name, bytes.NewReader([]byte(body)))
 	req.Header.Set("X-Request-Id", id)
@@ -60,10 +60,10 @@
 			return
 		}
 	}
-	t.Fatalf("waited in vain for: %s", what)
+	t.Fatalf("timed out waiting for %s", what)
 }
 
-// state returns how many calls run and wait.
+// callCounts returns the number of running and waiting calls.
 func (c testService) callCounts() (running, waiting int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -83,12 +83,12 @@
 		t.Errorf("runs %+v", runs)
 	}
 	if Expect("a", []byte("x")) == Expect("b", []byte("x")) {
-		t.Error("two calls have one answer")
+		t.Error("two different calls have the same answer")
 	}
 }
 
-// A call fails, and its caller wants to know whether to send it again. Before
-// the run that is safe; after it the receipt is recorded and the answer lost.
+// A call that failed before it ran may be retried. One whose answer was lost has
+// run. The record must tell the two apart.
 func TestFailBeforeAndAfter(t *testing.T) {
 	tests := []struct {
 		kind         string
@@ -111,14 +111,14 @@
 			}
 			c.setFault(t, fault.Spec{Kind: fault.Clear})
 			if status, _ := c.call(t.Context(), "record", "r", "x"); status != http.StatusOK {
-				t.Errorf("after it: %d", status)
+				t.Errorf("after the fault: status %d", status)
 			}
 		})
 	}
 }
 
-// The service is slow and its places are full: more calls wait, and past the
-// bound they are refused without running.
+// Calls beyond Concurrency must wait, and calls beyond QueueLimit must be rejected
+// without running.
 func TestConcurrencyLimit(t *testing.T) {
 	clock := magno.NewClock(1000)
 	c := startService(t, &Service{WorkTime: 10, Concurrency: 2, QueueLimit: 1, Clock: clock})
@@ -131,7 +131,7 @@
 	wg.Go(func() { c.call(t.Context(), "a", "", "") })
 	waitFor(t, "one waiting", func() bool { _, n := c.callCounts(); return n == 1 })
 	if status, _ := c.call(t.Context(), "a", "", ""); status != http.StatusTooManyRequests {
-		t.Errorf("the fourth: %d", status)
+		t.Errorf("the fourth call: status %d", status)
 	}
 	clock.Advance(29)
 	if n, _ := c.callCounts(); n != 2 {
@@ -146,26 +146,26 @@
 	}
 }
 
-// One call kills the service under all that run there. The callers see their
-// connections end and can't tell whether they were run; the record can.
+// A crash aborts all running calls. Callers only see their connections close and
+// cannot tell whether their calls ran; the record must show it.
 func TestCrash(t *testing.T) {
 	clock := magno.NewClock(1000)
 	c := startService(t, &Service{WorkTime: 1000, RestartTime: 50, Clock: clock})
 	c.setFault(t, fault.Spec{Kind: fault.Crash, Match: "poison"})
-	neighbour := make(chan int, 1)
+	other := make(chan int, 1)
 	go func() {
 		status, _ := c.call(t.Context(), "a", "one", "")
-		neighbour <- status
+		other <- status
 	}()
-	waitFor(t, "the neighbour", func() bool { n, _ := c.callCounts(); return n == 1 })
+	waitFor(t, "the other call", func() bool { n, _ := c.callCounts(); return n == 1 })
 	if status, _ := c.call(t.Context(), "a", "two", "poison"); status != 0 {
-		t.Errorf("the crash was answered with %d", status)
+		t.Errorf("the crashing call got status %d", status)
 	}
-	if status := <-neighbour; status != 0 {
-		t.Errorf("the neighbour was answered with %d", status)
+	if status := <-other; status != 0 {
+		t.Errorf("the other call got status %d", status)
 	}
 	if status, _ := c.call(t.Context(), "a", "three", ""); status != 0 {
-		t.Errorf("answered %d while down", status)
+		t.Errorf("status %d while the service is down", status)
 	}
 	clock.Advance(50)
 	c.setFault(t, fault.Spec{Kind: fault.Clear})
@@ -188,7 +188,7 @@
 	}
 }
 
-// A caller that goes away doesn't undo what the service has begun to record.
+// A call must be completed even if its caller disconnects.
 func TestCallerDisconnects(t *testing.T) {
 	clock := magno.NewClock(1000)
 	c := startService(t, &Service{WorkTime: 10, Clock: clock})
