--- a/stand/bench_test.go
+++ b/stand/bench_test.go
@@ -15,8 +15,8 @@
 	"testing"
 )
 
-// BenchmarkStreams is what an engine process costs at its step of 5 ms while it
-// streams to so many callers: run it with -benchtime 1x.
+// BenchmarkStreams measures the CPU time of an engine process that streams to many
+// callers with the default step of 5 ms. Run it with -benchtime 1x.
 func BenchmarkStreams(b *testing.B) {
 	const tokens = 1000
 	for _, n := range []int{1, 32, 128, 400} {
@@ -47,7 +47,7 @@
 			prompt := fmt.Sprint("p ", i)
 			text := post(b, url+"/v1/completions", map[string]any{"model": "a@1", "prompt": prompt, "max_tokens": tokens, "stream": true})
 			if !strings.HasSuffix(text, "data: [DONE]\n\n") {
-				b.Error("a stream was cut")
+				b.Error("a stream was aborted")
 			}
 		})
 	}
--- a/stand/build.go
+++ b/stand/build.go
@@ -15,7 +15,7 @@
 	"magnoliastall.example/stand/weight"
 )
 
-// stand is what every stand-in has.
+// service is implemented by every simulated service.
 type service interface {
 	Name() string
 	Run(ctx context.Context) error
@@ -23,14 +23,15 @@
 	Admin() http.Handler
 }
 
-// build makes the duties of every stand-in and binds their addresses.
+// buildDuties returns the duties of every configured service and binds its
+// addresses.
 func buildDuties(cfg config, log *slog.Logger) ([]magno.Duty, error) {
 	configs := []config{cfg}
 	if cfg.Kind == kindAll {
 		configs = cfg.Services
 	}
 	if len(configs) == 0 {
-		return nil, fmt.Errorf("stands: nothing to run")
+		return nil, fmt.Errorf("stands: no service is configured")
 	}
 	var duties []magno.Duty
 	for _, c := range configs {
@@ -61,7 +62,7 @@
 	return duties, nil
 }
 
-// stand makes the stand-in that the settings describe.
+// newService returns the simulated service that the settings describe.
 func (c config) newService() (service, error) {
 	name := c.Name
 	if name == "" {
@@ -83,5 +84,5 @@
 	case kindList:
 		return &insts.List{Title: name, Lag: c.Lag}, nil
 	}
-	return nil, fmt.Errorf("kind: %q can't stand in a list", c.Kind)
+	return nil, fmt.Errorf("kind: %q is not allowed in stands", c.Kind)
 }
--- a/stand/config.go
+++ b/stand/config.go
@@ -8,18 +8,18 @@
 	"magnoliastall.example/magno/setup"
 )
 
-// The kinds of stand-in.
+// The kinds of simulated service.
 const (
 	kindEngine = "engine"
 	kindPlain  = "plain"
 	kindStore  = "store"
 	kindConf   = "conf"
 	kindList   = "list"
-	kindAll    = "all" // those of the key stands
+	kindAll    = "all" // every service in the list of the key stands
 )
 
-// config is the settings of one stand-in, and of the program. Keys that a kind
-// doesn't use are ignored; zero means the kind's default.
+// config has the settings of one service, and those of the program. Keys that a
+// kind does not use are ignored; zero means the default of the kind.
 type config struct {
 	Kind   string `json:"kind" help:"engine, plain, store, conf, list, or all of stands"`
 	Name   string `json:"name" help:"name in logs"`
@@ -49,11 +49,11 @@
 	return config{Kind: kindAll, Listen: "127.0.0.1:0", Admin: "127.0.0.1:0"}
 }
 
-// highest bounds every number, so that a slip of the finger is found here and
-// not by a process that eats the machine.
+// maxNumber bounds every number, so that a typing error is reported here instead of
+// exhausting the machine.
 const maxNumber = 1 << 20
 
-// Check names the first key that is out of range.
+// Check returns an error for the first key that is out of range.
 func (c *config) Check() error {
 	switch c.Kind {
 	case kindEngine, kindPlain, kindStore, kindConf, kindList, kindAll:
@@ -83,8 +83,8 @@
 	return nil
 }
 
-// inStand names the stand-in in a fault: the same key stands in many of a list,
-// and the line that setup finds is that of the last.
+// nameService adds the name of the service to a fault. The same key occurs for many
+// services of a list, and setup reports the line of the last occurrence.
 func nameService(err error, name string) error {
 	var fault *setup.Fault
 	if errors.As(err, &fault) {
--- a/stand/main.go
+++ b/stand/main.go
@@ -1,10 +1,11 @@
-// Command stand runs stand-ins of what the system serves and reads: model
-// engines, plain services, weight store, configuration service and instance
-// list. One process hosts one of them, or all that its settings list.
+// Command stand runs stand-ins, which are simulated versions of the services that
+// the system uses: model engines, plain services, weight store, configuration
+// service and instance list. A process runs one of them, or all that its settings
+// list.
 //
 //	stand [flags]            run stand-ins
-//	stand publish [flags]    publish files as the platform's operators would
-//	stand fault [flags]      switch a fault on
+//	stand publish [flags]    publish a configuration or an instance list
+//	stand fault [flags]      activate a fault
 package main
 
 import (
@@ -36,7 +37,7 @@
 	}
 	duties, err := buildDuties(cfg, log)
 	if err != nil {
-		log.Error("start", "err", err)
+		log.Error("start failed", "err", err)
 		os.Exit(1)
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
--- a/stand/main_test.go
+++ b/stand/main_test.go
@@ -28,8 +28,8 @@
 	testscript.Run(t, testscript.Params{Dir: "testdata"})
 }
 
-// The process must tell where it listens only once it does, and end by the
-// signal that a demo sends; one that lingers would hold its ports.
+// The process must log its address only once it listens, and stop on the signal that
+// a demo sends. A process that keeps running would hold its ports.
 func TestSignalEnds(t *testing.T) {
 	ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 	defer cancel()
@@ -62,7 +62,7 @@
 	}
 }
 
-// TestHostsSeveral runs every kind in one process, as a demo does.
+// TestHostsSeveral runs all kinds of service in one process, as a demo does.
 func TestHostsSeveral(t *testing.T) {
 	text := `{"kind": "all", "stands": [ // one of each
 		{"kind": "store", "name": "s1", "listen": "127.0.0.1:0"},
@@ -118,7 +118,8 @@
 	return resp.StatusCode, string(body)
 }
 
-// FuzzSettings checks that settings that are taken can be built from.
+// FuzzSettings checks that a service can be built from all settings that pass the
+// checks.
 func FuzzSettings(f *testing.F) {
 	f.Add([]byte(`{"kind": "engine", "slots": 3}`))
 	f.Add([]byte(`{"stands": [{"kind": "all"}]}`))
--- a/stand/page_test.go
+++ b/stand/page_test.go
@@ -7,11 +7,11 @@
 	"magnoliastall.example/magno/setup"
 )
 
-// Whoever tries the system with stand-ins looks their settings up on the page;
-// a key that is gone would end the stand-ins at their start.
+// The page must list exactly the settings of the program: a documented key that no
+// longer exists would make the program fail at start.
 func TestPage(t *testing.T) {
-	// The name is a link within the module: go test otherwise gives an old result
-	// again when the page alone has changed.
+	// The file is a symbolic link within the module. Otherwise go test would return a
+	// cached result when only the page has changed.
 	text, err := os.ReadFile("testdata/OPERATIONS.md")
 	if err != nil {
 		t.Fatal(err)
--- a/stand/publish.go
+++ b/stand/publish.go
@@ -10,8 +10,7 @@
 	"magnoliastall.example/stand/publ"
 )
 
-// publish serves `stand publish`: it publishes files as the platform's
-// operators would.
+// runPublish runs `stand publish`, which publishes files on the simulated platform.
 func runPublish(ctx context.Context, args []string, log *slog.Logger) int {
 	set := flag.NewFlagSet("stand publish", flag.ContinueOnError)
 	conf := set.String("conf", "http://127.0.0.1:7011", "`URL` of the configuration service's operators' port")
@@ -23,7 +22,7 @@
 	}
 	p := &publ.Publisher{ConfURL: *conf, ListURL: *list}
 	if err := publishFiles(ctx, p, *config, *instances, log); err != nil {
-		log.Error("publish", "err", err)
+		log.Error("publish failed", "err", err)
 		return 1
 	}
 	return 0
@@ -31,7 +30,7 @@
 
 func publishFiles(ctx context.Context, p *publ.Publisher, config, instances string, log *slog.Logger) error {
 	if config == "" && instances == "" {
-		return fmt.Errorf("neither -config nor -instances names a file")
+		return fmt.Errorf("nothing to publish: set -config or -instances")
 	}
 	if config != "" {
 		version, err := p.PublishConfig(ctx, config)
@@ -50,7 +49,7 @@
 	return nil
 }
 
-// order serves `stand fault`: it switches a fault on at a stand-in.
+// sendFault runs `stand fault`, which activates a fault at a simulated service.
 func sendFault(ctx context.Context, args []string, log *slog.Logger) int {
 	set := flag.NewFlagSet("stand fault", flag.ContinueOnError)
 	to := set.String("to", "", "`URL` of the stand-in's operators' port")
@@ -59,7 +58,7 @@
 		return setup.ExitUsage
 	}
 	if err := publ.SetFault(ctx, *to, []byte(*body)); err != nil {
-		log.Error("fault", "err", err)
+		log.Error("cannot activate fault", "err", err)
 		return 1
 	}
 	return 0
