--- a/magctl/check.go
+++ b/magctl/check.go
@@ -9,7 +9,7 @@
 	"magnoliastall.example/magno/setup"
 )
 
-// runCheck checks a configuration as the daemons would.
+// runCheck validates a configuration by the same rules as the daemons.
 func runCheck(_ context.Context, args []string, out io.Writer) int {
 	f := newFlags("check", "check [flags] FILE")
 	active := f.set.String("after", "", "`file` with the configuration in force; its rosters bind the new one")
--- a/magctl/diff.go
+++ b/magctl/diff.go
@@ -11,15 +11,15 @@
 	"magnoliastall.example/magno"
 )
 
-// change is one thing that publishing a configuration will do.
+// change describes one effect of publishing a configuration.
 type change struct {
 	What string `json:"what"`
 	Name string `json:"name"`
-	// Effect is what follows on the fleet.
+	// Effect describes the consequence for the fleet.
 	Effect string `json:"effect"`
 }
 
-// runDiff says what publishing one configuration over another will do.
+// runDiff lists the effects of replacing one configuration by another.
 func runDiff(_ context.Context, args []string, out io.Writer) int {
 	f := newFlags("diff", "diff [flags] OLD NEW")
 	rest, code, ok := f.parse(args, 2, 2)
@@ -64,8 +64,8 @@
 	return changes
 }
 
-// lists compares two lists of records by name. effect gets nil for a record
-// that one of them lacks.
+// diffRecords compares two lists of records by name. effect gets nil for a record
+// that is missing from one of them.
 func diffRecords[T any](old, next []T, name func(T) string, effect func(before, after *T) change) []change {
 	before, after := map[string]*T{}, map[string]*T{}
 	names := map[string]bool{}
@@ -95,7 +95,7 @@
 	return changes
 }
 
-// verb names what happens to a record.
+// action names what happens to a record.
 func action[T any](kind string, before, after *T) string {
 	switch {
 	case before == nil:
@@ -159,7 +159,7 @@
 	return c
 }
 
-// fewer counts the keys of one list that the other lacks.
+// countMissing counts the keys of one list that the other does not have.
 func countMissing(from, in []magno.Digest) (n int) {
 	for _, d := range from {
 		if !slices.Contains(in, d) {
--- a/magctl/explain.go
+++ b/magctl/explain.go
@@ -12,8 +12,8 @@
 	"magnoliastall.example/magno"
 )
 
-// explanation is what an entry says of a profile; see the entry's package
-// daemon.
+// explanation is an entry's answer to /v1/explain; see package daemon of the
+// entry.
 type explanation struct {
 	Profile magno.Profile    `json:"profile"`
 	Retired bool             `json:"retired"`
@@ -22,7 +22,7 @@
 	Drained []string         `json:"drained"`
 }
 
-// runExplain says where a request of a profile would go now.
+// runExplain prints where a request of a profile would be routed now.
 func runExplain(ctx context.Context, args []string, out io.Writer) int {
 	f := newFlags("explain", "explain [flags] PROFILE")
 	rest, code, ok := f.parse(args, 1, 1)
@@ -32,7 +32,7 @@
 	if _, err := peers.Load(*f.fleet, *f.admins); err != nil {
 		return fail(err)
 	}
-	// Agents explain nothing, so their answers are no fault.
+	// Agents do not serve /v1/explain, so their errors are ignored.
 	explanations, _, err := queryAll[explanation](ctx, f, "/v1/explain?profile="+url.QueryEscape(rest[0]))
 	if err != nil {
 		return fail(err)
--- a/magctl/file.go
+++ b/magctl/file.go
@@ -11,8 +11,9 @@
 	"magnoliastall.example/magno/setup"
 )
 
-// read takes a configuration file, a magno.Config with its version, and
-// checks it with the daemons' own rules.
+// readConfig reads a configuration file, a magno.Config with its version, and
+// validates it by the same rules as the daemons. old are the rosters of the active
+// configuration.
 func readConfig(file string, old []magno.Roster) (*magno.Config, []*setup.Fault, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
@@ -33,7 +34,7 @@
 	return cfg, checker.Validate(cfg, []check.Shard{{Name: file, Text: text}}, old), nil
 }
 
-// encoded returns a value as JSON, for comparison.
+// encodeJSON returns a value as JSON, for comparison.
 func encodeJSON(value any) string {
 	data, err := json.Marshal(value)
 	if err != nil {
--- a/magctl/flags.go
+++ b/magctl/flags.go
@@ -12,7 +12,7 @@
 	"magnoliastall.example/magctl/peers"
 )
 
-// flags are those that commands about running processes share.
+// flags are the ones that all subcommands have.
 type flags struct {
 	set           *flag.FlagSet
 	fleet, admins *string
@@ -31,8 +31,8 @@
 	return f
 }
 
-// parse returns the arguments left after the flags; ok is false when the
-// command is to end with code.
+// parse parses the flags and returns the remaining arguments. When ok is false, the
+// command must exit with code.
 func (f *flags) parse(args []string, minArgs, maxArgs int) (rest []string, code int, ok bool) {
 	err := f.set.Parse(args)
 	if errors.Is(err, flag.ErrHelp) {
@@ -48,8 +48,8 @@
 	return f.set.Args(), exitOK, true
 }
 
-// ask reads path of every process. The answers come back decoded in order;
-// missing names those that gave none.
+// queryAll requests path from every process. It returns the decoded answers in the
+// order of the processes; missing describes those that did not answer.
 func queryAll[T any](ctx context.Context, f *flags, path string) (values []T, missing []string, err error) {
 	p, err := peers.Load(*f.fleet, *f.admins)
 	if err != nil {
@@ -69,7 +69,7 @@
 	return values, missing, nil
 }
 
-// report prints who could not be asked and returns the exit code.
+// reportMissing prints the processes that did not answer and returns the exit code.
 func reportMissing(missing []string) int {
 	for _, m := range missing {
 		fmt.Fprintln(os.Stderr, "magctl: no answer from", m)
--- a/magctl/key.go
+++ b/magctl/key.go
@@ -14,9 +14,9 @@
 	"magnoliastall.example/magno"
 )
 
-// runKey prints the digest of a key, for the configuration. The key itself stands in a
-// file that only its owner can read, or comes from standard input: a terminal, a command
-// line and a shell's history are read by others.
+// runKey prints the digest of a key, for use in the configuration. The key itself is
+// written to a file that only its owner can read, or read from standard input, because
+// terminals, command lines and shell histories can be read by others.
 func runKey(_ context.Context, args []string, out io.Writer) int {
 	f := newFlags("key", "key [-new FILE]")
 	path := f.set.String("new", "", "make a key and write it to this `file`, which must not exist")
@@ -31,7 +31,8 @@
 	return exitOK
 }
 
-// givenKey is a new key, written to path, or the first line of standard input.
+// obtainKey returns a new key that it writes to path, or, without a path, the first
+// line of standard input.
 func obtainKey(path string) (string, error) {
 	if path != "" {
 		return newKey(path)
@@ -42,7 +43,7 @@
 	}
 	key := strings.TrimSpace(line)
 	if key == "" {
-		return "", errors.New("standard input holds no key")
+		return "", errors.New("no key on standard input")
 	}
 	return key, nil
 }
--- a/magctl/main.go
+++ b/magctl/main.go
@@ -1,5 +1,5 @@
-// Command magctl is the operators' command line. It reads; what operators
-// change, they publish on the platform.
+// Command magctl is the command line for operators. It only reads; operators make
+// changes by publishing them on the platform.
 package main
 
 import (
@@ -13,9 +13,9 @@
 // Exit codes.
 const (
 	exitOK          = 0
-	exitFindings    = 1 // faults in a file, a process not ready, nothing found
+	exitFindings    = 1 // invalid file, a process not ready, or nothing found
 	exitUsage       = 2
-	exitUnreachable = 3 // a process could not be asked
+	exitUnreachable = 3 // a process did not answer
 )
 
 // command is one subcommand.
@@ -24,7 +24,7 @@
 	run               func(ctx context.Context, args []string, out io.Writer) int
 }
 
-// commands returns the subcommands in the order in which help lists them.
+// commands returns the subcommands in the order of the help text.
 func commands() []command {
 	return []command{
 		{"check", "check FILE", "check a configuration as the daemons would, before it is published", runCheck},
--- a/magctl/pack.go
+++ b/magctl/pack.go
@@ -12,7 +12,7 @@
 	"magnoliastall.example/magno/setup"
 )
 
-// runPack writes the values that operators publish.
+// runPack writes the values of a configuration as files for operators to publish.
 func runPack(_ context.Context, args []string, out io.Writer) int {
 	f := newFlags("pack", "pack -out DIR FILE")
 	dir := f.set.String("out", "", "`folder` to write to")
@@ -21,7 +21,7 @@
 		return code
 	}
 	if *dir == "" {
-		return fail(fmt.Errorf("-out names no folder"))
+		return fail(fmt.Errorf("flag -out is required"))
 	}
 	cfg, faults, err := readConfig(rest[0], nil)
 	if err != nil || len(faults) > 0 {
@@ -49,7 +49,7 @@
 	return exitOK
 }
 
-// broken reports why a file can't be used.
+// reportInvalid prints why a file cannot be used and returns the exit code.
 func reportInvalid(f *flags, out io.Writer, err error, faults []*setup.Fault) int {
 	if err != nil {
 		return fail(err)
--- a/magctl/peers/peers.go
+++ b/magctl/peers/peers.go
@@ -1,4 +1,4 @@
-// Package peers reads the administration APIs of many processes at once.
+// Package peers queries the administration APIs of all processes concurrently.
 package peers
 
 import (
@@ -17,35 +17,35 @@
 	"magnoliastall.example/magno/fetch"
 )
 
-// Limits of reading.
+// Limits of requests.
 const (
 	requestTimeout   = 3 * time.Second
-	maxResponseBytes = 16 << 20 // bytes
-	maxConcurrent    = 32       // processes read at once
+	maxResponseBytes = 16 << 20 // of one response
+	maxConcurrent    = 32       // concurrent requests
 )
 
-// Peers are the processes of a fleet.
+// Fleet has the processes to query.
 type Fleet struct {
-	// Addresses are those of the administration APIs, IP and port.
+	// Addresses are the addresses of the administration APIs, IP:PORT.
 	Addresses []string
 }
 
-// Answer is what one process gave.
+// Response is the response of one process.
 type Response struct {
 	Address string
-	// Body is set unless Err is.
+	// Body is set if Err is nil.
 	Body []byte
 	Err  error
 }
 
-// Load reads a fleet file, {"admins": ["IP:PORT", ...]} in JSON with comments,
-// or takes a comma-separated list of addresses.
+// Load returns the fleet of a comma-separated list of addresses, or else of a fleet
+// file, {"admins": ["IP:PORT", ...]} in JSON with comments.
 func Load(file, list string) (*Fleet, error) {
 	if list != "" {
 		return &Fleet{Addresses: strings.Split(list, ",")}, nil
 	}
 	if file == "" {
-		return nil, errors.New("neither -fleet nor -admin says which processes to ask")
+		return nil, errors.New("no processes given: set -fleet or -admin")
 	}
 	data, err := os.ReadFile(file)
 	if err != nil {
@@ -54,7 +54,7 @@
 	return parse(file, data)
 }
 
-// parse reads a fleet file's text.
+// parse decodes a fleet file.
 func parse(file string, data []byte) (*Fleet, error) {
 	text, err := hujson.Standardize(bytes.Clone(data))
 	if err != nil {
@@ -67,12 +67,12 @@
 		return nil, errors.Wrap(err, file)
 	}
 	if len(f.Admins) == 0 {
-		return nil, errors.Newf("%s: admins: lists no process", file)
+		return nil, errors.Newf("%s: admins: must list at least one process", file)
 	}
 	return &Fleet{Addresses: f.Admins}, nil
 }
 
-// Get asks every process for path and returns the answers in the order of
+// Get requests path from every process and returns the responses in the order of
 // Addresses.
 func (f *Fleet) Get(ctx context.Context, path string) []Response {
 	responses := make([]Response, len(f.Addresses))
--- a/magctl/status.go
+++ b/magctl/status.go
@@ -12,7 +12,7 @@
 	"magnoliastall.example/magno/config"
 )
 
-// state is what entries and agents tell of themselves; the fields that only
+// processState is the answer of an entry or agent to /v1/status. Fields that only
 // one role has are empty for the other.
 type processState struct {
 	Name       string        `json:"name"`
@@ -33,7 +33,7 @@
 	Suspects   int           `json:"suspects"`
 }
 
-// runStatus shows the state of every process.
+// runStatus prints the state of every process.
 func runStatus(ctx context.Context, args []string, out io.Writer) int {
 	f := newFlags("status", "status [flags]")
 	if _, code, ok := f.parse(args, 0, 0); !ok {
@@ -63,7 +63,7 @@
 	return reportMissing(missing)
 }
 
-// word is the one thing to know of a process first.
+// summary returns the most important state of a process in one word.
 func (s processState) summary() string {
 	switch {
 	case s.Drained:
--- a/magctl/trace.go
+++ b/magctl/trace.go
@@ -10,7 +10,7 @@
 	"magnoliastall.example/magno/event"
 )
 
-// runTrace merges the events of all processes into one time line.
+// runTrace merges the events of all processes into one timeline.
 func runTrace(ctx context.Context, args []string, out io.Writer) int {
 	f := newFlags("trace", "trace [flags] [REQUEST]")
 	last := f.set.Int("last", 200, "most events to print, the newest; 0 for all")
@@ -47,9 +47,10 @@
 	return exitOK
 }
 
-// merge takes the earliest event of those that are next in their processes, so
-// that each process keeps its own order whatever its clock did. A request's
-// attempts carry its identifier with a suffix and belong to it.
+// mergeEvents repeatedly takes the earliest of the next events of all processes, so
+// that the events of a process stay in order even if its clock was set back. If
+// request is not empty, only its events are returned, and those of its attempts,
+// whose identifiers have a suffix.
 func mergeEvents(rings [][]event.Event, request string) []event.Event {
 	all := []event.Event{}
 	next := make([]int, len(rings))
--- a/magctl/trace_test.go
+++ b/magctl/trace_test.go
@@ -7,9 +7,8 @@
 	"magnoliastall.example/magno/event"
 )
 
-// One process's clock is behind and was set back once. Its own events must
-// still stand in the order in which they happened, or the time line tells of
-// answers before their requests.
+// The clock of a process was set back. Its events must stay in the order in which
+// they happened, or the timeline would show answers before their requests.
 func TestMergeKeepsEachProcessInOrder(t *testing.T) {
 	ring := func(process string, times ...magno.Millis) []event.Event {
 		var events []event.Event
@@ -25,12 +24,12 @@
 	last := map[string]int64{"a": -1, "b": -1}
 	for _, e := range got {
 		if e.Seq != last[e.Process]+1 {
-			t.Errorf("%s: %d follows %d", e.Process, e.Seq, last[e.Process])
+			t.Errorf("%s: event %d follows event %d", e.Process, e.Seq, last[e.Process])
 		}
 		last[e.Process] = e.Seq
 	}
 	if got[0].Process != "a" || got[1].Process != "b" {
-		t.Errorf("the earliest come first: %+v", got)
+		t.Errorf("the earliest event is not first: %+v", got)
 	}
 	if n := len(mergeEvents([][]event.Event{ring("a", 1)}, "other")); n != 0 {
 		t.Errorf("%d events of another request", n)
--- a/magctl/wait.go
+++ b/magctl/wait.go
@@ -10,10 +10,10 @@
 	"magnoliastall.example/magctl/peers"
 )
 
-// waitLook is how often processes are asked.
+// pollInterval is the pause between two rounds of requests.
 const pollInterval = 100 * time.Millisecond
 
-// runWait waits until every process is ready.
+// runWait waits until every process is ready, or the timeout.
 func runWait(ctx context.Context, args []string, _ io.Writer) int {
 	f := newFlags("wait", "wait [-for 30s]")
 	timeout := f.set.Duration("for", 30*time.Second, "longest wait")
