--- a/stand/engine/answer_test.go
+++ b/stand/engine/answer_test.go
@@ -40,8 +40,8 @@
 			if n := len(strings.Fields(text)); n != tt.want {
 				t.Errorf("%d tokens", n)
 			}
-			if got, whole := s.stream(req); got != text || !whole {
-				t.Errorf("streamed %q, complete %v", got, whole)
+			if got, complete := s.stream(req); got != text || !complete {
+				t.Errorf("streamed %q, complete %v", got, complete)
 			}
 		})
 	}
@@ -100,8 +100,8 @@
 	for i := range callers {
 		wg.Go(func() {
 			req := completionRequest{Model: models[i%len(models)], Prompt: fmt.Sprintf("caller %d len=%d", i, 1+i%40), MaxTokens: 64}
-			if text, whole := s.stream(req); !whole || text != Expect(req.Model, req.Prompt, req.MaxTokens) {
-				t.Errorf("caller %d: complete %v, got %q", i, whole, text)
+			if text, complete := s.stream(req); !complete || text != Expect(req.Model, req.Prompt, req.MaxTokens) {
+				t.Errorf("caller %d: complete %v, got %q", i, complete, text)
 			}
 		})
 	}
--- a/stand/engine/help_test.go
+++ b/stand/engine/help_test.go
@@ -87,7 +87,7 @@
 }
 
 // stream returns the text of all events and whether the stream was complete.
-func (s *testEngine) stream(req completionRequest) (text string, whole bool) {
+func (s *testEngine) stream(req completionRequest) (text string, complete bool) {
 	req.Stream = true
 	_, body := s.send(context.Background(), "/v1/completions", req)
 	scan := bufio.NewScanner(bytes.NewReader(body))
--- a/stand/engine/order_test.go
+++ b/stand/engine/order_test.go
@@ -208,8 +208,8 @@
 	before := s.laggedReport().Boot
 	aborted := make(chan bool, 1)
 	go func() {
-		_, whole := s.stream(completionRequest{Model: "a@1", Prompt: "x", MaxTokens: 100})
-		aborted <- !whole
+		_, complete := s.stream(completionRequest{Model: "a@1", Prompt: "x", MaxTokens: 100})
+		aborted <- !complete
 	}()
 	waitFor(t, "a waiting request", func() bool { n, _ := s.queueSizes(); return n == 1 })
 	step()
@@ -257,8 +257,8 @@
 	s.setFault(fault.Spec{Kind: fault.Crash, Match: "poison"})
 	other := make(chan bool, 1)
 	go func() {
-		_, whole := s.stream(completionRequest{Model: "a@1", Prompt: "x", MaxTokens: maxOutputTokens})
-		other <- whole
+		_, complete := s.stream(completionRequest{Model: "a@1", Prompt: "x", MaxTokens: maxOutputTokens})
+		other <- complete
 	}()
 	waitFor(t, "the other request", func() bool { _, n := s.queueSizes(); return n == 1 })
 	if status, _ := s.post("/v1/completions", completionRequest{Model: "a@1", Prompt: "a poison pill"}); status != 0 {
