--- a/drive/aims/aims.go
+++ b/drive/aims/aims.go
@@ -30,24 +30,24 @@
 	cursada = "cursada"
 )
 
-// Aim is one aim with what was measured.
-type Aim struct {
-	Deploy string
-	Name   string
-	// Want is the limit, Got the figure; More is true when Got may not be
-	// under Want.
-	Want, Got float64
-	More      bool
-	// From says what the figure was made of.
-	From string
+// Target is one aim with what was measured.
+type Target struct {
+	Deployment string
+	Name       string
+	// Limit is the limit, Value the figure; More is true when Value may not be
+	// under Limit.
+	Limit, Value float64
+	AtLeast      bool
+	// Detail says what the figure was made of.
+	Detail string
 }
 
 // Met is true when the figure keeps the limit.
-func (a *Aim) Met() bool {
-	if a.More {
-		return a.Got >= a.Want
+func (a *Target) Met() bool {
+	if a.AtLeast {
+		return a.Value >= a.Limit
 	}
-	return a.Got <= a.Want
+	return a.Value <= a.Limit
 }
 
 // results finds lines by case and policy.
@@ -55,18 +55,18 @@
 
 func (r results) get(scene, policy string) *tally.Line { return r[scene+"/"+policy] }
 
-// From works out the aims that lines over all customers have figures for.
-func From(deploy string, lines []tally.Line) []Aim {
+// Evaluate works out the aims that lines over all customers have figures for.
+func Evaluate(deploy string, lines []tally.Line) []Target {
 	r := results{}
 	for i := range lines {
-		if l := &lines[i]; l.Customer == "all" || l.Policy == sim.Bound {
+		if l := &lines[i]; l.Customer == "all" || l.Policy == sim.PolicyBound {
 			r[l.Case+"/"+l.Policy] = l
 		}
 	}
-	var list []Aim
-	add := func(a Aim, ok bool) {
+	var list []Target
+	add := func(a Target, ok bool) {
 		if ok {
-			a.Deploy = deploy
+			a.Deployment = deploy
 			list = append(list, a)
 		}
 	}
@@ -98,89 +98,89 @@
 	return best
 }
 
-func (r results) stall(names []string) (Aim, bool) {
-	ours := r.get(load.Steady, sim.Ours)
+func (r results) stall(names []string) (Target, bool) {
+	ours := r.get(load.Steady, sim.PolicyOurs)
 	base := r.best(load.Steady, names, func(a, b *tally.Line) bool { return a.Stall.P99 < b.Stall.P99 })
 	if ours == nil || base == nil || base.Stall.P99 == 0 {
-		return Aim{}, false
+		return Target{}, false
 	}
-	return Aim{
-		Name: "p99 load stall against " + strings.Join(names, ", "), Want: stallRatio,
-		Got:  float64(ours.Stall.P99) / float64(base.Stall.P99),
-		From: fmt.Sprintf("%d ms, %s %d ms", ours.Stall.P99, base.Policy, base.Stall.P99),
+	return Target{
+		Name: "p99 load stall against " + strings.Join(names, ", "), Limit: stallRatio,
+		Value:  float64(ours.Stall.P99) / float64(base.Stall.P99),
+		Detail: fmt.Sprintf("%d ms, %s %d ms", ours.Stall.P99, base.Policy, base.Stall.P99),
 	}, true
 }
 
-func (r results) batch(names []string) (Aim, bool) {
-	ours := r.get(load.Steady, sim.Ours)
+func (r results) batch(names []string) (Target, bool) {
+	ours := r.get(load.Steady, sim.PolicyOurs)
 	base := r.best(load.Steady, names, func(a, b *tally.Line) bool { return a.Batch > b.Batch })
 	if ours == nil || base == nil || base.Batch == 0 {
-		return Aim{}, false
+		return Target{}, false
 	}
-	return Aim{
-		Name: "batch efficiency against " + strings.Join(names, ", "), Want: batchRatio, More: true,
-		Got: ours.Batch / base.Batch, From: fmt.Sprintf("%.3f, %s %.3f", ours.Batch, base.Policy, base.Batch),
+	return Target{
+		Name: "batch efficiency against " + strings.Join(names, ", "), Limit: batchRatio, AtLeast: true,
+		Value: ours.Batch / base.Batch, Detail: fmt.Sprintf("%.3f, %s %.3f", ours.Batch, base.Policy, base.Batch),
 	}, true
 }
 
-func (r results) bound() (Aim, bool) {
-	ours, bound := r.get(load.Steady, sim.Ours), r.get(load.Steady, sim.Bound)
+func (r results) bound() (Target, bool) {
+	ours, bound := r.get(load.Steady, sim.PolicyOurs), r.get(load.Steady, sim.PolicyBound)
 	if ours == nil || bound == nil || bound.Batch == 0 {
-		return Aim{}, false
+		return Target{}, false
 	}
-	return Aim{
-		Name: "batch efficiency against the bound", Want: boundRatio, More: true,
-		Got: ours.Batch / bound.Batch, From: fmt.Sprintf("%.3f, bound %.3f", ours.Batch, bound.Batch),
+	return Target{
+		Name: "batch efficiency against the bound", Limit: boundRatio, AtLeast: true,
+		Value: ours.Batch / bound.Batch, Detail: fmt.Sprintf("%.3f, bound %.3f", ours.Batch, bound.Batch),
 	}, true
 }
 
-func (r results) goodput() (Aim, bool) {
-	full, over := r.get(load.Full, sim.Ours), r.get(load.Over3, sim.Ours)
+func (r results) goodput() (Target, bool) {
+	full, over := r.get(load.Full, sim.PolicyOurs), r.get(load.Over3, sim.PolicyOurs)
 	if full == nil || over == nil || full.Goodput == 0 {
-		return Aim{}, false
+		return Target{}, false
 	}
-	return Aim{
-		Name: "goodput at 3 times capacity against that at capacity", Want: goodRatio, More: true,
-		Got: over.Goodput / full.Goodput, From: fmt.Sprintf("%.0f, %.0f tokens/s", over.Goodput, full.Goodput),
+	return Target{
+		Name: "goodput at 3 times capacity against that at capacity", Limit: goodRatio, AtLeast: true,
+		Value: over.Goodput / full.Goodput, Detail: fmt.Sprintf("%.0f, %.0f tokens/s", over.Goodput, full.Goodput),
 	}, true
 }
 
-func (r results) kept() (Aim, bool) {
-	over := r.get(load.Over3, sim.Ours)
+func (r results) kept() (Target, bool) {
+	over := r.get(load.Over3, sim.PolicyOurs)
 	if over == nil {
-		return Aim{}, false
+		return Target{}, false
 	}
-	return Aim{
-		Name: "admitted requests in time at 3 times capacity", Want: keptShare, More: true,
-		Got: over.Kept(), From: fmt.Sprintf("%d of %d", over.Good, over.Admitted),
+	return Target{
+		Name: "admitted requests in time at 3 times capacity", Limit: keptShare, AtLeast: true,
+		Value: over.Kept(), Detail: fmt.Sprintf("%d of %d", over.Good, over.Admitted),
 	}, true
 }
 
-func (r results) others() (Aim, bool) {
-	calm, hot := r.get(load.Steady, sim.Ours), r.get(load.HotCaller, sim.Ours)
+func (r results) others() (Target, bool) {
+	calm, hot := r.get(load.Steady, sim.PolicyOurs), r.get(load.HotCaller, sim.PolicyOurs)
 	if calm == nil || hot == nil || calm.Other.P95 == 0 {
-		return Aim{}, false
+		return Target{}, false
 	}
-	return Aim{
-		Name: "others' p95 with a hot caller against without", Want: othersRatio,
-		Got:  float64(hot.Other.P95) / float64(calm.Other.P95),
-		From: fmt.Sprintf("%d, %d ms", hot.Other.P95, calm.Other.P95),
+	return Target{
+		Name: "others' p95 with a hot caller against without", Limit: othersRatio,
+		Value:  float64(hot.Other.P95) / float64(calm.Other.P95),
+		Detail: fmt.Sprintf("%d, %d ms", hot.Other.P95, calm.Other.P95),
 	}, true
 }
 
 // Print writes aims as a table.
-func Print(w io.Writer, list []Aim) error {
+func Print(w io.Writer, list []Target) error {
 	tw := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	for i := range list {
 		a := &list[i]
 		sign, met := "<=", "missed"
-		if a.More {
+		if a.AtLeast {
 			sign = ">="
 		}
 		if a.Met() {
 			met = "met"
 		}
-		fmt.Fprintf(tw, "%s\t%s\t%s %.2f\t%.3f\t%s\t%s\n", a.Deploy, a.Name, sign, a.Want, a.Got, met, a.From)
+		fmt.Fprintf(tw, "%s\t%s\t%s %.2f\t%.3f\t%s\t%s\n", a.Deployment, a.Name, sign, a.Limit, a.Value, met, a.Detail)
 	}
 	return tw.Flush()
 }
--- a/drive/aims/aims_test.go
+++ b/drive/aims/aims_test.go
@@ -17,9 +17,9 @@
 	}
 	lines := []tally.Line{
 		line(load.Steady, "random", 9000, 0.5, 1), line(load.Steady, "least", 4000, 0.6, 1),
-		line(load.Steady, sim.Ours, 1000, 0.78, 1), line(load.Full, sim.Ours, 1000, 0.9, 100),
-		line(load.Over3, sim.Ours, 1000, 0.9, 94), line(load.HotCaller, sim.Ours, 1101, 0.9, 1),
-		{Case: load.Steady, Policy: sim.Bound, Customer: tally.Bounded, Batch: 0.86},
+		line(load.Steady, sim.PolicyOurs, 1000, 0.78, 1), line(load.Full, sim.PolicyOurs, 1000, 0.9, 100),
+		line(load.Over3, sim.PolicyOurs, 1000, 0.9, 94), line(load.HotCaller, sim.PolicyOurs, 1101, 0.9, 1),
+		{Case: load.Steady, Policy: sim.PolicyBound, Customer: tally.Bounded, Batch: 0.86},
 	}
 	tests := []struct {
 		deploy string
@@ -29,13 +29,13 @@
 		{"delta", []bool{true, true, false, false, false}},
 	}
 	for _, tt := range tests {
-		got := From(tt.deploy, lines)
+		got := Evaluate(tt.deploy, lines)
 		if len(got) != len(tt.met) {
 			t.Fatalf("%s: %d aims, want %d", tt.deploy, len(got), len(tt.met))
 		}
 		for i, a := range got {
 			if a.Met() != tt.met[i] {
-				t.Errorf("%s: %s: got %.3f, limit %.3f, met %v", tt.deploy, a.Name, a.Got, a.Want, a.Met())
+				t.Errorf("%s: %s: got %.3f, limit %.3f, met %v", tt.deploy, a.Name, a.Value, a.Limit, a.Met())
 			}
 		}
 	}
--- a/drive/basel/basel.go
+++ b/drive/basel/basel.go
@@ -28,19 +28,19 @@
 
 func init() {
 	magno.Register(magno.SortRouter, Random, func() any { return &Router{} })
-	magno.Register(magno.SortRouter, Least, func() any { return &Router{Least: true} })
-	magno.Register(magno.SortRouter, Hash, func() any { return &Router{Hash: true, Least: true} })
+	magno.Register(magno.SortRouter, Least, func() any { return &Router{LeastWork: true} })
+	magno.Register(magno.SortRouter, Hash, func() any { return &Router{HashAffinity: true, LeastWork: true} })
 }
 
 // Router implements magno.Router. Its exported fields are set before use.
 type Router struct {
-	// Least prefers the upstream with the least outstanding work; otherwise
+	// LeastWork prefers the upstream with the least outstanding work; otherwise
 	// the choice is random.
-	Least bool
-	// Hash limits the choice to two upstreams by rendezvous of the adapter.
-	Hash  bool
-	Seed  uint64
-	Clock *magno.Clock
+	LeastWork bool
+	// HashAffinity limits the choice to two upstreams by rendezvous of the adapter.
+	HashAffinity bool
+	Seed         uint64
+	Clock        *magno.Clock
 
 	mu    sync.Mutex
 	rand  *rand.Rand
@@ -82,11 +82,11 @@
 			names = append(names, r.names[i])
 		}
 	}
-	if r.Hash && q.Ref != (magno.Ref{}) {
+	if r.HashAffinity && q.Ref != (magno.Ref{}) {
 		slices.SortFunc(names, func(a, b string) int { return cmp.Compare(weight(b, q.Ref), weight(a, q.Ref)) })
 		names = names[:min(choices, len(names))]
 	}
-	if r.Least {
+	if r.LeastWork {
 		slices.SortStableFunc(names, func(a, b string) int { return r.load(a) - r.load(b) })
 	}
 	return names[:min(choices, len(names))]
--- a/drive/bound/bound.go
+++ b/drive/bound/bound.go
@@ -29,13 +29,13 @@
 
 // Bound is worked out by New.
 type Bound struct {
-	// Batch is the highest batch efficiency.
-	Batch float64
-	// Good is the highest share of engine requests answered in time, Goodput
+	// BatchEfficiency is the highest batch efficiency.
+	BatchEfficiency float64
+	// GoodShare is the highest share of engine requests answered in time, Goodput
 	// the tokens a second of them and of all plain calls.
-	Good, Goodput float64
-	// Stall is the shortest mean load stall in milliseconds.
-	Stall float64
+	GoodShare, Goodput float64
+	// MeanStall is the shortest mean load stall in milliseconds.
+	MeanStall float64
 	// Requests counts engine requests.
 	Requests int
 }
@@ -49,16 +49,16 @@
 }
 
 // New works the bounds out for a workload.
-func New(l *load.Load, arrivals []load.Arrival) *Bound {
+func New(l *load.Workload, arrivals []load.Arrival) *Bound {
 	b := &Bound{}
-	limits := l.Deploy.Limits
+	limits := l.Deployment.Limits
 	var jobs []cost
 	var tokens, places, n, plain float64
 	var end magno.Millis
 	for i := range arrivals {
 		a := &arrivals[i]
-		work := a.Job.Prompt + a.Made
-		if a.Job.Arrived < l.Warm {
+		work := a.Job.Prompt + a.OutputTokens
+		if a.Job.Arrived < l.WarmUp {
 			continue
 		}
 		if a.Pool != load.PoolReading {
@@ -68,13 +68,13 @@
 		n++
 		end = max(end, a.Job.Deadline)
 		reading := float64(a.Job.Prompt) / float64(limits.Tokens)
-		steps := reading + float64(a.Made)
+		steps := reading + float64(a.OutputTokens)
 		tokens += float64(work)
 		places += steps
-		if magno.Millis(a.Made)*limits.Step > a.Job.Deadline-a.Job.Arrived {
+		if magno.Millis(a.OutputTokens)*limits.Step > a.Job.Deadline-a.Job.Arrived {
 			continue
 		}
-		made := float64(a.Made)
+		made := float64(a.OutputTokens)
 		least := max(made/float64(limits.Tokens), made/float64(limits.Batch))
 		if a.Job.Prefix == 0 {
 			least = max(float64(work)/float64(limits.Tokens), steps/float64(limits.Batch))
@@ -83,19 +83,19 @@
 	}
 	if tokens > 0 {
 		full := tokens / float64(limits.Tokens)
-		b.Batch = full / max(full, places/float64(limits.Batch))
+		b.BatchEfficiency = full / max(full, places/float64(limits.Batch))
 	}
 	b.Requests = int(n)
 	b.goodput(l, jobs, n, end)
-	b.Goodput += plain / (float64(l.For-l.Warm) / float64(magno.Second))
+	b.Goodput += plain / (float64(l.Duration-l.WarmUp) / float64(magno.Second))
 	b.stall(l, arrivals)
 	return b
 }
 
 // goodput fills the engines' time with the jobs of most tokens, and of most
 // number, for their time.
-func (b *Bound) goodput(l *load.Load, jobs []cost, n float64, end magno.Millis) {
-	room := float64(end-l.Warm) / float64(l.Deploy.Limits.Step) * float64(l.Deploy.Engines)
+func (b *Bound) goodput(l *load.Workload, jobs []cost, n float64, end magno.Millis) {
+	room := float64(end-l.WarmUp) / float64(l.Deployment.Limits.Step) * float64(l.Deployment.Engines)
 	sort.Slice(jobs, func(i, j int) bool { return jobs[i].least < jobs[j].least })
 	count, left := 0.0, room
 	for _, j := range jobs {
@@ -105,7 +105,7 @@
 		count++
 	}
 	if n > 0 {
-		b.Good = count / n
+		b.GoodShare = count / n
 	}
 	sort.Slice(jobs, func(i, j int) bool {
 		return float64(jobs[i].tokens)*jobs[j].least > float64(jobs[j].tokens)*jobs[i].least
@@ -118,26 +118,26 @@
 		}
 		sum += float64(j.tokens)
 	}
-	b.Goodput = sum / (float64(l.For-l.Warm) / float64(magno.Second))
+	b.Goodput = sum / (float64(l.Duration-l.WarmUp) / float64(magno.Second))
 }
 
 // stall sums, over time, the requests that no choice of loaded adapters could
 // have freed.
-func (b *Bound) stall(l *load.Load, arrivals []load.Arrival) {
-	span := l.Deploy.Limits.Load
+func (b *Bound) stall(l *load.Workload, arrivals []load.Arrival) {
+	span := l.Deployment.Limits.Load
 	counts := map[magno.Ref]int{}
 	total, i, waited := 0, 0, 0.0
-	for end := span; end-span < l.For; end += span {
-		waited += float64(span) * float64(total-most(counts, int(end/span-1)*l.Deploy.LoadWidth))
+	for end := span; end-span < l.Duration; end += span {
+		waited += float64(span) * float64(total-most(counts, int(end/span-1)*l.Deployment.ParallelLoads))
 		for ; i < len(arrivals) && arrivals[i].Job.Arrived < end; i++ {
-			if ref := arrivals[i].Job.Ref; ref != (magno.Ref{}) && arrivals[i].Job.Arrived >= l.Warm {
+			if ref := arrivals[i].Job.Ref; ref != (magno.Ref{}) && arrivals[i].Job.Arrived >= l.WarmUp {
 				counts[ref]++
 				total++
 			}
 		}
 	}
 	if total > 0 {
-		b.Stall = waited / float64(total)
+		b.MeanStall = waited / float64(total)
 	}
 }
 
--- a/drive/bound/line.go
+++ b/drive/bound/line.go
@@ -2,15 +2,15 @@
 
 import "magnoliastall.example/drive/tally"
 
-// Join returns the mean bound over runs of one length.
-func Join(runs []*Bound) *Bound {
+// Mean returns the mean bound over runs of one length.
+func Mean(runs []*Bound) *Bound {
 	sum := &Bound{}
 	n := float64(len(runs))
 	for _, b := range runs {
-		sum.Batch += b.Batch / n
-		sum.Good += b.Good / n
+		sum.BatchEfficiency += b.BatchEfficiency / n
+		sum.GoodShare += b.GoodShare / n
 		sum.Goodput += b.Goodput / n
-		sum.Stall += b.Stall / n
+		sum.MeanStall += b.MeanStall / n
 		sum.Requests += b.Requests
 	}
 	return sum
@@ -21,7 +21,7 @@
 func (b *Bound) Line() tally.Line {
 	return tally.Line{
 		Customer: tally.Bounded, Offered: b.Requests, Admitted: b.Requests,
-		Good: int(b.Good * float64(b.Requests)), Goodput: b.Goodput, Batch: b.Batch,
-		Stall: tally.Spread{Mean: b.Stall},
+		Good: int(b.GoodShare * float64(b.Requests)), Goodput: b.Goodput, Batch: b.BatchEfficiency,
+		Stall: tally.Spread{Mean: b.MeanStall},
 	}
 }
--- a/drive/curvecmd.go
+++ b/drive/curvecmd.go
@@ -17,7 +17,7 @@
 // curve measures ours with every profile at one Stall setting after another.
 func curve(ctx context.Context, cfg *simConfig) error {
 	one := *cfg
-	one.Policy, one.Case, one.Wide = sim.Ours, "steady", false
+	one.Policy, one.Case, one.Wide = sim.PolicyOurs, "steady", false
 	var lines []tally.Line
 	batch := plot.Series{Name: "batch efficiency (%)"}
 	mean := plot.Series{Name: "mean load stall (s)"}
@@ -52,7 +52,7 @@
 	if err := os.MkdirAll(cfg.Out, 0o755); err != nil {
 		return err
 	}
-	p := plot.Plot{Title: cfg.Deploy + ": Stall setting of every profile", X: "Stall setting", Series: []plot.Series{batch, mean, late}}
+	p := plot.Plot{Title: cfg.Deploy + ": Stall setting of every profile", XLabel: "Stall setting", Series: []plot.Series{batch, mean, late}}
 	return p.Curve(filepath.Join(cfg.Out, cfg.Deploy+"-curve.svg"))
 }
 
@@ -69,11 +69,11 @@
 		{"batch", "batch efficiency", func(l *tally.Line) float64 { return l.Batch }},
 	}
 	for _, k := range kinds {
-		p := plot.Plot{Title: cfg.Deploy + ": " + k.label, Y: k.label, Groups: cfg.cases()}
+		p := plot.Plot{Title: cfg.Deploy + ": " + k.label, YLabel: k.label, Groups: cfg.cases()}
 		index := map[string]int{}
 		for i := range lines {
 			l := &lines[i]
-			if l.Policy == sim.Bound || (l.Customer != "all" && l.Customer != "") {
+			if l.Policy == sim.PolicyBound || (l.Customer != "all" && l.Customer != "") {
 				continue
 			}
 			at, ok := index[l.Policy]
--- a/drive/fake/fake.go
+++ b/drive/fake/fake.go
@@ -15,22 +15,22 @@
 // Engine is one upstream.
 type Engine struct {
 	Limits magno.Limits
-	// Cache is the number of prefixes kept; zero means no cache.
-	Cache int
-	// Factor is how many times as long as usual a step takes; at least 1.
-	Factor float64
+	// PrefixCacheSize is the number of prefixes kept; zero means no cache.
+	PrefixCacheSize int
+	// Slowdown is how many times as long as usual a step takes; at least 1.
+	Slowdown float64
 
-	// Steps, Capacity and Used count steps that had work, and their tokens.
-	Steps, Capacity, Used int64
+	// Steps, CapacityTokens and UsedTokens count steps that had work, and their tokens.
+	Steps, CapacityTokens, UsedTokens int64
 
 	running []*run
 	// made is the memory of Step's answer.
-	made   []Made
+	made   []Progress
 	loaded map[magno.Ref]bool
 	prefix *lru.Cache[uint64, struct{}]
-	// Wrong counts jobs that were started without their adapter or over the
+	// Violations counts jobs that were started without their adapter or over the
 	// batch: faults of a scheduler.
-	Wrong int
+	Violations int
 }
 
 type run struct {
@@ -40,8 +40,8 @@
 	made, output int
 }
 
-// Made is what one step did for one job.
-type Made struct {
+// Progress is what one step did for one job.
+type Progress struct {
 	// ID is the job's.
 	ID string
 	// Tokens were made in this step; First is true for the first of the job,
@@ -53,12 +53,12 @@
 // Start puts a job into the batch, which will make that many tokens.
 func (e *Engine) Start(job magno.Job, output int) {
 	if len(e.running) >= e.Limits.Batch || (job.Ref != magno.Ref{} && !e.loaded[job.Ref]) {
-		e.Wrong++
+		e.Violations++
 	}
 	left := job.Prompt
-	if job.Prefix != 0 && e.Cache > 0 {
+	if job.Prefix != 0 && e.PrefixCacheSize > 0 {
 		if e.prefix == nil {
-			e.prefix, _ = lru.New[uint64, struct{}](e.Cache)
+			e.prefix, _ = lru.New[uint64, struct{}](e.PrefixCacheSize)
 		}
 		if e.prefix.Contains(job.Prefix) {
 			left = int(float64(left) * (1 - prefixPart))
@@ -73,12 +73,12 @@
 
 // StepTime is how long the next step takes.
 func (e *Engine) StepTime() magno.Millis {
-	return magno.Millis(float64(e.Limits.Step) * max(1, e.Factor))
+	return magno.Millis(float64(e.Limits.Step) * max(1, e.Slowdown))
 }
 
 // Step runs one step; what it returns holds until the next. Jobs whose prompt is read make a token each; what is
 // left of the step reads prompts, oldest job first.
-func (e *Engine) Step() []Made {
+func (e *Engine) Step() []Progress {
 	if len(e.running) == 0 {
 		return nil
 	}
@@ -91,7 +91,7 @@
 		}
 		room--
 		r.made++
-		out = append(out, Made{ID: r.job.ID, Tokens: 1, First: r.made == 1, End: r.made >= r.output})
+		out = append(out, Progress{ID: r.job.ID, Tokens: 1, First: r.made == 1, End: r.made >= r.output})
 	}
 	for _, r := range e.running {
 		n := min(room, max(r.left, 0))
@@ -105,8 +105,8 @@
 	e.running = keep
 	e.made = out
 	e.Steps++
-	e.Capacity += int64(e.Limits.Tokens)
-	e.Used += int64(e.Limits.Tokens - room)
+	e.CapacityTokens += int64(e.Limits.Tokens)
+	e.UsedTokens += int64(e.Limits.Tokens - room)
 	return out
 }
 
@@ -126,7 +126,7 @@
 func (e *Engine) Unload(ref magno.Ref) {
 	for _, r := range e.running {
 		if r.job.Ref == ref {
-			e.Wrong++
+			e.Violations++
 		}
 	}
 	delete(e.loaded, ref)
--- a/drive/later/later.go
+++ b/drive/later/later.go
@@ -20,14 +20,14 @@
 	do  func()
 }
 
-// At plans an event.
-func (q *Queue) At(at magno.Millis, do func()) {
+// Schedule plans an event.
+func (q *Queue) Schedule(at magno.Millis, do func()) {
 	q.seq++
 	heap.Push(&q.events, event{at: at, seq: q.seq, do: do})
 }
 
-// Next is when the first event is, false when there is none.
-func (q *Queue) Next() (at magno.Millis, ok bool) {
+// NextTime is when the first event is, false when there is none.
+func (q *Queue) NextTime() (at magno.Millis, ok bool) {
 	if len(q.events) == 0 {
 		return 0, false
 	}
--- a/drive/later/later_test.go
+++ b/drive/later/later_test.go
@@ -11,10 +11,10 @@
 	var q Queue
 	var order []int
 	for i, at := range []magno.Millis{30, 10, 20, 10} {
-		q.At(at, func() { order = append(order, i) })
+		q.Schedule(at, func() { order = append(order, i) })
 	}
 	for {
-		next, ok := q.Next()
+		next, ok := q.NextTime()
 		if !ok {
 			break
 		}
--- a/drive/layout/layout.go
+++ b/drive/layout/layout.go
@@ -61,24 +61,24 @@
 	Dir string
 	// Port is the base; the layout uses the 600 ports above it.
 	Port int
-	// Deploy is delta or cursada.
-	Deploy   string
-	Entries  int
-	Adapters int
-	// Engines and Plains override the deployment's numbers of upstreams;
+	// Deployment is delta or cursada.
+	Deployment string
+	Entries    int
+	Adapters   int
+	// Engines and PlainServices override the deployment's numbers of upstreams;
 	// zero keeps them.
-	Engines, Plains int
-	// Work overrides the time of a plain call, in milliseconds.
-	Work int
-	// Rate and Width override what the weight store allows.
-	Rate  float64
-	Width int
+	Engines, PlainServices int
+	// PlainCallMs overrides the time of a plain call, in milliseconds.
+	PlainCallMs int
+	// LoadRate and Width override what the weight store allows.
+	LoadRate      float64
+	ParallelLoads int
 }
 
 // Write writes every file.
 func (l *Layout) Write() error {
-	if l.Deploy != "delta" && l.Deploy != "cursada" {
-		return fmt.Errorf("deployment %q is neither delta nor cursada", l.Deploy)
+	if l.Deployment != "delta" && l.Deployment != "cursada" {
+		return fmt.Errorf("deployment %q is neither delta nor cursada", l.Deployment)
 	}
 	if err := os.MkdirAll(l.Dir, 0o755); err != nil {
 		return err
@@ -140,14 +140,14 @@
 
 func (l *Layout) size() (engines, plains int) {
 	engines, plains = deltaEngines, plainNumber
-	if l.Deploy == "cursada" {
+	if l.Deployment == "cursada" {
 		engines = cursadaEngines
 	}
 	if l.Engines > 0 {
 		engines = l.Engines
 	}
-	if l.Plains > 0 {
-		plains = l.Plains
+	if l.PlainServices > 0 {
+		plains = l.PlainServices
 	}
 	return engines, plains
 }
@@ -155,14 +155,14 @@
 // allowance is what the weight store allows the deployment.
 func (l *Layout) allowance() (rate float64, width int) {
 	rate, width = deltaRate, deltaWidth
-	if l.Deploy == "cursada" {
+	if l.Deployment == "cursada" {
 		rate, width = cursadaRate, cursadaWidth
 	}
-	if l.Rate > 0 {
-		rate = l.Rate
+	if l.LoadRate > 0 {
+		rate = l.LoadRate
 	}
-	if l.Width > 0 {
-		width = l.Width
+	if l.ParallelLoads > 0 {
+		width = l.ParallelLoads
 	}
 	return rate, width
 }
@@ -212,8 +212,8 @@
 func (l *Layout) stands(instances []magno.Instance) standFile {
 	rate, width := l.allowance()
 	work := plainWork
-	if l.Work > 0 {
-		work = l.Work
+	if l.PlainCallMs > 0 {
+		work = l.PlainCallMs
 	}
 	f := standFile{Kind: "all", Stands: []standOne{
 		{Kind: "conf", Name: "conf", Listen: l.address(portConf, 0), Admin: l.address(portConf, 1)},
--- a/drive/layoutcmd.go
+++ b/drive/layoutcmd.go
@@ -15,7 +15,7 @@
 	l := &layout.Layout{}
 	set.StringVar(&l.Dir, "out", "out/demo", "`folder` to write to")
 	set.IntVar(&l.Port, "port", 7000, "lowest port; 600 are used")
-	set.StringVar(&l.Deploy, "deploy", "delta", "delta or cursada")
+	set.StringVar(&l.Deployment, "deploy", "delta", "delta or cursada")
 	set.IntVar(&l.Entries, "entries", 3, "entry instances")
 	set.IntVar(&l.Adapters, "adapters", 24, "adapters")
 	if err := set.Parse(args); err != nil {
--- a/drive/limit/limit.go
+++ b/drive/limit/limit.go
@@ -156,7 +156,7 @@
 }
 
 // after has something happen later.
-func (w *World) after(d magno.Millis, f func()) { w.queue.At(w.Clock.Now()+d, f) }
+func (w *World) after(d magno.Millis, f func()) { w.queue.Schedule(w.Clock.Now()+d, f) }
 
 func (w *World) tick() {
 	for i := range w.Entries {
--- a/drive/load/deploy.go
+++ b/drive/load/deploy.go
@@ -12,30 +12,30 @@
 	PoolPlain   = "plain"
 )
 
-// Deploy is one deployment of the brief: its upstreams, weight store and the
+// Deployment is one deployment of the brief: its upstreams, weight store and the
 // work that its customers send.
-type Deploy struct {
+type Deployment struct {
 	Name string
-	// Engines and Plain count upstreams of the two pools.
-	Engines, Plain int
+	// Engines and PlainUpstreams count upstreams of the two pools.
+	Engines, PlainUpstreams int
 	// DataCentres is how many the upstreams are spread over.
 	DataCentres int
 	// Entries is the number of entry instances.
 	Entries int
 	// Limits are those of an engine, PlainLimits those of a plain service.
 	Limits, PlainLimits magno.Limits
-	// Cache is the number of prompt prefixes that an engine keeps.
-	Cache int
+	// PrefixCacheSize is the number of prompt prefixes that an engine keeps.
+	PrefixCacheSize int
 	// LoadRate is loads a second of the weight store at full speed, LoadWidth
 	// how many run at once without slowing each other.
-	LoadRate  float64
-	LoadWidth int
+	LoadRate      float64
+	ParallelLoads int
 	// Adapters is the number over all customers.
 	Adapters int
-	// Hop is the time between data centres, Client that to a caller.
-	Hop, Client magno.Millis
-	Customers   []magno.Customer
-	Classes     []Class
+	// HopDelay is the time between data centres, ClientDelay that to a caller.
+	HopDelay, ClientDelay magno.Millis
+	Customers             []magno.Customer
+	Classes               []Class
 }
 
 // Class is one kind of work of one customer.
@@ -49,75 +49,75 @@
 	// of their logarithm.
 	Prompt, Output int
 	Spread         float64
-	// Prefix is the share of requests that begin with a prompt known before.
-	Prefix   float64
-	Deadline magno.Millis
-	Urgency  int
-	Stall    float64
-	Repeat   bool
+	// PrefixShare is the share of requests that begin with a prompt known before.
+	PrefixShare float64
+	Deadline    magno.Millis
+	Urgency     int
+	StallWeight float64
+	Idempotent  bool
 }
 
 // PerCustomer returns the number of adapters that each customer has.
-func (d *Deploy) PerCustomer() int { return d.Adapters / len(d.Customers) }
+func (d *Deployment) PerCustomer() int { return d.Adapters / len(d.Customers) }
 
-// Find returns the deployment of that name.
-func Find(name string) (Deploy, error) {
+// FindDeployment returns the deployment of that name.
+func FindDeployment(name string) (Deployment, error) {
 	switch name {
 	case "delta":
 		return delta(), nil
 	case "cursada":
 		return cursada(), nil
 	}
-	return Deploy{}, fmt.Errorf("no deployment named %q: delta or cursada", name)
+	return Deployment{}, fmt.Errorf("no deployment named %q: delta or cursada", name)
 }
 
 // delta has the brief's counts. Sizes of prompts and answers, steps of 10 ms,
 // 8 slots and batches of 16 are assumptions: a read receipt is a page of image
 // tokens and a few hundred tokens of fields.
-func delta() Deploy {
-	return Deploy{
-		Name: "delta", Engines: 9, Plain: 4, DataCentres: 4, Entries: 3,
-		Limits:      magno.Limits{Slots: 8, Batch: 16, Tokens: 64, Step: 10, Load: 500},
-		PlainLimits: magno.Limits{Batch: 8, Tokens: 8, Step: 5},
-		Cache:       32, LoadRate: 2, LoadWidth: 1, Adapters: 3000, Hop: 1, Client: 1,
+func delta() Deployment {
+	return Deployment{
+		Name: "delta", Engines: 9, PlainUpstreams: 4, DataCentres: 4, Entries: 3,
+		Limits:          magno.Limits{Slots: 8, Batch: 16, Tokens: 64, Step: 10, Load: 500},
+		PlainLimits:     magno.Limits{Batch: 8, Tokens: 8, Step: 5},
+		PrefixCacheSize: 32, LoadRate: 2, ParallelLoads: 1, Adapters: 3000, HopDelay: 1, ClientDelay: 1,
 		Customers: []magno.Customer{
 			{Name: "agents", Weight: 3}, {Name: "mail", Weight: 1}, {Name: "helpline", Weight: 2},
 		},
 		Classes: []Class{
 			{Name: "reading", Customer: "agents", Pool: PoolReading, Share: 0.4, Prompt: 2000, Output: 300,
-				Spread: 0.4, Prefix: 0.3, Deadline: 60 * magno.Second, Urgency: 5, Stall: 0.2},
+				Spread: 0.4, PrefixShare: 0.3, Deadline: 60 * magno.Second, Urgency: 5, StallWeight: 0.2},
 			{Name: "scan", Customer: "mail", Pool: PoolReading, Share: 0.3, Prompt: 2400, Output: 400,
-				Spread: 0.5, Prefix: 0.3, Deadline: 180 * magno.Second, Urgency: 2, Stall: 0.1},
+				Spread: 0.5, PrefixShare: 0.3, Deadline: 180 * magno.Second, Urgency: 2, StallWeight: 0.1},
 			{Name: "question", Customer: "helpline", Pool: PoolReading, Share: 0.1, Prompt: 500, Output: 60,
-				Spread: 0.4, Prefix: 0.6, Deadline: 20 * magno.Second, Urgency: 7, Stall: 0.5, Repeat: true},
+				Spread: 0.4, PrefixShare: 0.6, Deadline: 20 * magno.Second, Urgency: 7, StallWeight: 0.5, Idempotent: true},
 			{Name: "status", Customer: "helpline", Pool: PoolPlain, Share: 0.2, Output: 6,
-				Spread: 0.3, Deadline: 5 * magno.Second, Urgency: 8, Repeat: true},
+				Spread: 0.3, Deadline: 5 * magno.Second, Urgency: 8, Idempotent: true},
 		},
 	}
 }
 
 // cursada has the brief's counts; its sizes are assumptions as delta's are.
 // Drafts of a timetable are long jobs among the advisors' short ones.
-func cursada() Deploy {
-	return Deploy{
-		Name: "cursada", Engines: 18, Plain: 4, DataCentres: 4, Entries: 3,
-		Limits:      magno.Limits{Slots: 8, Batch: 16, Tokens: 64, Step: 10, Load: 333},
-		PlainLimits: magno.Limits{Batch: 8, Tokens: 8, Step: 5},
-		Cache:       32, LoadRate: 6, LoadWidth: 2, Adapters: 3000, Hop: 1, Client: 3,
+func cursada() Deployment {
+	return Deployment{
+		Name: "cursada", Engines: 18, PlainUpstreams: 4, DataCentres: 4, Entries: 3,
+		Limits:          magno.Limits{Slots: 8, Batch: 16, Tokens: 64, Step: 10, Load: 333},
+		PlainLimits:     magno.Limits{Batch: 8, Tokens: 8, Step: 5},
+		PrefixCacheSize: 32, LoadRate: 6, ParallelLoads: 2, Adapters: 3000, HopDelay: 1, ClientDelay: 3,
 		Customers: []magno.Customer{
 			{Name: "languages", Weight: 2}, {Name: "trades", Weight: 1}, {Name: "secondary", Weight: 1},
 		},
 		Classes: []Class{
 			{Name: "advisor", Customer: "languages", Pool: PoolReading, Share: 0.4, Prompt: 1200, Output: 200,
-				Spread: 0.5, Prefix: 0.5, Deadline: 20 * magno.Second, Urgency: 6, Stall: 0.9, Repeat: true},
+				Spread: 0.5, PrefixShare: 0.5, Deadline: 20 * magno.Second, Urgency: 6, StallWeight: 0.9, Idempotent: true},
 			{Name: "course", Customer: "trades", Pool: PoolReading, Share: 0.2, Prompt: 1000, Output: 160,
-				Spread: 0.5, Prefix: 0.5, Deadline: 20 * magno.Second, Urgency: 6, Stall: 0.9, Repeat: true},
+				Spread: 0.5, PrefixShare: 0.5, Deadline: 20 * magno.Second, Urgency: 6, StallWeight: 0.9, Idempotent: true},
 			{Name: "advice", Customer: "secondary", Pool: PoolReading, Share: 0.15, Prompt: 1200, Output: 200,
-				Spread: 0.5, Prefix: 0.5, Deadline: 20 * magno.Second, Urgency: 6, Stall: 0.9, Repeat: true},
+				Spread: 0.5, PrefixShare: 0.5, Deadline: 20 * magno.Second, Urgency: 6, StallWeight: 0.9, Idempotent: true},
 			{Name: "draft", Customer: "secondary", Pool: PoolReading, Share: 0.05, Prompt: 2500, Output: 1500,
-				Spread: 0.3, Prefix: 0.2, Deadline: 90 * magno.Second, Urgency: 4, Stall: 0.8, Repeat: true},
+				Spread: 0.3, PrefixShare: 0.2, Deadline: 90 * magno.Second, Urgency: 4, StallWeight: 0.8, Idempotent: true},
 			{Name: "waitlist", Customer: "languages", Pool: PoolPlain, Share: 0.15, Output: 5,
-				Spread: 0.3, Deadline: 5 * magno.Second, Urgency: 8, Repeat: true},
+				Spread: 0.3, Deadline: 5 * magno.Second, Urgency: 8, Idempotent: true},
 			{Name: "seat", Customer: "trades", Pool: PoolPlain, Share: 0.05, Output: 8,
 				Spread: 0.3, Deadline: 10 * magno.Second, Urgency: 7},
 		},
--- a/drive/load/load.go
+++ b/drive/load/load.go
@@ -49,35 +49,35 @@
 	allowed = 1.5
 )
 
-// Load generates arrivals. Its fields are set before Jobs.
-type Load struct {
-	Deploy Deploy
+// Workload generates arrivals. Its fields are set before Jobs.
+type Workload struct {
+	Deployment Deployment
 	// Case is one of Scenes.
 	Case string
 	Seed uint64
 	// Rate is requests a second over all pools.
 	Rate float64
-	// For is the length of the run.
-	For magno.Millis
-	// Warm is its first part, which isn't counted: every run begins with
+	// Duration is the length of the run.
+	Duration magno.Millis
+	// WarmUp is its first part, which isn't counted: every run begins with
 	// empty engines.
-	Warm magno.Millis
-	// Zipf is the exponent of popularity.
-	Zipf float64
-	// Stall replaces the setting of all engine classes when it is not
+	WarmUp magno.Millis
+	// ZipfExponent is the exponent of popularity.
+	ZipfExponent float64
+	// StallWeight replaces the setting of all engine classes when it is not
 	// negative.
-	Stall float64
+	StallWeight float64
 }
 
 // Arrival is one request as it leaves its caller.
 type Arrival struct {
 	// Job is what policies see; its Output is the caller's limit.
 	Job magno.Job
-	// Made is how many tokens will come, at most Job.Output. Only the engine
+	// OutputTokens is how many tokens will come, at most Job.Output. Only the engine
 	// and the bound know it.
-	Made  int
-	Pool  string
-	Entry int
+	OutputTokens int
+	Pool         string
+	Entry        int
 	// Hot is true when it comes of the case and not of the base load, so
 	// that the others' answers can be judged alone.
 	Hot bool
@@ -85,7 +85,7 @@
 
 // maker holds the state of one generation.
 type maker struct {
-	*Load
+	*Workload
 	r    *rand.Rand
 	zipf []float64
 	// rank maps a customer and a rank to an adapter's number.
@@ -95,19 +95,19 @@
 	n     int
 }
 
-// Jobs returns every arrival in order of time.
-func (l *Load) Jobs() []Arrival {
-	m := &maker{Load: l, r: rand.New(rand.NewPCG(l.Seed, 0x10ad)), rank: map[string][]int{}}
-	m.zipf = zipfTable(l.Deploy.PerCustomer(), l.Zipf)
-	for _, b := range l.Deploy.Customers {
-		m.rank[b.Name] = m.r.Perm(l.Deploy.PerCustomer())
+// Arrivals returns every arrival in order of time.
+func (l *Workload) Arrivals() []Arrival {
+	m := &maker{Workload: l, r: rand.New(rand.NewPCG(l.Seed, 0x10ad)), rank: map[string][]int{}}
+	m.zipf = zipfTable(l.Deployment.PerCustomer(), l.ZipfExponent)
+	for _, b := range l.Deployment.Customers {
+		m.rank[b.Name] = m.r.Perm(l.Deployment.PerCustomer())
 	}
 	peak := l.Rate * m.peak()
-	jobs := make([]Arrival, 0, int(l.Rate*float64(l.For)/1000))
+	jobs := make([]Arrival, 0, int(l.Rate*float64(l.Duration)/1000))
 	for at := 0.0; ; {
 		at += m.r.ExpFloat64() / peak * float64(magno.Second)
 		now := magno.Millis(at)
-		if now >= l.For {
+		if now >= l.Duration {
 			break
 		}
 		m.move(now)
@@ -142,13 +142,13 @@
 // move lets popularity drift, and shift at once in its case.
 func (m *maker) move(now magno.Millis) {
 	for ; m.moved+drift <= now; m.moved += drift {
-		for _, b := range m.Deploy.Customers {
+		for _, b := range m.Deployment.Customers {
 			m.swap(m.rank[b.Name], 1)
 		}
 	}
-	if m.Case == Shift && !m.done && now >= m.For/2 {
+	if m.Case == Shift && !m.done && now >= m.Duration/2 {
 		m.done = true
-		for _, b := range m.Deploy.Customers {
+		for _, b := range m.Deployment.Customers {
 			m.swap(m.rank[b.Name], hotRanks/2)
 		}
 	}
@@ -164,17 +164,17 @@
 
 func (m *maker) arrival(now magno.Millis) Arrival {
 	class := m.class()
-	c := &m.Deploy.Classes[class]
+	c := &m.Deployment.Classes[class]
 	caller := fmt.Sprintf("%s-%02d", c.Customer, m.r.IntN(callers))
 	return m.job(now, class, caller)
 }
 
 func (m *maker) job(now magno.Millis, class int, caller string) Arrival {
-	c := &m.Deploy.Classes[class]
+	c := &m.Deployment.Classes[class]
 	m.n++
 	j := magno.Job{
 		ID: fmt.Sprintf("r%07d", m.n), Customer: c.Customer, Caller: caller, Profile: c.Name,
-		Urgency: c.Urgency, Stall: c.Stall, Repeat: c.Repeat, Print: m.r.Uint64(),
+		Urgency: c.Urgency, Stall: c.StallWeight, Repeat: c.Idempotent, Print: m.r.Uint64(),
 		Prompt: m.size(c.Prompt, c.Spread), Output: int(allowed * float64(c.Output)),
 		Arrived: now, Deadline: now + c.Deadline,
 	}
@@ -187,7 +187,7 @@
 		}
 	}
 	return Arrival{
-		Job: j, Made: min(max(1, made), j.Output), Pool: c.Pool, Entry: m.r.IntN(m.Deploy.Entries),
+		Job: j, OutputTokens: min(max(1, made), j.Output), Pool: c.Pool, Entry: m.r.IntN(m.Deployment.Entries),
 	}
 }
 
@@ -196,10 +196,10 @@
 	name := fmt.Sprintf("%s-%04d", c.Customer, n)
 	j.Profile = c.Name + "-" + name
 	j.Ref = magno.Ref{Adapter: name, Version: "1"}
-	if m.Stall >= 0 {
-		j.Stall = m.Stall
+	if m.StallWeight >= 0 {
+		j.Stall = m.StallWeight
 	}
-	if m.r.Float64() < c.Prefix {
+	if m.r.Float64() < c.PrefixShare {
 		j.Prefix = uint64(n)<<8 + uint64(m.r.IntN(prefixes)) + 1
 	}
 }
@@ -207,8 +207,8 @@
 // pick draws an adapter of a customer.
 func (m *maker) pick(customer string, now magno.Millis) int {
 	rank := m.rank[customer]
-	if m.Case == HotKey && now >= m.For/3 && m.r.Float64() < hotShare*float64(len(m.rank)) &&
-		customer == m.Deploy.Customers[0].Name {
+	if m.Case == HotKey && now >= m.Duration/3 && m.r.Float64() < hotShare*float64(len(m.rank)) &&
+		customer == m.Deployment.Customers[0].Name {
 		return rank[min(coldRank, len(rank)-1)]
 	}
 	i := sort.SearchFloat64s(m.zipf, m.r.Float64())
@@ -217,12 +217,12 @@
 
 func (m *maker) class() int {
 	x := m.r.Float64()
-	for i := range m.Deploy.Classes {
-		if x -= m.Deploy.Classes[i].Share; x < 0 {
+	for i := range m.Deployment.Classes {
+		if x -= m.Deployment.Classes[i].Share; x < 0 {
 			return i
 		}
 	}
-	return len(m.Deploy.Classes) - 1
+	return len(m.Deployment.Classes) - 1
 }
 
 // size draws a log-normal number of tokens around a median.
@@ -237,14 +237,14 @@
 		return jobs
 	}
 	class := 0
-	share := m.Deploy.Classes[class].Share / callers
+	share := m.Deployment.Classes[class].Share / callers
 	gap := float64(magno.Second) / (m.Rate * share * (hotCaller - 1))
-	for at := float64(m.For) / 3; ; {
+	for at := float64(m.Duration) / 3; ; {
 		at += m.r.ExpFloat64() * gap
-		if magno.Millis(at) >= m.For {
+		if magno.Millis(at) >= m.Duration {
 			break
 		}
-		a := m.job(magno.Millis(at), class, m.Deploy.Customers[0].Name+"-00")
+		a := m.job(magno.Millis(at), class, m.Deployment.Customers[0].Name+"-00")
 		a.Hot = true
 		jobs = append(jobs, a)
 	}
--- a/drive/load/load_test.go
+++ b/drive/load/load_test.go
@@ -8,20 +8,20 @@
 	"magnoliastall.example/magno"
 )
 
-func generate(t *testing.T, scene string, seed uint64) (*Load, []Arrival) {
+func generate(t *testing.T, scene string, seed uint64) (*Workload, []Arrival) {
 	t.Helper()
-	d, err := Find("delta")
+	d, err := FindDeployment("delta")
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := &Load{Deploy: d, Case: scene, Seed: seed, Rate: 20, For: 20 * magno.Minute, Zipf: 1.5, Stall: -1}
-	return l, l.Jobs()
+	l := &Workload{Deployment: d, Case: scene, Seed: seed, Rate: 20, Duration: 20 * magno.Minute, ZipfExponent: 1.5, StallWeight: -1}
+	return l, l.Arrivals()
 }
 
 // Policies are compared on the same arrivals; these must depend on the seed
 // alone.
 func TestSameSeedSameArrivals(t *testing.T) {
-	for _, scene := range Scenes {
+	for _, scene := range Cases {
 		_, a := generate(t, scene, 5)
 		_, b := generate(t, scene, 5)
 		if !reflect.DeepEqual(a, b) {
@@ -38,7 +38,7 @@
 func TestShape(t *testing.T) {
 	for _, scene := range []string{Steady, Burst, HotKey, Long} {
 		l, jobs := generate(t, scene, 1)
-		want := l.Rate * float64(l.For) / 1000
+		want := l.Rate * float64(l.Duration) / 1000
 		if got := float64(len(jobs)); math.Abs(got/want-1) > 0.03 {
 			t.Errorf("%s: %.0f arrivals, want about %.0f", scene, got, want)
 		}
--- a/drive/load/scene.go
+++ b/drive/load/scene.go
@@ -23,8 +23,8 @@
 	Store     = "store"     // loads take twice as long and 1 of 5 fails, 1/3 to 2/3
 )
 
-// Scenes lists the cases in the order of the results page.
-var Scenes = []string{Steady, Burst, HotCaller, HotKey, Slow, Long, Full, Over15, Over3, Shift, Restart, Store}
+// Cases lists the cases in the order of the results page.
+var Cases = []string{Steady, Burst, HotCaller, HotKey, Slow, Long, Full, Over15, Over3, Shift, Restart, Store}
 
 // Fault is something that changes at an upstream or the store during a run.
 type Fault struct {
@@ -33,48 +33,48 @@
 	Kind string
 	// Engine is the number of the engine.
 	Engine int
-	// Factor is how many times as long a step or load takes; 1 ends a fault.
-	Factor float64
-	// Fail is the share of loads that fail.
-	Fail float64
+	// Slowdown is how many times as long a step or load takes; 1 ends a fault.
+	Slowdown float64
+	// FailureRate is the share of loads that fail.
+	FailureRate float64
 }
 
-// Known returns an error that lists the cases when name is none of them.
-func Known(name string) error {
-	for _, s := range Scenes {
+// CheckCase returns an error that lists the cases when name is none of them.
+func CheckCase(name string) error {
+	for _, s := range Cases {
 		if s == name {
 			return nil
 		}
 	}
-	return fmt.Errorf("no case named %q: one of %s", name, strings.Join(Scenes, ", "))
+	return fmt.Errorf("no case named %q: one of %s", name, strings.Join(Cases, ", "))
 }
 
 // Faults returns what goes wrong in a case, in order of time.
-func (l *Load) Faults() []Fault {
+func (l *Workload) Faults() []Fault {
 	var faults []Fault
-	third, half := l.For/3, l.For/2
+	third, half := l.Duration/3, l.Duration/2
 	switch l.Case {
 	case Slow:
-		for e := range max(1, l.Deploy.Engines/9) {
-			faults = append(faults, Fault{At: third, Kind: Slow, Engine: e, Factor: 4})
+		for e := range max(1, l.Deployment.Engines/9) {
+			faults = append(faults, Fault{At: third, Kind: Slow, Engine: e, Slowdown: 4})
 		}
-		for e := range max(1, l.Deploy.Engines/9) {
-			faults = append(faults, Fault{At: 2 * third, Kind: Slow, Engine: e, Factor: 1})
+		for e := range max(1, l.Deployment.Engines/9) {
+			faults = append(faults, Fault{At: 2 * third, Kind: Slow, Engine: e, Slowdown: 1})
 		}
 	case Restart:
-		for e := range l.Deploy.Engines / 3 {
+		for e := range l.Deployment.Engines / 3 {
 			faults = append(faults, Fault{At: half, Kind: Restart, Engine: e})
 		}
 	case Store:
 		faults = append(faults,
-			Fault{At: third, Kind: Store, Factor: 2, Fail: 0.2},
-			Fault{At: 2 * third, Kind: Store, Factor: 1})
+			Fault{At: third, Kind: Store, Slowdown: 2, FailureRate: 0.2},
+			Fault{At: 2 * third, Kind: Store, Slowdown: 1})
 	}
 	return faults
 }
 
-// Overload returns the load that a case sets itself, or load.
-func Overload(name string, load float64) float64 {
+// CaseLoad returns the load that a case sets itself, or load.
+func CaseLoad(name string, load float64) float64 {
 	switch name {
 	case Full:
 		return 1
--- a/drive/plot/plot.go
+++ b/drive/plot/plot.go
@@ -21,8 +21,8 @@
 // Plot is a picture to draw. Its fields are set before Bars or Curve.
 type Plot struct {
 	Title string
-	// X and Y name the axes with their units.
-	X, Y string
+	// XLabel and YLabel name the axes with their units.
+	XLabel, YLabel string
 	// Groups name the places of bars.
 	Groups []string
 	Series []Series
@@ -38,8 +38,8 @@
 func (p *Plot) begin() *gonum.Plot {
 	pic := gonum.New()
 	pic.Title.Text = p.Title
-	pic.X.Label.Text = p.X
-	pic.Y.Label.Text = p.Y
+	pic.X.Label.Text = p.XLabel
+	pic.Y.Label.Text = p.YLabel
 	pic.Legend.Top = true
 	pic.BackgroundColor = color.White
 	pic.Add(plotter.NewGrid())
--- a/drive/proof/config_test.go
+++ b/drive/proof/config_test.go
@@ -201,7 +201,7 @@
 // nobody may be told that it was not.
 func TestAgentCutOffWhileItRuns(t *testing.T) {
 	l := quick(1)
-	l.Work = slowWork
+	l.PlainCallMs = slowWork
 	f := newFleet(t, l)
 	cables := map[string]*cable{}
 	for i, in := range f.instances {
--- a/drive/proof/fault_test.go
+++ b/drive/proof/fault_test.go
@@ -157,7 +157,7 @@
 // An agent is replaced while its engine keeps running with adapters loaded.
 // The new one must know what the engine holds, or it finds no slot free.
 func TestAgentReplacedBesideRunningEngine(t *testing.T) {
-	f := newFleet(t, layout.Layout{Engines: 1, Plains: 4, Adapters: 12, Rate: 50, Width: 8})
+	f := newFleet(t, layout.Layout{Engines: 1, PlainServices: 4, Adapters: 12, LoadRate: 50, ParallelLoads: 8})
 	for i := range 8 {
 		if r, _ := f.ask(0, fmt.Sprintf("read-%03d", i), "fill", 2); r.status != 200 {
 			t.Fatal(r)
--- a/drive/proof/fleet_test.go
+++ b/drive/proof/fleet_test.go
@@ -76,7 +76,7 @@
 // ready.
 func newFleet(t *testing.T, l layout.Layout) *fleet {
 	t.Helper()
-	l.Dir, l.Deploy = t.TempDir(), "delta"
+	l.Dir, l.Deployment = t.TempDir(), "delta"
 	l.Port = freePorts(t)
 	if l.Entries == 0 {
 		l.Entries = 2
--- a/drive/proof/once_test.go
+++ b/drive/proof/once_test.go
@@ -38,7 +38,7 @@
 // because the first answer was slow. The receipt must be recorded once, and
 // both answers must be the same.
 func TestSentTwiceRunsOnce(t *testing.T) {
-	f := newFleet(t, layout.Layout{Engines: 1, Plains: 4, Adapters: 4, Work: slowWork})
+	f := newFleet(t, layout.Layout{Engines: 1, PlainServices: 4, Adapters: 4, PlainCallMs: slowWork})
 	key, body := newKey(), `{"receipt":"twice"}`
 	replies := make([]reply, 4)
 	var wg sync.WaitGroup
@@ -65,7 +65,7 @@
 // than that it may have been recorded: "not run" would make the caller record
 // it a second time, and running it again would double it.
 func TestHomeKilledWhileItRuns(t *testing.T) {
-	f := newFleet(t, layout.Layout{Engines: 1, Plains: 4, Adapters: 4, Work: slowWork})
+	f := newFleet(t, layout.Layout{Engines: 1, PlainServices: 4, Adapters: 4, PlainCallMs: slowWork})
 	key, body := newKey(), `{"receipt":"killed"}`
 	first := make(chan reply, 1)
 	go func() { first <- f.post(0, recordPath, key, body) }()
@@ -84,7 +84,7 @@
 // after the caller has given up and sent the receipt again. The late agent
 // still acts on what it knew; the receipt must be recorded once at most.
 func TestHomeFrozenThenWoken(t *testing.T) {
-	f := newFleet(t, layout.Layout{Engines: 1, Plains: 4, Adapters: 4, Work: slowWork})
+	f := newFleet(t, layout.Layout{Engines: 1, PlainServices: 4, Adapters: 4, PlainCallMs: slowWork})
 	for i := range 4 {
 		body := fmt.Sprintf(`{"receipt":"frozen %d"}`, i)
 		key := newKey()
@@ -109,7 +109,7 @@
 // An agent is gone while nothing runs. New receipts must still be recorded:
 // none may be refused because one witness of seven is missing.
 func TestOneAgentLostRefusesNothing(t *testing.T) {
-	f := newFleet(t, layout.Layout{Engines: 4, Plains: 4, Adapters: 4})
+	f := newFleet(t, layout.Layout{Engines: 4, PlainServices: 4, Adapters: 4})
 	f.kill("s2")
 	for i := range 40 {
 		body := fmt.Sprintf(`{"receipt":"lost agent %d"}`, i)
@@ -127,7 +127,7 @@
 // caller must hear that it is unknown, each time it asks, and never get a
 // second run.
 func TestAnswerLost(t *testing.T) {
-	f := newFleet(t, layout.Layout{Engines: 1, Plains: 4, Adapters: 4})
+	f := newFleet(t, layout.Layout{Engines: 1, PlainServices: 4, Adapters: 4})
 	for _, in := range f.instances {
 		if in.Pool == "status" {
 			f.upstreamFault(in.Name, `{"kind":"lost","value":1}`)
@@ -147,7 +147,7 @@
 // A caller uses one key for two different receipts. The second must not get
 // the first one's answer, nor be recorded under its key.
 func TestKeyUsedForAnotherBody(t *testing.T) {
-	f := newFleet(t, layout.Layout{Engines: 1, Plains: 4, Adapters: 4})
+	f := newFleet(t, layout.Layout{Engines: 1, PlainServices: 4, Adapters: 4})
 	key := newKey()
 	if r := f.post(0, recordPath, key, `{"receipt":"a"}`); r.status != 200 {
 		t.Fatal(r)
--- a/drive/proof/path_test.go
+++ b/drive/proof/path_test.go
@@ -19,7 +19,7 @@
 
 // quick is a fleet whose weight store is in nobody's way.
 func quick(engines int) layout.Layout {
-	return layout.Layout{Engines: engines, Plains: 4, Adapters: 4, Rate: 50, Width: 8}
+	return layout.Layout{Engines: engines, PlainServices: 4, Adapters: 4, LoadRate: 50, ParallelLoads: 8}
 }
 
 // stream sends a streamed completion and returns its text, and whether it
--- a/drive/sim/policy.go
+++ b/drive/sim/policy.go
@@ -10,26 +10,26 @@
 // Policy names the plug-ins that decide in a run.
 type Policy struct {
 	Name, Router, Scheduler string
-	// Free sends work with a key first where the router says, not to the
+	// IgnoreHomes sends work with a key first where the router says, not to the
 	// key's home; it shows what homes cost.
-	Free bool
+	IgnoreHomes bool
 }
 
 // Policies maps the name on the command line to plug-ins.
 var Policies = map[string]Policy{
-	"random": {Name: "random", Router: "random", Scheduler: "fifo"},
-	"least":  {Name: "least", Router: "least", Scheduler: "fifo"},
-	"hash":   {Name: "hash", Router: "hash", Scheduler: "fifo"},
-	Ours:     {Name: Ours, Router: "near", Scheduler: "fair"},
-	"free":   {Name: "free", Router: "near", Scheduler: "fair", Free: true},
-	Bound:    {Name: Bound},
+	"random":    {Name: "random", Router: "random", Scheduler: "fifo"},
+	"least":     {Name: "least", Router: "least", Scheduler: "fifo"},
+	"hash":      {Name: "hash", Router: "hash", Scheduler: "fifo"},
+	PolicyOurs:  {Name: PolicyOurs, Router: "near", Scheduler: "fair"},
+	"free":      {Name: "free", Router: "near", Scheduler: "fair", IgnoreHomes: true},
+	PolicyBound: {Name: PolicyBound},
 }
 
 // The names of the project's own policy, and of the one that is worked out
 // and not run.
 const (
-	Ours  = "ours"
-	Bound = "bound"
+	PolicyOurs  = "ours"
+	PolicyBound = "bound"
 )
 
 // env is what a plug-in may be given; each exported field of a plug-in with
--- a/drive/sim/request.go
+++ b/drive/sim/request.go
@@ -39,7 +39,7 @@
 	r := &request{sim: s, from: a, job: a.Job, router: e.router, budget: e.budget, home: e.dc}
 	r.job.Arrived += start
 	r.job.Deadline += start
-	s.after(s.Load.Deploy.Client, r.attempt)
+	s.after(s.Workload.Deployment.ClientDelay, r.attempt)
 }
 
 // attempt offers the request to the next upstream of its route. Work that may
@@ -62,9 +62,9 @@
 	r.up = r.sim.ups[names[0]]
 	r.sent = r.sim.clock.Now()
 	r.router.Sent(r.up.name, r.work())
-	way := r.sim.Load.Deploy.Hop
+	way := r.sim.Workload.Deployment.HopDelay
 	if !r.job.Repeat {
-		way += grantHops * r.sim.Load.Deploy.Hop
+		way += grantHops * r.sim.Workload.Deployment.HopDelay
 	}
 	r.sim.after(way, func() { r.up.offer(r) })
 }
@@ -72,7 +72,7 @@
 // homer knows the homes of the request's key; ok is false when it may go
 // anywhere.
 func (r *request) homer() (homer magno.Homer, ok bool) {
-	if r.job.Repeat || r.sim.Policy.Free {
+	if r.job.Repeat || r.sim.Policy.IgnoreHomes {
 		return nil, false
 	}
 	homer, ok = r.router.(magno.Homer)
@@ -86,7 +86,7 @@
 func (r *request) answered(refusal *magno.Refusal, b magno.Backlog, ok bool) {
 	r.queued = false
 	up := r.up
-	r.sim.after(r.sim.Load.Deploy.Hop, func() {
+	r.sim.after(r.sim.Workload.Deployment.HopDelay, func() {
 		now := r.sim.clock.Now()
 		r.router.Ended(up.name, r.work(), now-r.sent, ok)
 		r.router.Report(up.name, b)
@@ -132,18 +132,18 @@
 	r.over = true
 	s := r.sim
 	r.unstall()
-	if r.from.Job.Arrived < s.Load.Warm {
+	if r.from.Job.Arrived < s.Workload.WarmUp {
 		return
 	}
 	a := tally.Answer{
 		Job: r.job, Refusal: refusal, Admitted: r.admitted, Stall: r.stall,
 		Engine: r.from.Pool == load.PoolReading, Hot: r.from.Hot,
 	}
-	a.Job.Output = r.from.Made
+	a.Job.Output = r.from.OutputTokens
 	if refusal == nil {
-		way := s.Load.Deploy.Client + s.Load.Deploy.Hop
+		way := s.Workload.Deployment.ClientDelay + s.Workload.Deployment.HopDelay
 		a.First = r.first + way - r.job.Arrived
-		a.End = s.clock.Now() + s.Load.Deploy.Client - r.job.Arrived
+		a.End = s.clock.Now() + s.Workload.Deployment.ClientDelay - r.job.Arrived
 		if r.tokens > 1 {
 			a.Gap = int64(r.last-r.first) * 1000 / int64(r.tokens-1)
 		}
--- a/drive/sim/sim.go
+++ b/drive/sim/sim.go
@@ -41,8 +41,8 @@
 
 // Sim is one run of one policy. Its fields are set before Run.
 type Sim struct {
-	Load   *load.Load
-	Policy Policy
+	Workload *load.Workload
+	Policy   Policy
 	// Arrivals are made by Load; they are passed so that policies share them.
 	Arrivals []load.Arrival
 
@@ -75,27 +75,27 @@
 // Run plays the run to its end.
 func (s *Sim) Run() (*tally.Tally, error) {
 	s.clock = magno.NewClock(start)
-	s.tally = tally.New(s.Load.Deploy.Customers)
+	s.tally = tally.New(s.Workload.Deployment.Customers)
 	s.loads = map[int64]pending{}
-	d := &s.Load.Deploy
-	s.store = &store.Store{Rate: d.LoadRate, Load: d.Limits.Load, Width: d.LoadWidth, Rand: rand.New(rand.NewPCG(s.Load.Seed, 0x5703))}
+	d := &s.Workload.Deployment
+	s.store = &store.Store{Rate: d.LoadRate, Load: d.Limits.Load, Width: d.ParallelLoads, Rand: rand.New(rand.NewPCG(s.Workload.Seed, 0x5703))}
 	s.turns = newTurns(s)
 	if err := s.build(); err != nil {
 		return nil, err
 	}
-	for _, f := range s.Load.Faults() {
+	for _, f := range s.Workload.Faults() {
 		s.at(start+f.At, func() { s.fault(f) })
 	}
-	s.at(start+s.Load.Warm, s.warmed)
-	s.at(start+s.Load.For, s.count)
+	s.at(start+s.Workload.WarmUp, s.warmed)
+	s.at(start+s.Workload.Duration, s.count)
 	next := 0
-	end := start + s.Load.For + drain
+	end := start + s.Workload.Duration + drain
 	for {
 		arrive := magno.Millis(1 << 62)
 		if next < len(s.Arrivals) {
 			arrive = start + s.Arrivals[next].Job.Arrived
 		}
-		planned, ok := s.events.Next()
+		planned, ok := s.events.NextTime()
 		if !ok && next >= len(s.Arrivals) {
 			break
 		}
@@ -116,13 +116,13 @@
 	return s.tally, nil
 }
 
-func (s *Sim) at(when magno.Millis, do func()) { s.events.At(when, do) }
+func (s *Sim) at(when magno.Millis, do func()) { s.events.Schedule(when, do) }
 
 func (s *Sim) after(d magno.Millis, do func()) { s.at(s.clock.Now()+d, do) }
 
 // build makes the upstreams and each entry's routers.
 func (s *Sim) build() error {
-	d := &s.Load.Deploy
+	d := &s.Workload.Deployment
 	s.ups = map[string]*upstream{}
 	s.entries = map[string][]entry{}
 	weights := map[string]float64{}
@@ -133,27 +133,27 @@
 		name   string
 		n      int
 		limits magno.Limits
-	}{{load.PoolReading, d.Engines, d.Limits}, {load.PoolPlain, d.Plain, d.PlainLimits}}
+	}{{load.PoolReading, d.Engines, d.Limits}, {load.PoolPlain, d.PlainUpstreams, d.PlainLimits}}
 	for _, p := range pools {
 		var targets []magno.Target
 		for i := range p.n {
 			name := fmt.Sprintf("%s-%d", p.name, i)
 			dc := fmt.Sprintf("dc%d", i%d.DataCentres)
-			e := env{Clock: s.clock, Limits: p.limits, Weights: weights, Seed: s.Load.Seed + uint64(i), Name: name, DataCentre: dc,
+			e := env{Clock: s.clock, Limits: p.limits, Weights: weights, Seed: s.Workload.Seed + uint64(i), Name: name, DataCentre: dc,
 				Turns: p.name == load.PoolReading}
 			sched, err := newScheduler(s.Policy.Scheduler, e)
 			if err != nil {
 				return err
 			}
 			up := &upstream{sim: s, name: name, dc: dc, pool: p.name, sched: sched,
-				engine: &fake.Engine{Limits: p.limits, Cache: d.Cache}, jobs: map[string]*request{}}
+				engine: &fake.Engine{Limits: p.limits, PrefixCacheSize: d.PrefixCacheSize}, jobs: map[string]*request{}}
 			up.holder.turner, _ = sched.(magno.Turner)
 			s.ups[name] = up
 			s.order = append(s.order, up)
 			targets = append(targets, magno.Target{Name: name, DataCentre: dc})
 		}
 		for i := range d.Entries {
-			e := env{Clock: s.clock, Seed: s.Load.Seed*31 + uint64(i), Name: fmt.Sprintf("entry-%d", i),
+			e := env{Clock: s.clock, Seed: s.Workload.Seed*31 + uint64(i), Name: fmt.Sprintf("entry-%d", i),
 				DataCentre: fmt.Sprintf("dc%d", i%d.DataCentres)}
 			r, err := newRouter(s.Policy.Router, e)
 			if err != nil {
@@ -169,11 +169,11 @@
 func (s *Sim) fault(f load.Fault) {
 	switch f.Kind {
 	case load.Slow:
-		s.order[f.Engine].engine.Factor = f.Factor
+		s.order[f.Engine].engine.Slowdown = f.Slowdown
 	case load.Restart:
 		s.order[f.Engine].restart()
 	case load.Store:
-		s.store.Change(s.clock.Now(), f.Factor, f.Fail)
+		s.store.Change(s.clock.Now(), f.Slowdown, f.FailureRate)
 		s.watchStore()
 	}
 }
@@ -213,7 +213,7 @@
 // warmed forgets what the engines did until now.
 func (s *Sim) warmed() {
 	for _, up := range s.order {
-		up.engine.Steps, up.engine.Capacity, up.engine.Used = 0, 0, 0
+		up.engine.Steps, up.engine.CapacityTokens, up.engine.UsedTokens = 0, 0, 0
 	}
 	s.store.Loads, s.store.Failed, s.store.Refused = 0, 0, 0
 }
@@ -224,8 +224,8 @@
 	for _, up := range s.order {
 		if up.pool == load.PoolReading {
 			s.tally.Steps += up.engine.Steps
-			s.tally.Capacity += up.engine.Capacity
-			s.tally.Used += up.engine.Used
+			s.tally.Capacity += up.engine.CapacityTokens
+			s.tally.Used += up.engine.UsedTokens
 		}
 	}
 	s.tally.Loads, s.tally.Failed = s.store.Loads, s.store.Failed+s.store.Refused
@@ -237,6 +237,6 @@
 		for _, id := range up.open() {
 			up.jobs[id].end(magno.Refuse(magno.KindDeadline, "still open when the run ended"))
 		}
-		s.tally.Wrong += up.engine.Wrong
+		s.tally.Wrong += up.engine.Violations
 	}
 }
--- a/drive/sim/turns.go
+++ b/drive/sim/turns.go
@@ -38,15 +38,15 @@
 }
 
 func newTurns(s *Sim) *turns {
-	d := &s.Load.Deploy
-	return &turns{sim: s, keeper: &turn.Coordinator{Clock: s.clock, Rate: d.LoadRate, MaxLoads: d.LoadWidth, LoadTime: d.Limits.Load}}
+	d := &s.Workload.Deployment
+	return &turns{sim: s, keeper: &turn.Coordinator{Clock: s.clock, Rate: d.LoadRate, MaxLoads: d.ParallelLoads, LoadTime: d.Limits.Load}}
 }
 
 // give sends out the turns that begin now and plans the next look.
 func (t *turns) give() {
 	for _, given := range t.keeper.Grant() {
 		up := t.sim.ups[given.Agent]
-		t.sim.after(t.sim.Load.Deploy.Hop, func() { up.taken(given) })
+		t.sim.after(t.sim.Workload.Deployment.HopDelay, func() { up.taken(given) })
 	}
 	when := t.keeper.NextWake()
 	if t.wakeAt > t.sim.clock.Now() && t.wakeAt <= when {
@@ -94,7 +94,7 @@
 // tell brings a message to the keeper.
 func (u *upstream) tell(do func(k *turn.Coordinator)) {
 	t := u.sim.turns
-	u.sim.after(u.sim.Load.Deploy.Hop, func() {
+	u.sim.after(u.sim.Workload.Deployment.HopDelay, func() {
 		do(t.keeper)
 		t.give()
 	})
--- a/drive/sim/upstream.go
+++ b/drive/sim/upstream.go
@@ -43,7 +43,7 @@
 		switch o.Kind {
 		case magno.OrderStart:
 			u.jobs[o.Job.ID].unstall()
-			u.engine.Start(o.Job, u.jobs[o.Job.ID].from.Made)
+			u.engine.Start(o.Job, u.jobs[o.Job.ID].from.OutputTokens)
 		case magno.OrderLoad:
 			u.holder.busy++
 			u.sim.beginLoad(u, o.Ref)
@@ -92,7 +92,7 @@
 	})
 }
 
-func (u *upstream) made(m fake.Made, now magno.Millis) {
+func (u *upstream) made(m fake.Progress, now magno.Millis) {
 	r := u.jobs[m.ID]
 	if m.First {
 		r.first = now
@@ -132,7 +132,7 @@
 		return
 	}
 	if ok && !u.engine.Load(p.ref) {
-		u.engine.Wrong++
+		u.engine.Violations++
 		ok = false
 	}
 	if ok {
--- a/drive/simcmd.go
+++ b/drive/simcmd.go
@@ -44,11 +44,11 @@
 
 // Check names the first setting that is out of its range.
 func (c *simConfig) Check() error {
-	if _, err := load.Find(c.Deploy); err != nil {
+	if _, err := load.FindDeployment(c.Deploy); err != nil {
 		return &setup.Fault{Key: "deploy", What: err.Error()}
 	}
 	for _, name := range c.cases() {
-		if err := load.Known(name); err != nil {
+		if err := load.CheckCase(name); err != nil {
 			return &setup.Fault{Key: "case", What: err.Error()}
 		}
 	}
@@ -77,7 +77,7 @@
 
 func (c *simConfig) cases() []string {
 	if c.Case == "all" {
-		return load.Scenes
+		return load.Cases
 	}
 	return strings.Split(c.Case, ",")
 }
@@ -125,7 +125,7 @@
 	if err := show(os.Stdout, lines); err != nil {
 		return err
 	}
-	if err := aims.Print(os.Stdout, aims.From(cfg.Deploy, lines)); err != nil || cfg.Out == "" {
+	if err := aims.Print(os.Stdout, aims.Evaluate(cfg.Deploy, lines)); err != nil || cfg.Out == "" {
 		return err
 	}
 	if err := writeLines(filepath.Join(cfg.Out, cfg.Deploy+".jsonl"), cfg, t, results); err != nil {
@@ -135,7 +135,7 @@
 }
 
 func newTrial(cfg *simConfig) (*trial.Trial, error) {
-	deploy, err := load.Find(cfg.Deploy)
+	deploy, err := load.FindDeployment(cfg.Deploy)
 	if err != nil {
 		return nil, err
 	}
@@ -177,7 +177,7 @@
 		for i := range runs {
 			bounds = append(bounds, runs[i].Bound)
 		}
-		lines = []tally.Line{bound.Join(bounds).Line()}
+		lines = []tally.Line{bound.Mean(bounds).Line()}
 	} else {
 		sum := tally.New(t.Deploy.Customers)
 		for i := range runs {
--- a/drive/trial/bound_test.go
+++ b/drive/trial/bound_test.go
@@ -14,29 +14,29 @@
 func TestNobodyBeatsTheBound(t *testing.T) {
 	for seed := uint64(1); seed <= 2; seed++ {
 		for _, scene := range []string{load.Steady, load.Over3} {
-			d, err := load.Find("cursada")
+			d, err := load.FindDeployment("cursada")
 			if err != nil {
 				t.Fatal(err)
 			}
-			l := &load.Load{Deploy: d, Case: scene, Seed: seed, Rate: capacities["cursada"] * load.Overload(scene, 0.8),
-				For: 30 * magno.Second, Zipf: 1.5, Stall: -1}
-			arrivals := l.Jobs()
+			l := &load.Workload{Deployment: d, Case: scene, Seed: seed, Rate: capacities["cursada"] * load.CaseLoad(scene, 0.8),
+				Duration: 30 * magno.Second, ZipfExponent: 1.5, StallWeight: -1}
+			arrivals := l.Arrivals()
 			for i := range arrivals {
 				arrivals[i].Job.Deadline += 4 * magno.Minute // nobody refuses, so that the stall's bound holds
 			}
 			b := bound.New(l, arrivals)
-			for _, name := range []string{"hash", sim.Ours} {
-				tl, err := (&sim.Sim{Load: l, Policy: sim.Policies[name], Arrivals: arrivals}).Run()
+			for _, name := range []string{"hash", sim.PolicyOurs} {
+				tl, err := (&sim.Sim{Workload: l, Policy: sim.Policies[name], Arrivals: arrivals}).Run()
 				if err != nil {
 					t.Fatal(err)
 				}
-				got := tl.Lines(l.For.Span().Seconds())[0]
-				if got.Batch > b.Batch || got.Goodput > b.Goodput {
+				got := tl.Lines(l.Duration.Span().Seconds())[0]
+				if got.Batch > b.BatchEfficiency || got.Goodput > b.Goodput {
 					t.Errorf("seed %d %s %s: batch %.3f of %.3f, %.0f tokens/s of %.0f",
-						seed, scene, name, got.Batch, b.Batch, got.Goodput, b.Goodput)
+						seed, scene, name, got.Batch, b.BatchEfficiency, got.Goodput, b.Goodput)
 				}
-				if refused := got.Offered - got.Served; refused == 0 && got.Stall.Mean < b.Stall {
-					t.Errorf("seed %d %s %s: mean stall %.0f under %.0f", seed, scene, name, got.Stall.Mean, b.Stall)
+				if refused := got.Offered - got.Served; refused == 0 && got.Stall.Mean < b.MeanStall {
+					t.Errorf("seed %d %s %s: mean stall %.0f under %.0f", seed, scene, name, got.Stall.Mean, b.MeanStall)
 				}
 			}
 		}
--- a/drive/trial/help_test.go
+++ b/drive/trial/help_test.go
@@ -24,7 +24,7 @@
 // scenes are the cases that a deployment is tested in.
 var scenes = map[string][]string{
 	"delta":   {load.Steady, load.HotCaller, load.Full, load.Over3, load.Restart},
-	"cursada": load.Scenes,
+	"cursada": load.Cases,
 }
 
 // warm is the first part of each run, which isn't counted.
@@ -39,7 +39,7 @@
 func ours(t *testing.T, deploy string) map[string]tally.Line {
 	t.Helper()
 	if played[deploy] == nil {
-		all := play(t, deploy, []string{sim.Ours}, scenes[deploy]...)
+		all := play(t, deploy, []string{sim.PolicyOurs}, scenes[deploy]...)
 		maps.Copy(all, play(t, deploy, []string{"least", "hash"}, load.Steady))
 		if deploy == "cursada" {
 			maps.Copy(all, play(t, deploy, []string{"hash"}, load.HotKey, load.Long))
@@ -52,7 +52,7 @@
 // play plays cases with a fixed seed.
 func play(t *testing.T, deploy string, policies []string, cases ...string) map[string]tally.Line {
 	t.Helper()
-	d, err := load.Find(deploy)
+	d, err := load.FindDeployment(deploy)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -76,7 +76,7 @@
 		t.Logf("%s %s: good %.3f kept %.3f Jain %.3f worst %s %.2f stall p99 %d other p95 %d refused %v",
 			r.Case, r.Policy, good(l), l.Kept(), l.Jain, l.Worst, l.Part, l.Stall.P99, l.Other.P95, l.Refused)
 		name := r.Case
-		if r.Policy != sim.Ours {
+		if r.Policy != sim.PolicyOurs {
 			name += "/" + r.Policy
 		}
 		out[name] = l
--- a/drive/trial/scene_test.go
+++ b/drive/trial/scene_test.go
@@ -138,7 +138,7 @@
 				t.Errorf("good %.3f of %.3f, kept %.3f", good(l), good(r[load.Steady]), l.Kept())
 			}
 			batch := 16
-			if d, _ := load.Find(deploy); l.Refused[string(magno.KindUnknown)] > d.Engines/3*batch {
+			if d, _ := load.FindDeployment(deploy); l.Refused[string(magno.KindUnknown)] > d.Engines/3*batch {
 				t.Errorf("%d were told unknown, more than could run", l.Refused[string(magno.KindUnknown)])
 			}
 		})
@@ -158,14 +158,14 @@
 // Two runs that differ would make each comparison a matter of luck.
 func TestSameEveryTime(t *testing.T) {
 	a := ours(t, "cursada")[load.Restart]
-	b := play(t, "cursada", []string{sim.Ours}, load.Restart)[load.Restart]
+	b := play(t, "cursada", []string{sim.PolicyOurs}, load.Restart)[load.Restart]
 	if !reflect.DeepEqual(a, b) {
 		t.Errorf("%+v\n%+v", a, b)
 	}
 }
 
 func TestMeasure(t *testing.T) {
-	d, err := load.Find("delta")
+	d, err := load.FindDeployment("delta")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/drive/trial/trial.go
+++ b/drive/trial/trial.go
@@ -29,7 +29,7 @@
 
 // Trial is one experiment. Its fields are set before Run.
 type Trial struct {
-	Deploy   load.Deploy
+	Deploy   load.Deployment
 	Cases    []string
 	Policies []sim.Policy
 	// Seeds are run one by one from Seed.
@@ -115,15 +115,15 @@
 // one plays a case and seed with each policy, on the same arrivals.
 func (t *Trial) one(k task, mu *sync.Mutex) ([]Result, error) {
 	l := t.load(k.scene, k.seed)
-	arrivals := l.Jobs()
+	arrivals := l.Arrivals()
 	results := make([]Result, 0, len(t.Policies))
 	for _, p := range t.Policies {
-		r := Result{Case: k.scene, Policy: p.Name, Seed: k.seed, Load: load.Overload(k.scene, t.Load)}
+		r := Result{Case: k.scene, Policy: p.Name, Seed: k.seed, Load: load.CaseLoad(k.scene, t.Load)}
 		var err error
-		if p == sim.Policies[sim.Bound] {
+		if p == sim.Policies[sim.PolicyBound] {
 			r.Bound = bound.New(l, arrivals)
 		} else {
-			r.Tally, err = (&sim.Sim{Load: l, Policy: p, Arrivals: arrivals}).Run()
+			r.Tally, err = (&sim.Sim{Workload: l, Policy: p, Arrivals: arrivals}).Run()
 		}
 		if err != nil {
 			return nil, fmt.Errorf("%s with %s, seed %d: %w", k.scene, p.Name, k.seed, err)
@@ -138,10 +138,10 @@
 	return results, nil
 }
 
-func (t *Trial) load(scene string, seed uint64) *load.Load {
-	return &load.Load{
-		Deploy: t.Deploy, Case: scene, Seed: seed, For: t.For, Warm: t.Warm, Zipf: t.Zipf, Stall: t.Stall,
-		Rate: t.Capacity * load.Overload(scene, t.Load),
+func (t *Trial) load(scene string, seed uint64) *load.Workload {
+	return &load.Workload{
+		Deployment: t.Deploy, Case: scene, Seed: seed, Duration: t.For, WarmUp: t.Warm, ZipfExponent: t.Zipf, StallWeight: t.Stall,
+		Rate: t.Capacity * load.CaseLoad(scene, t.Load),
 	}
 }
 
@@ -179,15 +179,15 @@
 // saturate returns how many mean requests of all pools are served in a run of
 // that length.
 func (t *Trial) saturate(length magno.Millis) (float64, error) {
-	l := &load.Load{Deploy: t.Deploy, Case: load.Steady, Seed: probeSeed, For: length, Zipf: t.Zipf, Stall: t.Stall}
+	l := &load.Workload{Deployment: t.Deploy, Case: load.Steady, Seed: probeSeed, Duration: length, ZipfExponent: t.Zipf, StallWeight: t.Stall}
 	l.Rate = probeLoad * estimate(&t.Deploy)
-	arrivals := l.Jobs()
+	arrivals := l.Arrivals()
 	total := 0
 	for i := range arrivals {
 		arrivals[i].Job.Ref = magno.Ref{}
-		total += arrivals[i].Job.Prompt + arrivals[i].Made
+		total += arrivals[i].Job.Prompt + arrivals[i].OutputTokens
 	}
-	tl, err := (&sim.Sim{Load: l, Policy: sim.Policies["least"], Arrivals: arrivals}).Run()
+	tl, err := (&sim.Sim{Workload: l, Policy: sim.Policies["least"], Arrivals: arrivals}).Run()
 	if err != nil {
 		return 0, err
 	}
@@ -195,7 +195,7 @@
 }
 
 // estimate is the rate at which the engines' steps are full of tokens.
-func estimate(d *load.Deploy) float64 {
+func estimate(d *load.Deployment) float64 {
 	work := 0.0
 	for i := range d.Classes {
 		if c := &d.Classes[i]; c.Pool == load.PoolReading {
