--- a/drive/sim/policy.go
+++ b/drive/sim/policy.go
@@ -7,15 +7,15 @@
 	"magnoliastall.example/magno"
 )
 
-// Policy names the plug-ins that decide in a run.
+// Policy names the router and scheduler plug-ins of a run.
 type Policy struct {
 	Name, Router, Scheduler string
-	// IgnoreHomes sends work with a key first where the router says, not to the
-	// key's home; it shows what homes cost.
+	// IgnoreHomes routes requests with an idempotency key by the router's preference
+	// instead of to the home of the key. It shows what routing to homes costs.
 	IgnoreHomes bool
 }
 
-// Policies maps the name on the command line to plug-ins.
+// Policies maps the policy names of the command line to plug-ins.
 var Policies = map[string]Policy{
 	"random":    {Name: "random", Router: "random", Scheduler: "fifo"},
 	"least":     {Name: "least", Router: "least", Scheduler: "fifo"},
@@ -25,29 +25,30 @@
 	PolicyBound: {Name: PolicyBound},
 }
 
-// The names of the project's own policy, and of the one that is worked out
-// and not run.
+// Names of the project's own policy and of the theoretical bound, which is calculated and
+// not simulated.
 const (
 	PolicyOurs  = "ours"
 	PolicyBound = "bound"
 )
 
-// env is what a plug-in may be given; each exported field of a plug-in with
-// one of these names and types is set before its use, as the daemons do.
+// env holds the values that plug-ins can receive. Each exported field of a plug-in with
+// the name and type of a field of env is set before the plug-in is used, as in the
+// daemons.
 type env struct {
 	Clock   *magno.Clock
 	Limits  magno.Limits
 	Weights map[string]float64
 	Seed    uint64
-	// Name is the instance's own.
+	// Name is the name of the instance.
 	Name       string
 	DataCentre string
-	// Turns is true where loads wait for turns of the pool's keeper.
+	// Turns is true where loads need a turn granted by the coordinator of the pool.
 	Turns bool
 }
 
-// equip sets the fields of a plug-in that env knows.
-func equip(plugin any, e env) {
+// setPluginFields sets the fields of a plug-in that match a field of env.
+func setPluginFields(plugin any, e env) {
 	from := reflect.ValueOf(e)
 	into := reflect.ValueOf(plugin).Elem()
 	for i := range from.NumField() {
@@ -65,9 +66,9 @@
 	}
 	r, ok := p.(magno.Router)
 	if !ok {
-		return nil, fmt.Errorf("plug-in %q is no router", name)
+		return nil, fmt.Errorf("plug-in %q does not implement magno.Router", name)
 	}
-	equip(p, e)
+	setPluginFields(p, e)
 	return r, nil
 }
 
@@ -78,8 +79,8 @@
 	}
 	s, ok := p.(magno.Scheduler)
 	if !ok {
-		return nil, fmt.Errorf("plug-in %q is no scheduler", name)
+		return nil, fmt.Errorf("plug-in %q does not implement magno.Scheduler", name)
 	}
-	equip(p, e)
+	setPluginFields(p, e)
 	return s, nil
 }
--- a/drive/sim/turns.go
+++ b/drive/sim/turns.go
@@ -6,49 +6,51 @@
 	"magnoliastall.example/magno/turn"
 )
 
-// askAgain is how often an upstream repeats its ask for a load turn.
-const askAgain = 100 * magno.Millis(1)
+// requestInterval is how often an upstream repeats its request for a load turn.
+const requestInterval = 100 * magno.Millis(1)
 
-// lookAgain is how often an upstream without a turn looks what it wants.
-const lookAgain = 20 * magno.Millis(1)
+// checkInterval is how often an upstream without a turn asks its scheduler for the load it
+// wants.
+const checkInterval = 20 * magno.Millis(1)
 
-// turns shares the weight store's allowance out among upstreams whose
-// scheduler takes turns, as the agents do; messages take a hop.
+// turns divides the load rate of the weight store among the upstreams whose schedulers
+// take turns, as the agents do. Messages take one hop.
 type turns struct {
-	sim    *Sim
-	keeper *turn.Coordinator
-	// wakeAt is when the keeper is next asked to give, zero when not planned.
+	sim         *Sim
+	coordinator *turn.Coordinator
+	// wakeAt is when the coordinator is next asked for grants, zero when not scheduled.
 	wakeAt magno.Millis
 }
 
-// holder is an upstream's side of turns.
-type holder struct {
+// turnClient is the turn state of one upstream.
+type turnClient struct {
 	turner magno.Turner
-	// asked is the adapter of the last ask and askedAt its time.
-	asked   magno.Ref
-	askedAt magno.Millis
-	// looked is when the scheduler was last asked what it wants.
-	looked magno.Millis
-	// has is true while a turn is held.
-	has   bool
-	turn  turn.Turn
-	until magno.Millis
-	// busy counts loads and evictions under way.
-	busy int
+	// requested is the adapter of the last turn request, sent at requestedAt.
+	requested   magno.Ref
+	requestedAt magno.Millis
+	// checkedAt is when the scheduler was last asked for the load it wants.
+	checkedAt magno.Millis
+	// held is true while a turn is held.
+	held    bool
+	turn    turn.Turn
+	expires magno.Millis
+	// inProgress counts loads and evictions in progress.
+	inProgress int
 }
 
 func newTurns(s *Sim) *turns {
 	d := &s.Workload.Deployment
-	return &turns{sim: s, keeper: &turn.Coordinator{Clock: s.clock, Rate: d.LoadRate, MaxLoads: d.ParallelLoads, LoadTime: d.Limits.Load}}
+	return &turns{sim: s, coordinator: &turn.Coordinator{Clock: s.clock, Rate: d.LoadRate, MaxLoads: d.ParallelLoads, LoadTime: d.Limits.Load}}
 }
 
-// give sends out the turns that begin now and plans the next look.
-func (t *turns) give() {
-	for _, given := range t.keeper.Grant() {
-		up := t.sim.ups[given.Agent]
-		t.sim.after(t.sim.Workload.Deployment.HopDelay, func() { up.taken(given) })
+// grantTurns sends the turns that begin now to their upstreams and schedules the next
+// check.
+func (t *turns) grantTurns() {
+	for _, granted := range t.coordinator.Grant() {
+		up := t.sim.upstreamsByName[granted.Agent]
+		t.sim.after(t.sim.Workload.Deployment.HopDelay, func() { up.acceptTurn(granted) })
 	}
-	when := t.keeper.NextWake()
+	when := t.coordinator.NextWake()
 	if t.wakeAt > t.sim.clock.Now() && t.wakeAt <= when {
 		return
 	}
@@ -56,66 +58,67 @@
 	t.sim.at(when, func() {
 		if t.wakeAt == t.sim.clock.Now() {
 			t.wakeAt = 0
-			if t.keeper.Pending() > 0 {
-				t.give()
+			if t.coordinator.Pending() > 0 {
+				t.grantTurns()
 			}
 		}
 	})
 }
 
-// ask tells the keeper what is wanted here, or that nothing is any more.
-func (u *upstream) ask() {
-	h := &u.holder
-	if h.turner == nil || u.pool != load.PoolReading {
+// requestTurn requests a turn for the load that the scheduler wants, or cancels the
+// request when no load is wanted any more.
+func (u *upstream) requestTurn() {
+	c := &u.turnClient
+	if c.turner == nil || u.pool != load.PoolReading {
 		return
 	}
 	now := u.sim.clock.Now()
-	if h.has && now >= h.until {
-		h.has = false
+	if c.held && now >= c.expires {
+		c.held = false
 	}
-	if !h.has && now < h.looked+lookAgain {
+	if !c.held && now < c.checkedAt+checkInterval {
 		return
 	}
-	h.looked = now
-	ref, harm, ok := h.turner.Want()
+	c.checkedAt = now
+	ref, delayCost, ok := c.turner.Want()
 	switch {
-	case h.has && !ok && h.busy == 0:
-		u.giveBack()
-	case h.has || h.busy > 0:
-	case !ok && h.askedAt != 0:
-		h.askedAt = 0
-		u.tell(func(k *turn.Coordinator) { k.Cancel(u.name) })
-	case ok && (h.askedAt == 0 || ref != h.asked || now >= h.askedAt+askAgain):
-		h.asked, h.askedAt = ref, now
-		u.tell(func(k *turn.Coordinator) { k.Submit(turn.Request{Agent: u.name, Ref: ref, DelayCost: harm}) })
+	case c.held && !ok && c.inProgress == 0:
+		u.releaseTurn()
+	case c.held || c.inProgress > 0:
+	case !ok && c.requestedAt != 0:
+		c.requestedAt = 0
+		u.sendCoordinator(func(k *turn.Coordinator) { k.Cancel(u.name) })
+	case ok && (c.requestedAt == 0 || ref != c.requested || now >= c.requestedAt+requestInterval):
+		c.requested, c.requestedAt = ref, now
+		u.sendCoordinator(func(k *turn.Coordinator) { k.Submit(turn.Request{Agent: u.name, Ref: ref, DelayCost: delayCost}) })
 	}
 }
 
-// tell brings a message to the keeper.
-func (u *upstream) tell(do func(k *turn.Coordinator)) {
+// sendCoordinator delivers a message to the coordinator.
+func (u *upstream) sendCoordinator(do func(k *turn.Coordinator)) {
 	t := u.sim.turns
 	u.sim.after(u.sim.Workload.Deployment.HopDelay, func() {
-		do(t.keeper)
-		t.give()
+		do(t.coordinator)
+		t.grantTurns()
 	})
 }
 
-// taken takes a turn.
-func (u *upstream) taken(t turn.Turn) {
-	h := &u.holder
-	h.has, h.turn, h.until = true, t, u.sim.clock.Now()+t.Left
-	h.askedAt = 0
-	h.turner.Turn(h.until)
-	u.pump()
+// acceptTurn receives a turn.
+func (u *upstream) acceptTurn(t turn.Turn) {
+	c := &u.turnClient
+	c.held, c.turn, c.expires = true, t, u.sim.clock.Now()+t.Left
+	c.requestedAt = 0
+	c.turner.Turn(c.expires)
+	u.runOrders()
 }
 
-func (u *upstream) giveBack() {
-	h := &u.holder
-	if !h.has {
+func (u *upstream) releaseTurn() {
+	c := &u.turnClient
+	if !c.held {
 		return
 	}
-	h.has = false
-	h.turner.Turn(0)
-	id := h.turn.ID
-	u.tell(func(k *turn.Coordinator) { k.Release(id) })
+	c.held = false
+	c.turner.Turn(0)
+	id := c.turn.ID
+	u.sendCoordinator(func(k *turn.Coordinator) { k.Release(id) })
 }
--- a/drive/sim/upstream.go
+++ b/drive/sim/upstream.go
@@ -7,97 +7,97 @@
 	"magnoliastall.example/magno"
 )
 
-// upstream is a fake engine with its scheduler; it does what an agent does
-// with orders.
+// upstream is a fake engine with its scheduler. It executes orders as an agent does.
 type upstream struct {
 	sim            *Sim
 	name, dc, pool string
 	sched          magno.Scheduler
 	engine         *fake.Engine
-	// jobs are queued or running here.
+	// jobs are the jobs queued or running here, by ID.
 	jobs map[string]*request
-	// boot counts restarts.
-	boot             int
-	stepping, polled bool
-	holder           holder
+	// restarts counts restarts, to recognise events that began before the last one.
+	restarts                 int
+	stepPending, pollPending bool
+	turnClient               turnClient
 }
 
 func (u *upstream) offer(r *request) {
 	refusal := u.sched.Offer(r.job)
 	if refusal != nil {
-		r.answered(refusal, u.sched.Backlog(), true)
-		u.pump()
+		r.handleAnswer(refusal, u.sched.Backlog(), true)
+		u.runOrders()
 		return
 	}
 	r.queued, r.admitted = true, true
 	u.jobs[r.job.ID] = r
 	if r.job.Ref != (magno.Ref{}) && !u.engine.Holds(r.job.Ref) {
-		r.stalled = u.sim.clock.Now()
+		r.stalledSince = u.sim.clock.Now()
 	}
-	u.pump()
+	u.runOrders()
 }
 
-// pump carries out what the scheduler wants now.
-func (u *upstream) pump() {
+// runOrders executes the scheduler's current orders.
+func (u *upstream) runOrders() {
 	for _, o := range u.sched.Next() {
 		switch o.Kind {
 		case magno.OrderStart:
-			u.jobs[o.Job.ID].unstall()
-			u.engine.Start(o.Job, u.jobs[o.Job.ID].from.OutputTokens)
+			u.jobs[o.Job.ID].endStall()
+			u.engine.Start(o.Job, u.jobs[o.Job.ID].arrival.OutputTokens)
 		case magno.OrderLoad:
-			u.holder.busy++
+			u.turnClient.inProgress++
 			u.sim.beginLoad(u, o.Ref)
 		case magno.OrderUnload:
 			u.unload(o.Ref)
 		case magno.OrderRefuse:
 			r := u.jobs[o.Job.ID]
 			delete(u.jobs, o.Job.ID)
-			r.unstall()
-			r.answered(o.Refusal, u.sched.Backlog(), true)
+			r.endStall()
+			r.handleAnswer(o.Refusal, u.sched.Backlog(), true)
 		}
 	}
-	u.step()
-	u.poll()
-	u.ask()
+	u.scheduleStep()
+	u.schedulePoll()
+	u.requestTurn()
 }
 
-// poll asks again later while jobs wait, for schedulers wait for time too.
-func (u *upstream) poll() {
-	if u.polled || len(u.jobs) == u.engine.Running() {
+// schedulePoll polls the scheduler again later while jobs wait, because schedulers also
+// act on the passing of time.
+func (u *upstream) schedulePoll() {
+	if u.pollPending || len(u.jobs) == u.engine.Running() {
 		return
 	}
-	u.polled = true
-	u.sim.after(tick, func() {
-		u.polled = false
-		u.pump()
+	u.pollPending = true
+	u.sim.after(pollInterval, func() {
+		u.pollPending = false
+		u.runOrders()
 	})
 }
 
-func (u *upstream) step() {
-	if u.stepping || u.engine.Running() == 0 {
+func (u *upstream) scheduleStep() {
+	if u.stepPending || u.engine.Running() == 0 {
 		return
 	}
-	u.stepping = true
-	boot := u.boot
+	u.stepPending = true
+	boot := u.restarts
 	u.sim.after(u.engine.StepTime(), func() {
-		if boot != u.boot {
+		if boot != u.restarts {
 			return
 		}
-		u.stepping = false
+		u.stepPending = false
 		now := u.sim.clock.Now()
 		for _, m := range u.engine.Step() {
-			u.made(m, now)
+			u.handleTokens(m, now)
 		}
-		u.pump()
+		u.runOrders()
 	})
 }
 
-func (u *upstream) made(m fake.Progress, now magno.Millis) {
+func (u *upstream) handleTokens(m fake.Progress, now magno.Millis) {
 	r := u.jobs[m.ID]
 	if m.First {
-		r.first = now
+		r.firstToken = now
 	}
-	r.last = now
+	r.lastToken = now
 	r.tokens += m.Tokens
 	u.sched.Tokens(m.ID, m.Tokens)
 	if !m.End {
@@ -105,30 +105,30 @@
 	}
 	u.sched.Done(m.ID, true)
 	delete(u.jobs, m.ID)
-	r.answered(nil, u.sched.Backlog(), true)
+	r.handleAnswer(nil, u.sched.Backlog(), true)
 }
 
 func (u *upstream) unload(ref magno.Ref) {
 	u.engine.Unload(ref)
-	for _, id := range u.open() {
-		if r := u.jobs[id]; r.job.Ref == ref && r.stalled == 0 {
-			r.stalled = u.sim.clock.Now()
+	for _, id := range u.jobIDs() {
+		if r := u.jobs[id]; r.job.Ref == ref && r.stalledSince == 0 {
+			r.stalledSince = u.sim.clock.Now()
 		}
 	}
-	boot := u.boot
-	u.holder.busy++
+	boot := u.restarts
+	u.turnClient.inProgress++
 	u.sim.after(unloadTime, func() {
-		if boot == u.boot {
-			u.holder.busy--
+		if boot == u.restarts {
+			u.turnClient.inProgress--
 			u.sched.Unloaded(ref)
-			u.pump()
+			u.runOrders()
 		}
 	})
 }
 
-// loaded takes the end of a load; one begun before a restart means nothing.
-func (u *upstream) loaded(p pending, ok bool) {
-	if p.boot != u.boot {
+// finishLoad handles the end of a load. Loads that began before a restart are ignored.
+func (u *upstream) finishLoad(p pendingLoad, ok bool) {
+	if p.restarts != u.restarts {
 		return
 	}
 	if ok && !u.engine.Load(p.ref) {
@@ -138,23 +138,23 @@
 	if ok {
 		for _, r := range u.jobs {
 			if r.job.Ref == p.ref {
-				r.unstall()
+				r.endStall()
 			}
 		}
 	}
-	u.holder.busy--
+	u.turnClient.inProgress--
 	u.sched.Loaded(p.ref, ok)
-	u.giveBack()
-	u.pump()
+	u.releaseTurn()
+	u.runOrders()
 }
 
-// restart empties the engine. What ran has an unknown end: the caller may not
-// be told that it was not run.
+// restart empties the engine. Whether the running jobs took effect is unknown, so their
+// callers must not be told that they were not run.
 func (u *upstream) restart() {
-	u.boot++
-	u.stepping = false
-	u.holder.busy = 0
-	u.giveBack()
+	u.restarts++
+	u.stepPending = false
+	u.turnClient.inProgress = 0
+	u.releaseTurn()
 	u.engine.Reset()
 	ids := u.sched.Reset()
 	sort.Strings(ids)
@@ -164,18 +164,18 @@
 			continue
 		}
 		delete(u.jobs, id)
-		r.answered(magno.Refuse(magno.KindUnknown, "the upstream restarted"), u.sched.Backlog(), false)
+		r.handleAnswer(magno.Refuse(magno.KindUnknown, "the upstream restarted"), u.sched.Backlog(), false)
 	}
-	for _, id := range u.open() {
-		if r := u.jobs[id]; r.job.Ref != (magno.Ref{}) && r.stalled == 0 {
-			r.stalled = u.sim.clock.Now()
+	for _, id := range u.jobIDs() {
+		if r := u.jobs[id]; r.job.Ref != (magno.Ref{}) && r.stalledSince == 0 {
+			r.stalledSince = u.sim.clock.Now()
 		}
 	}
-	u.pump()
+	u.runOrders()
 }
 
-// open lists the jobs here in a fixed order.
-func (u *upstream) open() []string {
+// jobIDs returns the IDs of the jobs here in sorted order.
+func (u *upstream) jobIDs() []string {
 	ids := make([]string, 0, len(u.jobs))
 	for id := range u.jobs {
 		ids = append(ids, id)
