--- a/drive/scene/scene.go
+++ b/drive/scene/scene.go
@@ -1,14 +1,15 @@
-// Package scene plays loads on the decisions that entries and agents run, with a
-// driven clock and without I/O.
+// Package scene simulates the routing and admission decisions of entries and agents, with
+// a simulated clock and without I/O.
 //
-//	Asks --> route (each entry) --> gate (each agent) --> engine
-//	              ^                     |
-//	              '----- reports -------'
+//	Requests --> route (each entry) --> gate (each agent) --> engine
+//	                  ^
 //
-// Load pattern: whatever a test draws up: clumps, adapters that nobody asked for
-// before, engines that vanish. Played on the bench, one such moment is seconds
-// of a day among thousands of requests, and a change of it is lost in the noise.
-// Here the same requests come at the same milliseconds each time.
+//	                  '----- reports -------'
+//
+// Tests define the load: bursts, adapters that were not requested before, engines that
+// fail. On the test bench such an event lasts seconds within a day of traffic, and an
+// effect on it is lost in noise. Here the same requests arrive at the same milliseconds in
+// each run.
 package scene
 
 import (
@@ -21,213 +22,225 @@
 	"magnoliastall.example/magno/route"
 )
 
-// How engines work; by the sheets of both deployments.
+// Engine parameters, from the specifications of both deployments.
 const (
-	// readRate is prompt tokens a millisecond, token the time that one of the
-	// answer takes, load that of an adapter from the store.
-	readRate = 38.4
-	token    = 6.0
-	// stride is the tokens of an event, gap the pause that streams may have.
-	stride = 6
-	gap    = 250 * magno.Millis(1)
-	load   = 250 * magno.Millis(1)
-	// freely is how many adapters are loaded at once before each takes longer.
-	freely = 8
-	// base is the time of the base model's load.
-	base = 1900 * magno.Millis(1)
-	// pauseEvents is the longest pause of a stream on average, in events.
-	pauseEvents = 2.5
-	// slots, batch, memory and tokens bound an engine.
+	// promptRate is in prompt tokens per millisecond, tokenTime the time per output token,
+	// and loadTime the time to load an adapter from the store.
+	promptRate = 38.4
+	tokenTime  = 6.0
+	// tokensPerEvent is the number of tokens per stream event, maxGap the longest allowed
+	// pause in a stream.
+	tokensPerEvent = 6
+	maxGap         = 250 * magno.Millis(1)
+	loadTime       = 250 * magno.Millis(1)
+	// parallelLoads is the number of adapters that can load at once before each load slows
+	// down.
+	parallelLoads = 8
+	// baseLoadTime is the time to load the base model.
+	baseLoadTime = 1900 * magno.Millis(1)
+	// meanPauseEvents is the mean of a stream's longest pause, in events.
+	meanPauseEvents = 2.5
+	// slots, batch, memory and tokens are the limits of an engine.
 	slots  = 22
 	batch  = 32
 	memory = 70_000.0
 	tokens = 126_000
 )
 
-// How processes work.
+// Process parameters.
 const (
-	tick = 5 * magno.Millis(1)
-	// reportEvery is how often an agent asks its engine, tellEvery how often an
-	// entry asks an agent that it has no fresher word of.
-	reportEvery = 30 * magno.Millis(1)
-	tellEvery   = 250 * magno.Millis(1)
-	// choices is how many engines a request is offered to, declines how many of
-	// them may say that another is better by now.
-	choices  = 3
-	declines = 2
-	// lateLeft is what must be left of a request to be worth beginning.
-	lateLeft = 200 * magno.Millis(1)
-	model    = "m"
+	tickInterval = 5 * magno.Millis(1)
+	// reportInterval is how often an agent polls its engine, backlogInterval how often an
+	// entry asks an agent for its backlog when it has no newer report.
+	reportInterval  = 30 * magno.Millis(1)
+	backlogInterval = 250 * magno.Millis(1)
+	// maxOffers is the number of engines that a request is offered to, maxDeclines how
+	// many of them may decline because another engine is better by then.
+	maxOffers   = 3
+	maxDeclines = 2
+	// minTimeLeft is the minimum time left before a request's timeout for it to be
+	// started.
+	minTimeLeft = 200 * magno.Millis(1)
+	model       = "m"
 )
 
-// Ask is a request of a scene.
-type Ask struct {
-	// At is when it comes, to which Entry.
+// Request is a request of a scenario.
+type Request struct {
+	// At is the arrival time, Entry the index of the entry.
 	At      magno.Millis
 	Entry   int
 	Adapter string
 	Prompt  int
 	Output  int
-	// Hint is the caller's estimate of Output, zero for none.
-	Hint int
-	// Rank is its urgency, 0 first; Aim the time to its first token, Limit that
-	// to its end.
-	Rank       int
-	Aim, Limit magno.Millis
-	// Stubborn callers come back at once when they are refused, so many times.
-	Stubborn int
+	// ExpectedOutput is the caller's estimate of Output, zero for none.
+	ExpectedOutput int
+	// Rank is the priority, 0 first. StartTarget is the target time to the first token,
+	// Timeout the time limit for the whole response.
+	Rank                 int
+	StartTarget, Timeout magno.Millis
+	// Retries is how many times the caller retries at once when it is refused.
+	Retries int
 }
 
-// Result is what became of the asks, as shares of them.
+// Result holds the outcomes of the requests as shares of all.
 type Result struct {
-	InAim, Late, Refused, Failed float64
-	// Loads counts adapters brought from the store.
+	OnTime, Late, Refused, Failed float64
+	// Loads counts the adapters loaded from the store.
 	Loads int
 }
 
-// Shape is what differs between fleets; zero values mean the constants above.
-type Shape struct {
-	// Slots and Batch bound what an engine holds and runs.
+// Fleet holds the parameters that differ between fleets; zero values mean the constants
+// above.
+type Fleet struct {
+	// Slots and Batch limit the adapters that an engine holds and the requests that it
+	// runs.
 	Slots, Batch int
-	// Tell is how often an entry asks an agent that it has no fresher word of.
-	Tell magno.Millis
-	// Freely is how many adapters the store loads at once before each takes longer.
-	Freely int
+	// BacklogInterval is how often an entry asks an agent for its backlog when it has no
+	// newer report.
+	BacklogInterval magno.Millis
+	// ParallelLoads is the number of adapters that the store can load at once before each
+	// load slows down.
+	ParallelLoads int
 }
 
-// Scene is what is played. Fields are set before Play.
-type Scene struct {
+// Scenario is a simulated fleet with its requests and faults. Exported fields are set
+// before Run.
+type Scenario struct {
 	Seed             uint64
 	Entries, Engines int
-	Shape            Shape
-	Asks             []Ask
-	// Lose engines at a time, Grey ones fail so large a share of what they run.
-	Lose map[int]magno.Millis
-	Grey map[int]float64
-	// Slow are engines that take so many times as long for a token. Where there are any,
-	// streams pause, and those that pause for too long count as late.
-	Slow map[int]float64
-	// Join are engines that come at a time, empty and without their base model.
-	Join map[int]magno.Millis
-	// Cold engines begin without their base model.
-	Cold bool
-	// Count tells which asks count; nil for all.
-	Count func(Ask) bool
-	// Tuning is of all routers; empty for that of the entries.
+	Fleet            Fleet
+	Requests         []Request
+	// FailAt maps engines to the time at which they fail, ErrorRate to the share of
+	// requests that they fail while they report good health.
+	FailAt    map[int]magno.Millis
+	ErrorRate map[int]float64
+	// Slowdown maps engines to a factor of their time per token. When it is not empty,
+	// streams pause, and those with too long a pause count as late.
+	Slowdown map[int]float64
+	// JoinAt maps engines to the time at which they join, empty and without their base
+	// model.
+	JoinAt map[int]magno.Millis
+	// ColdStart starts engines without their base model.
+	ColdStart bool
+	// Counted selects the requests that count; nil selects all.
+	Counted func(Request) bool
+	// Tuning applies to all routers; the zero value means the tuning of the entries.
 	Tuning route.Tuning
 
 	clock   *magno.Clock
 	rand    *rand.Rand
 	routers []*route.Router
 	engines []*engine
-	flights map[string]*flight
-	done    Result
+	pending map[string]*pendingRequest
+	counts  Result
 	loads   int
 }
 
-// count adds an ask to one of the shares.
-func (s *Scene) count(share *float64, f *flight) {
-	if s.Count == nil || s.Count(f.Ask) {
-		*share++
+// record adds a request to one of the shares.
+func (s *Scenario) record(count *float64, p *pendingRequest) {
+	if s.Counted == nil || s.Counted(p.Request) {
+		*count++
 	}
-	delete(s.flights, f.id)
+	delete(s.pending, p.id)
 }
 
-// flight is an ask on its way.
-type flight struct {
-	Ask
-	id    string
-	tries int
-	avoid []string
-	at    string
-	began magno.Millis
-	// again is when a refused caller comes back.
-	again magno.Millis
+// pendingRequest is a request that has not ended.
+type pendingRequest struct {
+	Request
+	id        string
+	tries     int
+	avoid     []string
+	assigned  string
+	startedAt magno.Millis
+	// retryAt is when a refused caller retries, zero for not at all.
+	retryAt magno.Millis
 }
 
-// engine is one with its agent's gate.
+// engine is a simulated engine with the gate of its agent.
 type engine struct {
 	name    string
 	gate    *gate.Gate
-	lost    bool
+	down    bool
 	born    magno.Millis
-	ready   magno.Millis
+	readyAt magno.Millis
 	held    map[string]int64
-	known   map[string]bool
+	cached  map[string]bool
 	loading map[string]magno.Millis
 	orders  int64
-	// free is when all prompts are read; runs end at their times.
-	free magno.Millis
-	runs map[string]run
+	// promptsDoneAt is when all accepted prompts are processed; runs end at their own
+	// times.
+	promptsDoneAt magno.Millis
+	runs          map[string]run
 }
 
 type run struct {
-	first, end magno.Millis
-	fails      bool
-	// pause is the longest between two of its events, where Scene.Slow is set.
-	pause magno.Millis
+	firstToken, end magno.Millis
+	fails           bool
+	// longestPause is the longest pause between two events, where Scenario.Slowdown is
+	// set.
+	longestPause magno.Millis
 }
 
-// Play returns what became of the asks.
-func (s *Scene) Play() Result {
+// Run simulates the scenario and returns the outcomes of the requests.
+func (s *Scenario) Run() Result {
 	s.setup()
-	last := s.Asks[len(s.Asks)-1].At
+	last := s.Requests[len(s.Requests)-1].At
 	next := 0
-	for len(s.flights) > 0 || next < len(s.Asks) || s.clock.Now() < start+last {
-		now := s.clock.Now() - start
-		for ; next < len(s.Asks) && s.Asks[next].At <= now; next++ {
-			s.arrive(s.Asks[next], next)
+	for len(s.pending) > 0 || next < len(s.Requests) || s.clock.Now() < startTime+last {
+		now := s.clock.Now() - startTime
+		for ; next < len(s.Requests) && s.Requests[next].At <= now; next++ {
+			s.arrive(s.Requests[next], next)
 		}
-		s.returning()
+		s.retryRefused()
 		for i, e := range s.engines {
-			s.step(i, e)
+			s.stepEngine(i, e)
 		}
-		s.clock.Advance(tick)
+		s.clock.Advance(tickInterval)
 	}
-	r := s.done
-	n := r.InAim + r.Late + r.Refused + r.Failed
-	return Result{InAim: r.InAim / n, Late: r.Late / n, Refused: r.Refused / n, Failed: r.Failed / n, Loads: s.loads}
+	r := s.counts
+	n := r.OnTime + r.Late + r.Refused + r.Failed
+	return Result{OnTime: r.OnTime / n, Late: r.Late / n, Refused: r.Refused / n, Failed: r.Failed / n, Loads: s.loads}
 }
 
-// start is the time of day at which scenes begin: a clock never shows zero.
-const start = magno.Hour
+// startTime is when scenarios begin; not zero, as clocks never show zero.
+const startTime = magno.Hour
 
-func (s *Scene) setup() {
-	s.clock = magno.NewClock(start)
+func (s *Scenario) setup() {
+	s.clock = magno.NewClock(startTime)
 	s.rand = rand.New(rand.NewPCG(s.Seed, 1)) //nolint:gosec // no secret
-	s.flights = map[string]*flight{}
+	s.pending = map[string]*pendingRequest{}
 	if s.Tuning == (route.Tuning{}) {
 		s.Tuning = route.PermitTuning()
 	}
-	s.Shape.fill()
-	slices.SortStableFunc(s.Asks, func(a, b Ask) int { return int(a.At - b.At) })
+	s.Fleet.setDefaults()
+	slices.SortStableFunc(s.Requests, func(a, b Request) int { return int(a.At - b.At) })
 	for i := range s.Engines {
 		e := &engine{
-			name: fmt.Sprintf("e%d@1", i), gate: &gate.Gate{Clock: s.clock}, born: 1, ready: start,
-			held: map[string]int64{}, known: map[string]bool{}, loading: map[string]magno.Millis{}, runs: map[string]run{},
+			name: fmt.Sprintf("e%d@1", i), gate: &gate.Gate{Clock: s.clock}, born: 1, readyAt: startTime,
+			held: map[string]int64{}, cached: map[string]bool{}, loading: map[string]magno.Millis{}, runs: map[string]run{},
 		}
-		if s.Cold {
-			e.ready = 0
+		if s.ColdStart {
+			e.readyAt = 0
 		}
 		e.gate.SetSpec(gate.Spec{Replica: e.name, ID: e.name, Engine: magno.Engine{
-			Models: []magno.Model{{Name: model, Size: 66_000, Adapter: 12, Load: base, Disk: base / 2}},
-			Slots:  s.Shape.Slots, Memory: memory, Tokens: tokens, Batch: s.Shape.Batch, Stride: stride,
+			Models: []magno.Model{{Name: model, Size: 66_000, Adapter: 12, Load: baseLoadTime, Disk: baseLoadTime / 2}},
+			Slots:  s.Fleet.Slots, Memory: memory, Tokens: tokens, Batch: s.Fleet.Batch, Stride: tokensPerEvent,
 		}})
-		_, joins := s.Join[i]
-		e.lost = joins
+		_, joins := s.JoinAt[i]
+		e.down = joins
 		s.engines = append(s.engines, e)
 	}
 	for i := range s.Entries {
 		s.routers = append(s.routers, &route.Router{Clock: s.clock, Seed: s.Seed + uint64(i), DataCentre: "x", Tuning: s.Tuning})
 	}
-	s.list()
+	s.updateTargets()
 }
 
-// list tells all entries which engines there are.
-func (s *Scene) list() {
+// updateTargets sends the current list of engines to all entries.
+func (s *Scenario) updateTargets() {
 	var targets []magno.Target
 	for _, e := range s.engines {
-		if !e.lost {
+		if !e.down {
 			targets = append(targets, magno.Target{Name: e.name, DataCentre: "x"})
 		}
 	}
@@ -236,22 +249,22 @@
 	}
 }
 
-func (s *Shape) fill() {
-	if s.Slots == 0 {
-		s.Slots = slots
+func (f *Fleet) setDefaults() {
+	if f.Slots == 0 {
+		f.Slots = slots
 	}
-	if s.Batch == 0 {
-		s.Batch = batch
+	if f.Batch == 0 {
+		f.Batch = batch
 	}
-	if s.Tell == 0 {
-		s.Tell = tellEvery
+	if f.BacklogInterval == 0 {
+		f.BacklogInterval = backlogInterval
 	}
-	if s.Freely == 0 {
-		s.Freely = freely
+	if f.ParallelLoads == 0 {
+		f.ParallelLoads = parallelLoads
 	}
 }
 
-func (s *Scene) engine(name string) *engine {
+func (s *Scenario) engine(name string) *engine {
 	for _, e := range s.engines {
 		if e.name == name {
 			return e
@@ -260,90 +273,90 @@
 	return nil
 }
 
-func (s *Scene) arrive(a Ask, n int) {
-	f := &flight{Ask: a, id: fmt.Sprint(n), began: s.clock.Now()}
-	s.flights[f.id] = f
-	s.offer(f)
+func (s *Scenario) arrive(r Request, n int) {
+	p := &pendingRequest{Request: r, id: fmt.Sprint(n), startedAt: s.clock.Now()}
+	s.pending[p.id] = p
+	s.offer(p)
 }
 
-// offer asks the agents of the best engines in turn. The first may say that another
-// is better by now.
-func (s *Scene) offer(f *flight) {
-	router := s.routers[f.Entry]
-	q := magno.Query{Ref: magno.Ref{Adapter: gate.QualifiedName(model, f.Adapter)}, Aim: f.Aim, Gap: gap, Avoid: f.avoid}
-	choice := router.Choose(q)
-	for range declines {
-		if !s.declined(f, choice) {
+// offer offers a request to the best engines in turn. The first of them may decline
+// because another is better by then.
+func (s *Scenario) offer(p *pendingRequest) {
+	router := s.routers[p.Entry]
+	query := magno.Query{Ref: magno.Ref{Adapter: gate.QualifiedName(model, p.Adapter)}, Aim: p.StartTarget, Gap: maxGap, Avoid: p.avoid}
+	choice := router.Choose(query)
+	for range maxDeclines {
+		if !s.declined(p, choice) {
 			break
 		}
-		choice = router.Choose(q)
+		choice = router.Choose(query)
 	}
-	for _, name := range choice.Names[:min(len(choice.Names), choices)] {
+	for _, name := range choice.Names[:min(len(choice.Names), maxOffers)] {
 		e := s.engine(name)
-		if e.lost {
+		if e.down {
 			continue
 		}
-		router.Sent(name, f.Prompt)
-		if e.gate.Offer(s.ask(f)) == nil {
-			f.at = name
+		router.Sent(name, p.Prompt)
+		if e.gate.Offer(s.gateRequest(p)) == nil {
+			p.assigned = name
 			return
 		}
-		router.Sent(name, -f.Prompt)
+		router.Sent(name, -p.Prompt)
 	}
-	s.refused(f)
+	s.refuse(p)
 }
 
-// declined asks the first of a choice, and brings its word to the router if it says
-// that another is better.
-func (s *Scene) declined(f *flight, choice magno.Choice) bool {
+// declined asks the first engine of a choice whether it declines, and if so reports the
+// engine's backlog to the router.
+func (s *Scenario) declined(p *pendingRequest, choice magno.Choice) bool {
 	if len(choice.Names) == 0 {
 		return false
 	}
 	e := s.engine(choice.Names[0])
-	a := s.ask(f)
-	a.DeclineAbove = choice.Most
-	if e.lost || !e.gate.Declines(&a) {
+	request := s.gateRequest(p)
+	request.DeclineAbove = choice.Most
+	if e.down || !e.gate.Declines(&request) {
 		return false
 	}
-	s.routers[f.Entry].Report(e.name, e.gate.Backlog())
+	s.routers[p.Entry].Report(e.name, e.gate.Backlog())
 	return true
 }
 
-// ask is a flight as a gate sees it.
-func (s *Scene) ask(f *flight) gate.Request {
+// gateRequest converts a pending request to the form that gates take.
+func (s *Scenario) gateRequest(p *pendingRequest) gate.Request {
 	now := s.clock.Now()
-	left := f.began + f.Limit - now
+	left := p.startedAt + p.Timeout - now
 	return gate.Request{
-		ID: f.id, Model: model, Adapter: f.Adapter, Prompt: f.Prompt, MaxOutput: f.Output, ExpectedOutput: f.Hint, Rank: f.Rank,
-		StartTarget: f.Aim - (now - f.began), MaxWait: left - lateLeft, TimeLeft: left, MaxGap: gap,
+		ID: p.id, Model: model, Adapter: p.Adapter, Prompt: p.Prompt, MaxOutput: p.Output, ExpectedOutput: p.ExpectedOutput, Rank: p.Rank,
+		StartTarget: p.StartTarget - (now - p.startedAt), MaxWait: left - minTimeLeft, TimeLeft: left, MaxGap: maxGap,
 	}
 }
 
-// refused ends a flight, or has a stubborn caller come back.
-func (s *Scene) refused(f *flight) {
-	f.at, f.avoid = "", nil
-	f.tries++
-	if f.tries <= f.Stubborn && s.clock.Now()-f.began < f.Limit/2 {
-		f.again = s.clock.Now() + tick
+// refuse ends a request, or schedules a retry if its caller still retries.
+func (s *Scenario) refuse(p *pendingRequest) {
+	p.assigned, p.avoid = "", nil
+	p.tries++
+	if p.tries <= p.Retries && s.clock.Now()-p.startedAt < p.Timeout/2 {
+		p.retryAt = s.clock.Now() + tickInterval
 		return
 	}
-	s.count(&s.done.Refused, f)
+	s.record(&s.counts.Refused, p)
 }
 
-// returning offers those that came back.
-func (s *Scene) returning() {
-	for _, id := range s.ids() {
-		if f := s.flights[id]; f.again > 0 && s.clock.Now() >= f.again {
-			f.again = 0
+// retryRefused offers the requests whose callers retry now.
+func (s *Scenario) retryRefused() {
+	for _, id := range s.pendingIDs() {
+		if f := s.pending[id]; f.retryAt > 0 && s.clock.Now() >= f.retryAt {
+			f.retryAt = 0
 			s.offer(f)
 		}
 	}
 }
 
-// ids are those of all flights, in an order that doesn't change.
-func (s *Scene) ids() []string {
-	list := make([]string, 0, len(s.flights))
-	for id := range s.flights {
+// pendingIDs returns the IDs of all pending requests in sorted order.
+func (s *Scenario) pendingIDs() []string {
+	list := make([]string, 0, len(s.pending))
+	for id := range s.pending {
 		list = append(list, id)
 	}
 	slices.Sort(list)
--- a/drive/scene/wide_test.go
+++ b/drive/scene/wide_test.go
@@ -6,72 +6,72 @@
 	"magnoliastall.example/magno"
 )
 
-// A fleet as at a site of hundreds of machines, at a quarter of its size: many
-// entries that hear of each engine once a second, and engines of few places.
+// A fleet as at a site of hundreds of machines, scaled to a quarter: many entries that
+// receive reports from each engine once a second, and engines with few slots.
 const (
 	wideEntries = 17
 	wideEngines = 30
 	wideSeeds   = 3
 	wideSpan    = 7 * magno.Second
-	// wideRate is 60 in 100 of what the engines' places hold.
+	// wideRate is 60% of the capacity of the engines' batches.
 	wideRate = 140
 )
 
-var wideShape = Shape{Slots: 11, Batch: 12, Tell: magno.Second, Freely: 14}
+var wideFleet = Fleet{Slots: 11, Batch: 12, BacklogInterval: magno.Second, ParallelLoads: 14}
 
-// shift is traffic in which one adapter that nobody held takes a quarter of all from
-// one moment on.
-func shift(seed uint64) []Ask {
-	const hot = wideRate / 4 * 4 // a quarter of the rate for four seconds
-	list := Burst(seed, Reading, hot, 2500, 4000, named("hot"))
+// shiftTraffic returns traffic in which one adapter that no engine holds suddenly receives
+// a quarter of all requests.
+func shiftTraffic(seed uint64) []Request {
+	const hot = wideRate / 4 * 4 // a quarter of the rate over four seconds
+	list := Burst(seed, StreamedRequest, hot, 2500, 4000, fixedAdapter("hot"))
 	for i := range list {
 		list[i].Entry = i % wideEntries
 	}
-	return append(Wide(seed, wideSpan, wideRate, wideEntries), list...)
+	return append(WideTraffic(seed, wideSpan, wideRate, wideEntries), list...)
 }
 
-// Demand moves to another adapter within a moment, as it does a few times a minute at
-// a large site. One replica holds up its callers for as long as it takes to get a
-// dozen: nine of ten must be in time all the same, also while new engines come that
-// have no base model yet.
+// Guards against late first tokens when demand shifts to another adapter at once, as
+// happens a few times a minute at a large site. A single replica delays its callers until
+// about a dozen are loaded. 90% must be on time, also while new engines join that have no
+// base model yet.
 func TestAdapterThatBecomesHotInAWideFleet(t *testing.T) {
 	const inTime = 0.9
-	hot := func(a Ask) bool { return a.Adapter == "hot" }
+	hot := func(a Request) bool { return a.Adapter == "hot" }
 	for _, c := range []struct {
 		name  string
 		joins int
 	}{{"all engines there", 0}, {"engines join just before", 8}} {
-		r := over(wideSeeds, func(seed uint64) *Scene {
+		r := runSeeds(wideSeeds, func(seed uint64) *Scenario {
 			join := map[int]magno.Millis{}
 			for i := range c.joins {
 				join[i] = 2300
 			}
-			return &Scene{
-				Entries: wideEntries, Engines: wideEngines, Shape: wideShape,
-				Asks: shift(seed), Join: join, Count: hot,
+			return &Scenario{
+				Entries: wideEntries, Engines: wideEngines, Fleet: wideFleet,
+				Requests: shiftTraffic(seed), JoinAt: join, Counted: hot,
 			}
 		})
-		if r.InAim < inTime {
-			t.Errorf("%s: %+v, want %.2f in time", c.name, r, inTime)
+		if r.OnTime < inTime {
+			t.Errorf("%s: got %+v, want a share of %.2f on time", c.name, r, inTime)
 		}
 	}
 }
 
-// Guards against engines that take three times as long for an event as the others, look
-// idle, and get their full share of streams, whose pauses are then too long.
+// Guards against routing a full share of streams to slow engines: engines that take three
+// times as long per event look idle, but their streams pause for too long.
 func TestSlowEnginesGetFewStreams(t *testing.T) {
 	const slow, inTime = 10, 0.9
-	r := over(wideSeeds, func(seed uint64) *Scene {
+	r := runSeeds(wideSeeds, func(seed uint64) *Scenario {
 		engines := map[int]float64{}
 		for i := range slow {
 			engines[i*wideEngines/slow] = 3
 		}
-		return &Scene{
-			Entries: wideEntries, Engines: wideEngines, Shape: wideShape, Slow: engines,
-			Asks: Wide(seed, 3*wideSpan, wideRate/2, wideEntries), Count: func(a Ask) bool { return a.At > wideSpan },
+		return &Scenario{
+			Entries: wideEntries, Engines: wideEngines, Fleet: wideFleet, Slowdown: engines,
+			Requests: WideTraffic(seed, 3*wideSpan, wideRate/2, wideEntries), Counted: func(a Request) bool { return a.At > wideSpan },
 		}
 	})
-	if r.InAim < inTime {
-		t.Errorf("%+v, want %.2f in time", r, inTime)
+	if r.OnTime < inTime {
+		t.Errorf("got %+v, want a share of %.2f on time", r, inTime)
 	}
 }
