--- a/drive/limit/fleet.go
+++ b/drive/limit/fleet.go
@@ -9,36 +9,37 @@
 	"magnoliastall.example/magno/quota"
 )
 
-// homes is how many entries count allowances; askBytes and replyBytes are what a call
-// takes on the wire.
+// maxHomeCandidates is the number of entries among which the homes of customers are
+// chosen; requestBytes and replyBytes are the wire sizes of a call.
 const (
-	homes      = 4
-	askBytes   = 170
-	replyBytes = 90
+	maxHomeCandidates = 4
+	requestBytes      = 170
+	replyBytes        = 90
 )
 
-// fleet is what the entries know.
+// fleet is the state of all entries.
 type fleet struct {
-	*World
+	*Simulation
 	quotas []*quota.Quota
 	grants []*grant.Granter
-	lines  []map[string]*line
+	calls  []map[string]*pendingCall
 }
 
-func newFleet(w *World) *fleet {
+func newFleet(s *Simulation) *fleet {
 	f := &fleet{
-		World: w, quotas: make([]*quota.Quota, w.Entries), grants: make([]*grant.Granter, w.Entries),
-		lines: make([]map[string]*line, w.Entries),
+		Simulation: s, quotas: make([]*quota.Quota, s.Entries), grants: make([]*grant.Granter, s.Entries),
+		calls: make([]map[string]*pendingCall, s.Entries),
 	}
-	for i := range w.Entries {
+	for i := range s.Entries {
 		f.start(i)
 	}
 	return f
 }
 
-// line is the call of one entry for one customer, and the requests that wait.
-type line struct {
-	calling bool
+// pendingCall is the call of one entry to the home of one customer, with the requests that
+// wait for the next call.
+type pendingCall struct {
+	active  bool
 	waiting []request
 }
 
@@ -47,17 +48,17 @@
 	decided func(bool)
 }
 
-// start has an entry begin, or begin anew with nothing known.
+// start starts or restarts an entry with empty state.
 func (f *fleet) start(i int) {
-	f.quotas[i], f.grants[i], f.lines[i] = &quota.Quota{Clock: f.Clock}, &grant.Granter{Clock: f.Clock, Window: window}, map[string]*line{}
+	f.quotas[i], f.grants[i], f.calls[i] = &quota.Quota{Clock: f.Clock}, &grant.Granter{Clock: f.Clock, Window: window}, map[string]*pendingCall{}
 }
 
-func (f *fleet) ask(i int, customer string, cost float64, decided func(bool)) {
+func (f *fleet) admit(i int, customer string, cost float64, decided func(bool)) {
 	q, limit := f.quotas[i], *f.limits[customer]
-	v, _ := q.Take(customer, limit, cost)
-	if v != quota.Pending {
-		decided(v == quota.Allowed)
-		if v == quota.Allowed && q.Low(customer, limit) {
+	verdict, _ := q.Take(customer, limit, cost)
+	if verdict != quota.Pending {
+		decided(verdict == quota.Allowed)
+		if verdict == quota.Allowed && q.Low(customer, limit) {
 			f.call(i, customer, nil)
 		}
 		return
@@ -66,7 +67,7 @@
 }
 
 func (f *fleet) tick(i int) {
-	if f.Clock.Now()/step%50 != 0 {
+	if f.Clock.Now()/tickInterval%50 != 0 {
 		return
 	}
 	for customer := range f.quotas[i].Surplus() {
@@ -75,22 +76,22 @@
 }
 
 func (f *fleet) call(i int, customer string, r *request) {
-	l := f.lines[i][customer]
+	l := f.calls[i][customer]
 	if l == nil {
-		l = &line{}
-		f.lines[i][customer] = l
+		l = &pendingCall{}
+		f.calls[i][customer] = l
 	}
 	if r != nil {
 		l.waiting = append(l.waiting, *r)
 	}
-	if l.calling {
+	if l.active {
 		return
 	}
-	l.calling = true
-	joined := l.waiting
+	l.active = true
+	batch := l.waiting
 	l.waiting = nil
 	need, least := 0.0, 0.0
-	for _, r := range joined {
+	for _, r := range batch {
 		need += r.cost
 		if least == 0 || r.cost < least {
 			least = r.cost
@@ -98,16 +99,16 @@
 	}
 	q, limit := f.quotas[i], *f.limits[customer]
 	ask := q.Ask(customer, limit, need, least)
-	over := false
+	ended := false
 	end := func(reply *grant.Reply) {
-		if over || f.lines[i][customer] != l {
+		if ended || f.calls[i][customer] != l {
 			return
 		}
-		over, l.calling = true, false
+		ended, l.active = true, false
 		if reply != nil {
 			q.Granted(ask, *reply, limit)
 		}
-		for _, r := range joined {
+		for _, r := range batch {
 			var v quota.Verdict
 			if reply == nil {
 				v, _ = q.Fallback(customer, limit, r.cost, f.Entries)
@@ -120,24 +121,24 @@
 			f.call(i, customer, nil)
 		}
 	}
-	at := f.at(i, customer)
-	if at == i {
-		reply := f.grants[i].Grant(ask, limit, f.alive(i), f.known(i))
+	home := f.home(i, customer)
+	if home == i {
+		reply := f.grants[i].Grant(ask, limit, f.aliveCount(i), f.granterCount(i))
 		end(&reply)
 		return
 	}
-	f.after(callTime, func() { end(nil) })
-	f.Send(i, at, askBytes, func() {
-		reply := f.grants[at].Grant(ask, limit, f.alive(at), f.known(at))
-		f.Send(at, i, replyBytes, func() { end(&reply) })
+	f.after(callTimeout, func() { end(nil) })
+	f.Send(i, home, requestBytes, func() {
+		reply := f.grants[home].Grant(ask, limit, f.aliveCount(home), f.granterCount(home))
+		f.Send(home, i, replyBytes, func() { end(&reply) })
 	})
 }
 
-// at is a customer's home as an entry sees it.
-func (f *fleet) at(self int, customer string) int {
+// home returns the home of a customer as seen by an entry.
+func (f *fleet) home(self int, customer string) int {
 	best, found := -1, 0
 	var lowest uint64
-	for i := 0; i < f.Entries && found < homes; i++ {
+	for i := 0; i < f.Entries && found < maxHomeCandidates; i++ {
 		if !f.Alive(self, i) {
 			continue
 		}
@@ -149,7 +150,7 @@
 	return best
 }
 
-func (f *fleet) alive(self int) (n int) {
+func (f *fleet) aliveCount(self int) (n int) {
 	for i := range f.Entries {
 		if f.Alive(self, i) {
 			n++
@@ -158,16 +159,17 @@
 	return n
 }
 
-// known counts the entries that may grant something: those that were killed don't, and
-// one that has just started takes it that there are some.
-func (f *fleet) known(self int) (n int) {
+// granterCount counts the entries that may hold grants, from the point of view of an
+// entry. Entries observed as down hold none. An entry that has just restarted and does not
+// know the others yet assumes at least assumedEntries.
+func (f *fleet) granterCount(self int) (n int) {
 	for i := range f.Entries {
-		if !f.believed(i).down || i == self {
+		if !f.observed(i).down || i == self {
 			n++
 		}
 	}
-	if f.was[self].down && f.Clock.Now()-f.changed[self] < met {
-		return max(n, unmet)
+	if f.before[self].down && f.Clock.Now()-f.changedAt[self] < joinTime {
+		return max(n, assumedEntries)
 	}
 	return n
 }
--- a/drive/limit/limit.go
+++ b/drive/limit/limit.go
@@ -1,10 +1,10 @@
-// Package limit plays customers' requests on the allowances that entries share, with a
-// driven clock and without I/O.
+// Package limit simulates the shared rate limits of customers across entries, with a
+// simulated clock and without I/O.
 //
 //	request --> quota (its entry) <--lease--> grant (the customer's home) --> Result
 //
-// Load pattern: a customer at many times its usual, small customers whose allowance is a
-// few requests, entries that are killed or cut off, limits far below what is sent.
+// Loads: a customer at many times its usual rate, small customers with quotas of a few
+// requests, entries that are killed or partitioned, and limits far below the offered load.
 package limit
 
 import (
@@ -17,100 +17,107 @@
 )
 
 const (
-	// hop is how long a message takes.
-	hop = 2 * magno.Millis(1)
-	// callTime is when a call without an answer has failed.
-	callTime = 150 * magno.Millis(1)
-	// noticed is how long entries take to notice that another one is gone, met how long
-	// one that starts takes to meet the others. Until then it counts unmet entries.
-	noticed = 2 * magno.Second
-	met     = 300 * magno.Millis(1)
-	unmet   = 16
-	// sureFor is how long an entry that is cut off takes requests with keys.
-	sureFor = 5 * magno.Second
-	// overshoot and slack are what may run beyond an allowance in a window.
-	overshoot = 0.25
-	slack     = 17_000
-	// window is the span in which what a customer has run is bounded.
-	window = 8 * magno.Second
-	step   = 10 * magno.Millis(1)
+	// messageDelay is the delivery time of a message.
+	messageDelay = 2 * magno.Millis(1)
+	// callTimeout is when a call without a reply has failed.
+	callTimeout = 150 * magno.Millis(1)
+	// downDetection is how long entries take to notice that another one is down, joinTime
+	// how long a restarted entry takes to learn about the others. Until then it assumes
+	// assumedEntries.
+	downDetection  = 2 * magno.Second
+	joinTime       = 300 * magno.Millis(1)
+	assumedEntries = 16
+	// isolationLimit is how long a partitioned entry still accepts requests with
+	// idempotency keys.
+	isolationLimit = 5 * magno.Second
+	// overshoot and overshootCost are the relative and absolute excess over a limit that
+	// is allowed in a window.
+	overshoot     = 0.25
+	overshootCost = 17_000
+	// window is the span over which a customer's cost is bounded.
+	window       = 8 * magno.Second
+	tickInterval = 10 * magno.Millis(1)
 )
 
-// Customer sends requests.
+// Customer is a source of requests.
 type Customer struct {
 	Name  string
 	Limit magno.Limit
-	// Rate is the requests a second, Cost their mean cost.
+	// Rate is in requests per second, Cost the mean cost of a request.
 	Rate, Cost float64
-	// Spread is by how many entries its requests come, zero for all.
-	Spread int
+	// EntryCount is the number of entries that receive its requests, zero for all.
+	EntryCount int
 }
 
-// World is the entries and what happens to them. Exported fields are set before Play.
-type World struct {
+// Simulation is a set of entries with their load and faults. Exported fields are set
+// before Run.
+type Simulation struct {
 	Entries   int
 	Customers []Customer
-	// For is how long it is played, Seed draws requests.
-	For  magno.Millis
-	Seed uint64
-	// At maps times to what happens then.
-	At map[magno.Millis]func(w *World)
+	// Duration is the length of the run; Seed seeds the drawing of requests.
+	Duration magno.Millis
+	Seed     uint64
+	// Actions maps times to actions on the simulation.
+	Actions map[magno.Millis]func(w *Simulation)
 
 	Clock *magno.Clock
-	// Down and Cut tell of each entry whether it runs, and whether messages reach it.
-	Down, Cut []bool
-	// Bytes and Messages count what entries tell each other.
+	// Down and Partitioned hold for each entry whether it is down and whether it is
+	// unreachable.
+	Down, Partitioned []bool
+	// Bytes and Messages count the traffic between entries.
 	Bytes, Messages int
 
-	rng   *rand.Rand
-	queue later.Queue
-	fleet *fleet
-	was   []state // each entry's before its last change
-	// changed is when that was.
-	changed []magno.Millis
-	limits  map[string]*magno.Limit
-	tally   map[string]*tally
-	waited  magno.Millis
-	decided int
+	rng    *rand.Rand
+	queue  later.Queue
+	fleet  *fleet
+	before []state // state of each entry before its last change
+	// changedAt is the time of each entry's last change.
+	changedAt []magno.Millis
+	limits    map[string]*magno.Limit
+	tally     map[string]*tally
+	totalWait magno.Millis
+	decisions int
 }
 
-// Result is how the customers fared.
+// Result is the outcome for the customers.
 type Result struct {
-	// Below is how much less runs than one bucket for all would let run, as a share of
-	// that; Small the same of the worst customer.
-	Below, Small float64 // Over is the most in any window, as a share of the limit there; Bound is that as a
-	// share of what may run at most.
-	Over, Bound float64
+	// Shortfall is how much less cost is admitted than by a single shared bucket, as a
+	// share of the latter. WorstShortfall is the same for the worst customer.
+	Shortfall, WorstShortfall float64
+	// PeakLimitUse is the highest cost in any window as a share of the limit in it,
+	// PeakBoundUse as a share of the limit plus the allowed excess.
+	PeakLimitUse, PeakBoundUse float64
 	// Wait is the mean wait for a verdict in milliseconds.
 	Wait float64
-	// Bytes and Messages are a second, of each entry.
+	// Bytes and Messages are per second and entry.
 	Bytes, Messages float64
 }
 
-// ideal lets run what an allowance has in any window, counted in one place.
-type ideal struct {
+// referenceQuota admits what a limit allows in any window, counted centrally.
+type referenceQuota struct {
 	granted slide.Sum
 }
 
-func (i *ideal) take(cost float64, l magno.Limit, now magno.Millis) bool {
-	if most := l.Rate*float64(window)/1000 + l.Burst; i.granted.Total(now)+cost > most {
+func (q *referenceQuota) take(cost float64, l magno.Limit, now magno.Millis) bool {
+	if limit := l.Rate*float64(window)/1000 + l.Burst; q.granted.Total(now)+cost > limit {
 		return false
 	}
-	i.granted.Add(cost, now)
+	q.granted.Add(cost, now)
 	return true
 }
 
-// state is what befell an entry.
-type state struct{ down, cut bool }
+// state is the fault state of an entry.
+type state struct{ down, partitioned bool }
 
 type tally struct {
-	ideal ideal
-	// owed is what one bucket for all lets run, ran what did.
-	owed, ran float64
-	// runs are those of the last window, sum their cost.
-	runs        []run
-	sum         float64
-	over, bound float64
+	reference referenceQuota
+	// expected is the cost that a single shared bucket admits, served the cost that was
+	// admitted.
+	expected, served float64
+	// inWindow are the requests of the last window, windowCost their total cost.
+	inWindow                   []run
+	windowCost                 float64
+	peakLimitUse, peakBoundUse float64
 }
 
 type run struct {
@@ -118,174 +125,174 @@
 	cost float64
 }
 
-// Play plays the world to its end.
-func (w *World) Play() Result {
-	w.setup()
-	for at, happens := range w.At {
-		w.after(at, func() { happens(w) })
+// Run runs the simulation to its end.
+func (s *Simulation) Run() Result {
+	s.setup()
+	for at, action := range s.Actions {
+		s.after(at, func() { action(s) })
 	}
-	for i := range w.Customers {
-		w.arrive(&w.Customers[i])
+	for i := range s.Customers {
+		s.arrive(&s.Customers[i])
 	}
-	w.after(step, w.tick)
-	end := w.Clock.Now() + w.For
+	s.after(tickInterval, s.tick)
+	end := s.Clock.Now() + s.Duration
 	for {
-		at, do := w.queue.Pop()
+		at, do := s.queue.Pop()
 		if at > end {
 			break
 		}
-		w.Clock.Advance(at - w.Clock.Now())
+		s.Clock.Advance(at - s.Clock.Now())
 		do()
 	}
-	return w.result()
+	return s.result()
 }
 
-func (w *World) setup() {
-	w.Clock = magno.NewClock(magno.Hour)
-	w.rng = rand.New(rand.NewPCG(w.Seed, 1)) //nolint:gosec // a drawn load
-	w.Down, w.Cut = make([]bool, w.Entries), make([]bool, w.Entries)
-	w.was, w.changed = make([]state, w.Entries), make([]magno.Millis, w.Entries)
-	w.limits, w.tally = map[string]*magno.Limit{}, map[string]*tally{}
-	for i := range w.Customers {
-		c := &w.Customers[i]
+func (s *Simulation) setup() {
+	s.Clock = magno.NewClock(magno.Hour)
+	s.rng = rand.New(rand.NewPCG(s.Seed, 1)) //nolint:gosec // reproducible load, no secret
+	s.Down, s.Partitioned = make([]bool, s.Entries), make([]bool, s.Entries)
+	s.before, s.changedAt = make([]state, s.Entries), make([]magno.Millis, s.Entries)
+	s.limits, s.tally = map[string]*magno.Limit{}, map[string]*tally{}
+	for i := range s.Customers {
+		c := &s.Customers[i]
 		l := c.Limit
-		w.limits[c.Name] = &l
-		w.tally[c.Name] = &tally{ideal: ideal{granted: slide.Sum{Window: window}}}
+		s.limits[c.Name] = &l
+		s.tally[c.Name] = &tally{reference: referenceQuota{granted: slide.Sum{Window: window}}}
 	}
-	w.fleet = newFleet(w)
+	s.fleet = newFleet(s)
 }
 
-// after has something happen later.
-func (w *World) after(d magno.Millis, f func()) { w.queue.Schedule(w.Clock.Now()+d, f) }
+// after schedules an event.
+func (s *Simulation) after(d magno.Millis, f func()) { s.queue.Schedule(s.Clock.Now()+d, f) }
 
-func (w *World) tick() {
-	for i := range w.Entries {
-		if !w.Down[i] {
-			w.fleet.tick(i)
+func (s *Simulation) tick() {
+	for i := range s.Entries {
+		if !s.Down[i] {
+			s.fleet.tick(i)
 		}
 	}
-	w.after(step, w.tick)
+	s.after(tickInterval, s.tick)
 }
 
-// arrive draws a customer's next request.
-func (w *World) arrive(c *Customer) {
-	pause := magno.Millis(w.rng.ExpFloat64() / c.Rate * float64(magno.Second))
-	w.after(pause, func() {
-		w.request(c)
-		w.arrive(c)
+// arrive schedules a customer's next request.
+func (s *Simulation) arrive(c *Customer) {
+	pause := magno.Millis(s.rng.ExpFloat64() / c.Rate * float64(magno.Second))
+	s.after(pause, func() {
+		s.request(c)
+		s.arrive(c)
 	})
 }
 
-func (w *World) request(c *Customer) {
-	entry := w.rng.IntN(w.Entries)
-	if c.Spread > 0 {
-		entry %= c.Spread
+func (s *Simulation) request(c *Customer) {
+	entry := s.rng.IntN(s.Entries)
+	if c.EntryCount > 0 {
+		entry %= c.EntryCount
 	}
-	for tries := 0; w.Down[entry] && tries < w.Entries; tries++ { // callers connect elsewhere
-		entry = (entry + 1) % w.Entries
+	for tries := 0; s.Down[entry] && tries < s.Entries; tries++ { // callers connect to another entry
+		entry = (entry + 1) % s.Entries
 	}
-	if w.Down[entry] || w.unsure(entry) {
+	if s.Down[entry] || s.isolated(entry) {
 		return
 	}
-	cost := math.Min(c.Cost*math.Exp(w.rng.NormFloat64()*0.5), 7000)
-	now := w.Clock.Now()
-	t := w.tally[c.Name]
-	if t.ideal.take(cost, *w.limits[c.Name], now) {
-		t.owed += cost
+	cost := math.Min(c.Cost*math.Exp(s.rng.NormFloat64()*0.5), 7000)
+	now := s.Clock.Now()
+	t := s.tally[c.Name]
+	if t.reference.take(cost, *s.limits[c.Name], now) {
+		t.expected += cost
 	}
-	w.fleet.ask(entry, c.Name, cost, func(runs bool) {
-		w.waited += w.Clock.Now() - now
-		w.decided++
+	s.fleet.admit(entry, c.Name, cost, func(runs bool) {
+		s.totalWait += s.Clock.Now() - now
+		s.decisions++
 		if runs {
-			t.add(cost, w.Clock.Now(), *w.limits[c.Name])
+			t.add(cost, s.Clock.Now(), *s.limits[c.Name])
 		}
 	})
 }
 
 func (t *tally) add(cost float64, now magno.Millis, l magno.Limit) {
-	t.ran += cost
-	t.sum += cost
-	t.runs = append(t.runs, run{now, cost})
-	for now-t.runs[0].at >= window {
-		t.sum -= t.runs[0].cost
-		t.runs = t.runs[1:]
+	t.served += cost
+	t.windowCost += cost
+	t.inWindow = append(t.inWindow, run{now, cost})
+	for now-t.inWindow[0].at >= window {
+		t.windowCost -= t.inWindow[0].cost
+		t.inWindow = t.inWindow[1:]
 	}
 	limit := l.Rate*float64(window)/1000 + l.Burst
-	t.over = max(t.over, t.sum/limit)
-	t.bound = max(t.bound, t.sum/(limit*(1+overshoot)+slack))
+	t.peakLimitUse = max(t.peakLimitUse, t.windowCost/limit)
+	t.peakBoundUse = max(t.peakBoundUse, t.windowCost/(limit*(1+overshoot)+overshootCost))
 }
 
-// Send brings a message to another entry, if that runs and the way is open.
-func (w *World) Send(from, to, bytes int, f func()) {
-	w.Messages++
-	w.Bytes += bytes
-	if w.Cut[from] || w.Cut[to] {
+// Send delivers a message to another entry, if that is up and neither end is partitioned.
+func (s *Simulation) Send(from, to, bytes int, f func()) {
+	s.Messages++
+	s.Bytes += bytes
+	if s.Partitioned[from] || s.Partitioned[to] {
 		return
 	}
-	w.after(hop, func() {
-		if !w.Down[to] {
+	s.after(messageDelay, func() {
+		if !s.Down[to] {
 			f()
 		}
 	})
 }
 
-// Alive tells whether one entry believes another to be alive.
-func (w *World) Alive(self, other int) bool {
-	a, b := w.believed(self), w.believed(other)
-	return self == other || (!b.down && !a.cut && !b.cut)
+// Alive reports whether an entry considers another one alive.
+func (s *Simulation) Alive(self, other int) bool {
+	a, b := s.observed(self), s.observed(other)
+	return self == other || (!b.down && !a.partitioned && !b.partitioned)
 }
 
-// believed is an entry's state as others noticed it.
-func (w *World) believed(i int) state {
-	now := state{w.Down[i], w.Cut[i]}
-	since, after := w.Clock.Now()-w.changed[i], noticed
-	if w.was[i].down && !now.down {
-		after = met
+// observed returns an entry's state as others have detected it.
+func (s *Simulation) observed(i int) state {
+	now := state{s.Down[i], s.Partitioned[i]}
+	since, delay := s.Clock.Now()-s.changedAt[i], downDetection
+	if s.before[i].down && !now.down {
+		delay = joinTime
 	}
-	if since < after {
-		return w.was[i]
+	if since < delay {
+		return s.before[i]
 	}
 	return now
 }
 
-// Change does something to entries, which others notice later.
-func (w *World) Change(entries []int, f func(i int)) {
+// Apply changes the state of entries; the others detect it later.
+func (s *Simulation) Apply(entries []int, f func(i int)) {
 	for _, i := range entries {
-		w.was[i], w.changed[i] = state{w.Down[i], w.Cut[i]}, w.Clock.Now()
+		s.before[i], s.changedAt[i] = state{s.Down[i], s.Partitioned[i]}, s.Clock.Now()
 		f(i)
 	}
 }
 
-// unsure tells whether an entry refuses all that needs a key, since it was cut off for
-// too long.
-func (w *World) unsure(i int) bool {
-	return w.Cut[i] && w.Clock.Now()-w.changed[i] > sureFor
+// isolated reports whether an entry has been partitioned for so long that it refuses
+// requests with idempotency keys.
+func (s *Simulation) isolated(i int) bool {
+	return s.Partitioned[i] && s.Clock.Now()-s.changedAt[i] > isolationLimit
 }
 
-// SetLimit changes a customer's limit.
-func (w *World) SetLimit(customer string, l magno.Limit) {
-	*w.limits[customer] = l
-	t := w.tally[customer]
-	t.runs, t.sum, t.over, t.bound = nil, 0, 0, 0
+// SetLimit changes a customer's limit and restarts the measurement of its windows.
+func (s *Simulation) SetLimit(customer string, l magno.Limit) {
+	*s.limits[customer] = l
+	t := s.tally[customer]
+	t.inWindow, t.windowCost, t.peakLimitUse, t.peakBoundUse = nil, 0, 0, 0
 }
 
-func (w *World) result() Result {
+func (s *Simulation) result() Result {
 	var r Result
-	var owed, lost float64
-	for _, c := range w.Customers {
-		t := w.tally[c.Name]
-		less := max(t.owed-t.ran, 0)
-		owed += t.owed
-		lost += less
-		if t.owed > 0 {
-			r.Small = max(r.Small, less/t.owed)
+	var expected, missing float64
+	for _, c := range s.Customers {
+		t := s.tally[c.Name]
+		shortfall := max(t.expected-t.served, 0)
+		expected += t.expected
+		missing += shortfall
+		if t.expected > 0 {
+			r.WorstShortfall = max(r.WorstShortfall, shortfall/t.expected)
 		}
-		r.Over = max(r.Over, t.over)
-		r.Bound = max(r.Bound, t.bound)
+		r.PeakLimitUse = max(r.PeakLimitUse, t.peakLimitUse)
+		r.PeakBoundUse = max(r.PeakBoundUse, t.peakBoundUse)
 	}
-	r.Below = lost / max(owed, 1)
-	r.Wait = float64(w.waited) / float64(max(w.decided, 1))
-	seconds := float64(w.For) / 1000 * float64(w.Entries)
-	r.Bytes, r.Messages = float64(w.Bytes)/seconds, float64(w.Messages)/seconds
+	r.Shortfall = missing / max(expected, 1)
+	r.Wait = float64(s.totalWait) / float64(max(s.decisions, 1))
+	seconds := float64(s.Duration) / 1000 * float64(s.Entries)
+	r.Bytes, r.Messages = float64(s.Bytes)/seconds, float64(s.Messages)/seconds
 	return r
 }
