--- a/drive/fake/fake.go
+++ b/drive/fake/fake.go
@@ -1,6 +1,6 @@
-// Package fake holds a small fake of a model engine for experiments: it
-// batches continuously in steps, keeps adapters in slots and remembers prompt
-// prefixes. Time is told to it; it starts no goroutine.
+// Package fake is a fake model engine for experiments: it does continuous batching in
+// steps, keeps adapters in slots and caches prompt prefixes. The caller drives its time;
+// it starts no goroutine.
 package fake
 
 import (
@@ -9,84 +9,86 @@
 	"magnoliastall.example/magno"
 )
 
-// prefixPart is the share of a prompt that a known prefix saves.
-const prefixPart = 0.5
+// prefixSaving is the share of a prompt that a cached prefix saves.
+const prefixSaving = 0.5
 
-// Engine is one upstream.
+// Engine is one fake engine.
 type Engine struct {
 	Limits magno.Limits
-	// PrefixCacheSize is the number of prefixes kept; zero means no cache.
+	// PrefixCacheSize is the number of cached prefixes; zero disables the cache.
 	PrefixCacheSize int
-	// Slowdown is how many times as long as usual a step takes; at least 1.
+	// Slowdown multiplies the time of a step; values below 1 count as 1.
 	Slowdown float64
 
-	// Steps, CapacityTokens and UsedTokens count steps that had work, and their tokens.
+	// Steps counts the steps that had work, CapacityTokens and UsedTokens their capacity
+	// and the part of it that was used.
 	Steps, CapacityTokens, UsedTokens int64
 
 	running []*run
-	// made is the memory of Step's answer.
-	made   []Progress
-	loaded map[magno.Ref]bool
-	prefix *lru.Cache[uint64, struct{}]
-	// Violations counts jobs that were started without their adapter or over the
-	// batch: faults of a scheduler.
+	// progress is the reused result buffer of Step.
+	progress []Progress
+	loaded   map[magno.Ref]bool
+	prefixes *lru.Cache[uint64, struct{}]
+	// Violations counts scheduler faults: jobs started without their adapter or beyond the
+	// batch limit, and adapters evicted while in use.
 	Violations int
 }
 
 type run struct {
-	job  magno.Job
-	left int
-	// made is what was made of output.
+	job        magno.Job
+	promptLeft int
+	// made counts the output tokens so far, output is their final number.
 	made, output int
 }
 
-// Progress is what one step did for one job.
+// Progress is the result of one step for one job.
 type Progress struct {
-	// ID is the job's.
+	// ID is the ID of the job.
 	ID string
-	// Tokens were made in this step; First is true for the first of the job,
-	// End when it is complete.
+	// Tokens is the number of output tokens of this step. First is true for the first
+	// token of the job, End for its last.
 	Tokens     int
 	First, End bool
 }
 
-// Start puts a job into the batch, which will make that many tokens.
+// Start adds a job to the batch, which will produce the given number of output tokens.
 func (e *Engine) Start(job magno.Job, output int) {
 	if len(e.running) >= e.Limits.Batch || (job.Ref != magno.Ref{} && !e.loaded[job.Ref]) {
 		e.Violations++
 	}
 	left := job.Prompt
 	if job.Prefix != 0 && e.PrefixCacheSize > 0 {
-		if e.prefix == nil {
-			e.prefix, _ = lru.New[uint64, struct{}](e.PrefixCacheSize)
+		if e.prefixes == nil {
+			e.prefixes, _ = lru.New[uint64, struct{}](e.PrefixCacheSize)
 		}
-		if e.prefix.Contains(job.Prefix) {
-			left = int(float64(left) * (1 - prefixPart))
+		if e.prefixes.Contains(job.Prefix) {
+			left = int(float64(left) * (1 - prefixSaving))
 		}
-		e.prefix.Add(job.Prefix, struct{}{})
+		e.prefixes.Add(job.Prefix, struct{}{})
 	}
-	e.running = append(e.running, &run{job: job, left: left, output: output})
+	e.running = append(e.running, &run{job: job, promptLeft: left, output: output})
 }
 
-// Running counts jobs in the batch.
+// Running returns the number of jobs in the batch.
 func (e *Engine) Running() int { return len(e.running) }
 
-// StepTime is how long the next step takes.
+// StepTime returns the duration of the next step.
 func (e *Engine) StepTime() magno.Millis {
 	return magno.Millis(float64(e.Limits.Step) * max(1, e.Slowdown))
 }
 
-// Step runs one step; what it returns holds until the next. Jobs whose prompt is read make a token each; what is
-// left of the step reads prompts, oldest job first.
+// Step runs one step. Jobs whose prompt is processed produce one token each; the rest of
+// the step's capacity processes prompts, oldest job first. The result is valid until the
+// next call.
 func (e *Engine) Step() []Progress {
 	if len(e.running) == 0 {
 		return nil
 	}
 	room := e.Limits.Tokens
-	out := e.made[:0]
+	out := e.progress[:0]
 	keep := e.running[:0]
 	for _, r := range e.running {
-		if r.left > 0 || room == 0 {
+		if r.promptLeft > 0 || room == 0 {
 			continue
 		}
 		room--
@@ -94,8 +96,8 @@
 		out = append(out, Progress{ID: r.job.ID, Tokens: 1, First: r.made == 1, End: r.made >= r.output})
 	}
 	for _, r := range e.running {
-		n := min(room, max(r.left, 0))
-		r.left -= n
+		n := min(room, max(r.promptLeft, 0))
+		r.promptLeft -= n
 		room -= n
 		if r.made < r.output {
 			keep = append(keep, r)
@@ -103,14 +105,14 @@
 	}
 	clear(e.running[len(keep):])
 	e.running = keep
-	e.made = out
+	e.progress = out
 	e.Steps++
 	e.CapacityTokens += int64(e.Limits.Tokens)
 	e.UsedTokens += int64(e.Limits.Tokens - room)
 	return out
 }
 
-// Load puts an adapter into a slot; false means that none is free.
+// Load loads an adapter into a slot; false means that no slot is free.
 func (e *Engine) Load(ref magno.Ref) bool {
 	if e.loaded == nil {
 		e.loaded = map[magno.Ref]bool{}
@@ -122,7 +124,7 @@
 	return true
 }
 
-// Unload takes an adapter out of its slot. One in use counts as wrong.
+// Unload evicts an adapter. Each running job that uses it counts as a violation.
 func (e *Engine) Unload(ref magno.Ref) {
 	for _, r := range e.running {
 		if r.job.Ref == ref {
@@ -132,12 +134,12 @@
 	delete(e.loaded, ref)
 }
 
-// Holds is true when the adapter is in a slot.
+// Holds returns whether the adapter is loaded.
 func (e *Engine) Holds(ref magno.Ref) bool { return e.loaded[ref] }
 
-// Reset restarts the engine empty; its jobs are gone.
+// Reset restarts the engine without jobs, adapters and cached prefixes.
 func (e *Engine) Reset() {
 	e.running = nil
 	clear(e.loaded)
-	e.prefix = nil
+	e.prefixes = nil
 }
--- a/drive/fake/fake_test.go
+++ b/drive/fake/fake_test.go
@@ -19,27 +19,27 @@
 		before := e.UsedTokens
 		made := e.Step()
 		if len(made) != want.made || e.UsedTokens-before != want.used {
-			t.Errorf("step %d: %d made, %d used", i, len(made), e.UsedTokens-before)
+			t.Errorf("step %d: %d results, %d tokens used", i, len(made), e.UsedTokens-before)
 		}
 	}
-	// A second job with the same prefix reads half of its prompt, beside the
-	// first one's next token.
+	// With the prefix cached, the second job processes half of its prompt, in the same
+	// step as the next token of the first job.
 	e.Start(magno.Job{ID: "y", Ref: ref, Prompt: 12, Prefix: 7}, 1)
 	before := e.UsedTokens
 	if made := e.Step(); len(made) != 1 || made[0].ID != "x" || e.UsedTokens-before != 7 {
-		t.Errorf("%v made, %d used", made, e.UsedTokens-before)
+		t.Errorf("got results %v, %d tokens used", made, e.UsedTokens-before)
 	}
 	made := e.Step()
 	if len(made) != 2 || !made[0].End || !made[1].End || !made[1].First || e.Running() != 0 {
-		t.Errorf("%+v, %d running", made, e.Running())
+		t.Errorf("got results %+v, %d jobs running", made, e.Running())
 	}
 	if e.Step() != nil || e.Violations != 0 {
-		t.Error("an idle engine took a step, or was wronged")
+		t.Error("an idle engine took a step, or counted a violation")
 	}
 }
 
-// A scheduler that starts a job without its adapter, over the batch, or evicts
-// an adapter in use must show in every experiment's results.
+// Guards against scheduler faults that don't show in the results: jobs started without
+// their adapter or beyond the batch limit, and evictions of adapters in use.
 func TestWrongOrders(t *testing.T) {
 	ref := magno.Ref{Adapter: "a", Version: "1"}
 	tests := map[string]func(e *Engine){
@@ -57,7 +57,7 @@
 		e := &Engine{Limits: magno.Limits{Slots: 1, Batch: 1, Tokens: 10, Step: 5}}
 		e.Load(ref)
 		if do(e); e.Violations != 1 {
-			t.Errorf("%s: %d wrong", name, e.Violations)
+			t.Errorf("%s: got %d violations, want 1", name, e.Violations)
 		}
 	}
 }
