--- a/drive/bound/bound.go
+++ b/drive/bound/bound.go
@@ -1,22 +1,19 @@
-// Package bound works out what no policy can beat on given arrivals, knowing
-// all of them beforehand. Each figure relaxes what makes the real problem
-// hard, so it may lie above what can be reached:
+// Package bound calculates limits that no policy can exceed for given arrivals, with all of them
+// known in advance. Each limit is calculated for a relaxed problem, so it may be higher than what
+// is achievable:
 //
-//   - batch efficiency: any job may share a step with any other, whenever both
-//     came and whatever their deadlines, adapters and engines. Left are the
-//     step's tokens and the batch's places: a job stays at least one step for
-//     each output token and for each step's worth of its prompt. Every known
-//     prefix is taken as a miss, which only adds tokens to a full step.
-//   - goodput: engines are one pool that works without a pause from the first
-//     arrival to the last deadline and holds all adapters; the jobs that are
-//     cheapest for their tokens are chosen, whatever their deadlines, but for
-//     those that even an empty engine can't finish in time. A known prefix
-//     costs nothing, and every plain call is answered.
-//   - mean load stall: slots are without limit and hold an adapter for ever
-//     after its first load; the store works from the beginning at full speed,
-//     and at each moment it has loaded whichever adapters have most requests
-//     so far, even if these are others than a moment before. It holds for
-//     policies that refuse nothing: who refuses what would stall has no stalls.
+//   - batch efficiency: any job may share a step with any other, regardless of arrival times,
+//     deadlines, adapters and engines. What remains are the tokens of a step and the size of the
+//     batch: a job stays for at least one step per output token and per step's worth of its
+//     prompt. Every cached prefix counts as a miss, which only adds tokens to full steps.
+//   - goodput: engines are one pool that works without idle time from the first arrival to the
+//     last deadline and holds all adapters. The jobs with the lowest cost per token are chosen
+//     regardless of their deadlines, except those that even an idle engine can't finish in time.
+//     A cached prefix costs nothing, and every plain call is answered.
+//   - mean load stall: slots are unlimited and keep an adapter after its first load. The store
+//     loads at full speed from the start, and at any time it has loaded the adapters with most
+//     requests so far, even if a moment earlier these were others. The limit is valid for
+//     policies that refuse nothing: refusing the requests that would stall avoids all stalls.
 package bound
 
 import (
@@ -27,33 +24,32 @@
 	"magnoliastall.example/magno"
 )
 
-// Bound is worked out by New.
+// Bound holds the limits for one workload.
 type Bound struct {
 	// BatchEfficiency is the highest batch efficiency.
 	BatchEfficiency float64
-	// GoodShare is the highest share of engine requests answered in time, Goodput
-	// the tokens a second of them and of all plain calls.
+	// GoodShare is the highest share of engine requests answered in time. Goodput is in
+	// tokens per second, over these and all plain calls.
 	GoodShare, Goodput float64
 	// MeanStall is the shortest mean load stall in milliseconds.
 	MeanStall float64
-	// Requests counts engine requests.
+	// Requests counts the engine requests.
 	Requests int
 }
 
-// cost is one engine job's least use of engines.
-type cost struct {
+// jobCost is the lowest cost of one engine job.
+type jobCost struct {
 	tokens int
-	// least is the engine time in steps that it takes when all is shared
-	// best.
-	least float64
+	// minSteps is its minimum engine time in steps, with ideal sharing of the batch.
+	minSteps float64
 }
 
-// New works the bounds out for a workload.
+// New calculates the bounds for a workload and its arrivals.
 func New(l *load.Workload, arrivals []load.Arrival) *Bound {
 	b := &Bound{}
 	limits := l.Deployment.Limits
-	var jobs []cost
-	var tokens, places, n, plain float64
+	var jobs []jobCost
+	var tokens, batchSteps, requests, plainTokens float64
 	var end magno.Millis
 	for i := range arrivals {
 		a := &arrivals[i]
@@ -62,44 +58,44 @@
 			continue
 		}
 		if a.Pool != load.PoolReading {
-			plain += float64(work)
+			plainTokens += float64(work)
 			continue
 		}
-		n++
+		requests++
 		end = max(end, a.Job.Deadline)
-		reading := float64(a.Job.Prompt) / float64(limits.Tokens)
-		steps := reading + float64(a.OutputTokens)
+		promptSteps := float64(a.Job.Prompt) / float64(limits.Tokens)
+		steps := promptSteps + float64(a.OutputTokens)
 		tokens += float64(work)
-		places += steps
+		batchSteps += steps
 		if magno.Millis(a.OutputTokens)*limits.Step > a.Job.Deadline-a.Job.Arrived {
 			continue
 		}
-		made := float64(a.OutputTokens)
-		least := max(made/float64(limits.Tokens), made/float64(limits.Batch))
+		output := float64(a.OutputTokens)
+		least := max(output/float64(limits.Tokens), output/float64(limits.Batch))
 		if a.Job.Prefix == 0 {
 			least = max(float64(work)/float64(limits.Tokens), steps/float64(limits.Batch))
 		}
-		jobs = append(jobs, cost{work, least})
+		jobs = append(jobs, jobCost{work, least})
 	}
 	if tokens > 0 {
 		full := tokens / float64(limits.Tokens)
-		b.BatchEfficiency = full / max(full, places/float64(limits.Batch))
+		b.BatchEfficiency = full / max(full, batchSteps/float64(limits.Batch))
 	}
-	b.Requests = int(n)
-	b.goodput(l, jobs, n, end)
-	b.Goodput += plain / (float64(l.Duration-l.WarmUp) / float64(magno.Second))
+	b.Requests = int(requests)
+	b.goodput(l, jobs, requests, end)
+	b.Goodput += plainTokens / (float64(l.Duration-l.WarmUp) / float64(magno.Second))
 	b.stall(l, arrivals)
 	return b
 }
 
-// goodput fills the engines' time with the jobs of most tokens, and of most
-// number, for their time.
-func (b *Bound) goodput(l *load.Workload, jobs []cost, n float64, end magno.Millis) {
+// goodput fills the available engine time with the cheapest jobs, for GoodShare, and with
+// those of the most tokens per engine time, for Goodput.
+func (b *Bound) goodput(l *load.Workload, jobs []jobCost, n float64, end magno.Millis) {
 	room := float64(end-l.WarmUp) / float64(l.Deployment.Limits.Step) * float64(l.Deployment.Engines)
-	sort.Slice(jobs, func(i, j int) bool { return jobs[i].least < jobs[j].least })
+	sort.Slice(jobs, func(i, j int) bool { return jobs[i].minSteps < jobs[j].minSteps })
 	count, left := 0.0, room
 	for _, j := range jobs {
-		if left -= j.least; left < 0 {
+		if left -= j.minSteps; left < 0 {
 			break
 		}
 		count++
@@ -108,12 +104,12 @@
 		b.GoodShare = count / n
 	}
 	sort.Slice(jobs, func(i, j int) bool {
-		return float64(jobs[i].tokens)*jobs[j].least > float64(jobs[j].tokens)*jobs[i].least
+		return float64(jobs[i].tokens)*jobs[j].minSteps > float64(jobs[j].tokens)*jobs[i].minSteps
 	})
 	sum := 0.0
 	left = room
 	for _, j := range jobs {
-		if left -= j.least; left < 0 {
+		if left -= j.minSteps; left < 0 {
 			break
 		}
 		sum += float64(j.tokens)
@@ -121,14 +117,14 @@
 	b.Goodput = sum / (float64(l.Duration-l.WarmUp) / float64(magno.Second))
 }
 
-// stall sums, over time, the requests that no choice of loaded adapters could
-// have freed.
+// stall integrates, over time, the number of requests that would wait for their adapter
+// with any choice of loaded adapters.
 func (b *Bound) stall(l *load.Workload, arrivals []load.Arrival) {
 	span := l.Deployment.Limits.Load
 	counts := map[magno.Ref]int{}
 	total, i, waited := 0, 0, 0.0
 	for end := span; end-span < l.Duration; end += span {
-		waited += float64(span) * float64(total-most(counts, int(end/span-1)*l.Deployment.ParallelLoads))
+		waited += float64(span) * float64(total-sumLargest(counts, int(end/span-1)*l.Deployment.ParallelLoads))
 		for ; i < len(arrivals) && arrivals[i].Job.Arrived < end; i++ {
 			if ref := arrivals[i].Job.Ref; ref != (magno.Ref{}) && arrivals[i].Job.Arrived >= l.WarmUp {
 				counts[ref]++
@@ -141,8 +137,8 @@
 	}
 }
 
-// most sums the n largest counts.
-func most(counts map[magno.Ref]int, n int) int {
+// sumLargest returns the sum of the n largest counts.
+func sumLargest(counts map[magno.Ref]int, n int) int {
 	list := make([]int, 0, len(counts))
 	for _, c := range counts {
 		list = append(list, c)
--- a/drive/bound/line.go
+++ b/drive/bound/line.go
@@ -2,7 +2,7 @@
 
 import "magnoliastall.example/drive/tally"
 
-// Mean returns the mean bound over runs of one length.
+// Mean returns the mean of the bounds of runs of equal length; Requests is their sum.
 func Mean(runs []*Bound) *Bound {
 	sum := &Bound{}
 	n := float64(len(runs))
@@ -16,8 +16,8 @@
 	return sum
 }
 
-// Line returns the bound in the form of a run's results; what it doesn't bound
-// is zero.
+// Line returns the bound in the form of a run's results, with zeros for what it doesn't
+// bound.
 func (b *Bound) Line() tally.Line {
 	return tally.Line{
 		Customer: tally.Bounded, Offered: b.Requests, Admitted: b.Requests,
