--- a/drive/basel/basel.go
+++ b/drive/basel/basel.go
@@ -1,8 +1,7 @@
-// Package basel holds the baseline routers of experiments: a random upstream,
-// the one with the least work, and the better of two that an adapter's hash
-// names. The first two don't know which upstream holds an adapter, so they
-// show what routing without affinity costs in loads; the third shows what
-// affinity alone gives.
+// Package basel holds the baseline routers of experiments: random choice, least work, and
+// the less loaded of two upstreams chosen by the adapter's hash. The first two don't know
+// which upstream holds an adapter, so they show the loads that routing without affinity
+// costs; the third shows the effect of affinity alone.
 package basel
 
 import (
@@ -16,15 +15,15 @@
 	"magnoliastall.example/magno"
 )
 
-// The names under which the routers register themselves.
+// The names under which the routers are registered.
 const (
 	Random = "random"
 	Least  = "least"
 	Hash   = "hash"
 )
 
-// choices is how many upstreams a route names.
-const choices = 2
+// maxNames is the maximum number of upstreams in a route.
+const maxNames = 2
 
 func init() {
 	magno.Register(magno.SortRouter, Random, func() any { return &Router{} })
@@ -34,10 +33,11 @@
 
 // Router implements magno.Router. Its exported fields are set before use.
 type Router struct {
-	// LeastWork prefers the upstream with the least outstanding work; otherwise
-	// the choice is random.
+	// LeastWork prefers the upstream with the least outstanding work; otherwise the choice
+	// is random.
 	LeastWork bool
-	// HashAffinity limits the choice to two upstreams by rendezvous of the adapter.
+	// HashAffinity limits the choice to two upstreams, by rendezvous hashing of the
+	// adapter.
 	HashAffinity bool
 	Seed         uint64
 	Clock        *magno.Clock
@@ -45,10 +45,10 @@
 	mu    sync.Mutex
 	rand  *rand.Rand
 	names []string
-	// told is the work that an upstream last reported, open what was sent by
-	// this router and not answered.
-	told map[string]report
-	open map[string]int
+	// reported is the work that each upstream last reported, outstanding the work that
+	// this router sent and that has not ended.
+	reported    map[string]report
+	outstanding map[string]int
 }
 
 type report struct {
@@ -62,7 +62,7 @@
 	defer r.mu.Unlock()
 	if r.rand == nil {
 		r.rand = rand.New(rand.NewPCG(r.Seed, 0xba5e))
-		r.told, r.open = map[string]report{}, map[string]int{}
+		r.reported, r.outstanding = map[string]report{}, map[string]int{}
 	}
 	r.names = r.names[:0]
 	for _, t := range targets {
@@ -72,7 +72,7 @@
 	}
 }
 
-// Route returns two names that were not tried.
+// Route returns at most two upstreams that were not tried.
 func (r *Router) Route(q magno.Query) []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -84,45 +84,45 @@
 	}
 	if r.HashAffinity && q.Ref != (magno.Ref{}) {
 		slices.SortFunc(names, func(a, b string) int { return cmp.Compare(weight(b, q.Ref), weight(a, q.Ref)) })
-		names = names[:min(choices, len(names))]
+		names = names[:min(maxNames, len(names))]
 	}
 	if r.LeastWork {
-		slices.SortStableFunc(names, func(a, b string) int { return r.load(a) - r.load(b) })
+		slices.SortStableFunc(names, func(a, b string) int { return r.estimate(a) - r.estimate(b) })
 	}
-	return names[:min(choices, len(names))]
+	return names[:min(maxNames, len(names))]
 }
 
 func weight(name string, ref magno.Ref) uint64 {
 	return xxhash.Sum64String(name + "/" + ref.String())
 }
 
-// load takes the larger of what was reported and what this router sent: other
-// routers' work shows only in reports, its own latest only here. A report
-// loses half its weight each second, for an upstream that was full once and
-// gets nothing since would never report again.
-func (r *Router) load(name string) int {
-	told := r.told[name]
-	halves := min(62, (r.Clock.Now()-told.at)/magno.Second)
-	return max(told.work>>halves, r.open[name])
+// estimate returns the larger of the reported work and the work sent by this router: the
+// work of other routers shows only in reports, and this router's most recent work only in
+// its own count. The weight of a report halves each second, because an upstream that was
+// once full and no longer receives work would never report again.
+func (r *Router) estimate(name string) int {
+	last := r.reported[name]
+	halves := min(62, (r.Clock.Now()-last.at)/magno.Second)
+	return max(last.work>>halves, r.outstanding[name])
 }
 
-// Report takes the work queued at name.
+// Report stores the work queued at an upstream.
 func (r *Router) Report(name string, b magno.Backlog) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.told[name] = report{b.Work, r.Clock.Now()}
+	r.reported[name] = report{b.Work, r.Clock.Now()}
 }
 
-// Sent counts work as outstanding.
+// Sent adds work to an upstream's outstanding work.
 func (r *Router) Sent(name string, work int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.open[name] += work
+	r.outstanding[name] += work
 }
 
-// Ended takes it off.
+// Ended subtracts it again.
 func (r *Router) Ended(name string, work int, _ magno.Millis, _ bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.open[name] -= work
+	r.outstanding[name] -= work
 }
