--- a/drive/later/later.go
+++ b/drive/later/later.go
@@ -1,4 +1,4 @@
-// Package later holds what happens at times of a driven clock.
+// Package later is the event queue of simulations.
 package later
 
 import (
@@ -7,8 +7,8 @@
 	"magnoliastall.example/magno"
 )
 
-// Queue is events in the order of their times; those of one time happen in the order in
-// which they were planned. The zero value is empty. One goroutine uses it.
+// Queue holds events in order of time, and events at the same time in the order in which
+// they were scheduled. The zero value is empty. It is not safe for concurrent use.
 type Queue struct {
 	events events
 	seq    int64
@@ -20,13 +20,13 @@
 	do  func()
 }
 
-// Schedule plans an event.
+// Schedule adds an event.
 func (q *Queue) Schedule(at magno.Millis, do func()) {
 	q.seq++
 	heap.Push(&q.events, event{at: at, seq: q.seq, do: do})
 }
 
-// NextTime is when the first event is, false when there is none.
+// NextTime returns the time of the first event, false when the queue is empty.
 func (q *Queue) NextTime() (at magno.Millis, ok bool) {
 	if len(q.events) == 0 {
 		return 0, false
@@ -34,19 +34,19 @@
 	return q.events[0].at, true
 }
 
-// Pop takes the first event out. There must be one.
+// Pop removes the first event. The queue must not be empty.
 func (q *Queue) Pop() (at magno.Millis, do func()) {
 	e := heap.Pop(&q.events).(event) //nolint:forcetypeassert // the heap holds nothing else
 	return e.at, e.do
 }
 
-// events is a heap, first the earliest.
+// events is a heap with the earliest event first.
 type events []event
 
-// Len implements heap.Interface, as do the others below.
+// Len implements heap.Interface, as do the methods below.
 func (e events) Len() int { return len(e) }
 
-// Less orders by time, then by plan.
+// Less orders by time, then by order of scheduling.
 func (e events) Less(i, j int) bool {
 	return e[i].at < e[j].at || (e[i].at == e[j].at && e[i].seq < e[j].seq)
 }
--- a/drive/later/later_test.go
+++ b/drive/later/later_test.go
@@ -20,7 +20,7 @@
 		}
 		at, do := q.Pop()
 		if at != next {
-			t.Errorf("an event of %d ms was told for %d ms", at, next)
+			t.Errorf("event at %d ms, NextTime returned %d ms", at, next)
 		}
 		do()
 	}
