--- a/drive/load/case.go
+++ b/drive/load/case.go
@@ -7,49 +7,49 @@
 	"magnoliastall.example/magno"
 )
 
-// The cases. Fractions of a run are given with each.
+// The cases. Fractions are parts of a run's duration.
 const (
-	Steady    = "steady"    // the load alone
+	Steady    = "steady"    // the base load alone
 	Burst     = "burst"     // three times the rate for 5 s of every minute
 	HotCaller = "hotcaller" // one caller sends ten times its share from 1/3 on
-	HotKey    = "hotkey"    // one cold adapter takes 3 requests of 10 from 1/3 on
-	Slow      = "slow"      // a ninth of the engines takes 4 times as long a step, 1/3 to 2/3
-	Long      = "long"      // 3 engine requests of 10 have 4 times the output
+	HotKey    = "hotkey"    // one cold adapter receives 30% of the requests from 1/3 on
+	Slow      = "slow"      // steps take 4 times as long on a ninth of the engines, 1/3 to 2/3
+	Long      = "long"      // 30% of the engine requests have 4 times the output
 	Full      = "full"      // at capacity
 	Over15    = "over1.5"   // 1.5 times capacity
 	Over3     = "over3"     // 3 times capacity
 	Shift     = "shift"     // half of each customer's 30 hottest adapters change at 1/2
-	Restart   = "restart"   // a third of the engines restarts empty at 1/2
-	Store     = "store"     // loads take twice as long and 1 of 5 fails, 1/3 to 2/3
+	Restart   = "restart"   // a third of the engines restart empty at 1/2
+	Store     = "store"     // loads take twice as long and 20% fail, 1/3 to 2/3
 )
 
 // Cases lists the cases in the order of the results page.
 var Cases = []string{Steady, Burst, HotCaller, HotKey, Slow, Long, Full, Over15, Over3, Shift, Restart, Store}
 
-// Fault is something that changes at an upstream or the store during a run.
+// Fault is a change of an upstream or of the store during a run.
 type Fault struct {
 	At magno.Millis
 	// Kind is Slow, Restart or Store.
 	Kind string
-	// Engine is the number of the engine.
+	// Engine is the index of the engine.
 	Engine int
-	// Slowdown is how many times as long a step or load takes; 1 ends a fault.
+	// Slowdown multiplies the time of steps or loads; 1 ends a fault.
 	Slowdown float64
 	// FailureRate is the share of loads that fail.
 	FailureRate float64
 }
 
-// CheckCase returns an error that lists the cases when name is none of them.
+// CheckCase returns an error that lists the cases if the name is not one of them.
 func CheckCase(name string) error {
 	for _, s := range Cases {
 		if s == name {
 			return nil
 		}
 	}
-	return fmt.Errorf("no case named %q: one of %s", name, strings.Join(Cases, ", "))
+	return fmt.Errorf("unknown case %q: want one of %s", name, strings.Join(Cases, ", "))
 }
 
-// Faults returns what goes wrong in a case, in order of time.
+// Faults returns the faults of the case in order of time.
 func (l *Workload) Faults() []Fault {
 	var faults []Fault
 	third, half := l.Duration/3, l.Duration/2
@@ -73,7 +73,7 @@
 	return faults
 }
 
-// CaseLoad returns the load that a case sets itself, or load.
+// CaseLoad returns the load that a case sets, or the given load if it sets none.
 func CaseLoad(name string, load float64) float64 {
 	switch name {
 	case Full:
--- a/drive/load/deploy.go
+++ b/drive/load/deploy.go
@@ -12,44 +12,44 @@
 	PoolPlain   = "plain"
 )
 
-// Deployment is one deployment of the brief: its upstreams, weight store and the
-// work that its customers send.
+// Deployment describes a deployment: its upstreams, its weight store and the load of its
+// customers.
 type Deployment struct {
 	Name string
-	// Engines and PlainUpstreams count upstreams of the two pools.
+	// Engines and PlainUpstreams count the upstreams of the two pools.
 	Engines, PlainUpstreams int
-	// DataCentres is how many the upstreams are spread over.
+	// DataCentres is the number of data centres that the upstreams are spread over.
 	DataCentres int
 	// Entries is the number of entry instances.
 	Entries int
 	// Limits are those of an engine, PlainLimits those of a plain service.
 	Limits, PlainLimits magno.Limits
-	// PrefixCacheSize is the number of prompt prefixes that an engine keeps.
+	// PrefixCacheSize is the number of prompt prefixes that an engine caches.
 	PrefixCacheSize int
-	// LoadRate is loads a second of the weight store at full speed, LoadWidth
-	// how many run at once without slowing each other.
+	// LoadRate is the maximum rate of loads per second from the weight store,
+	// ParallelLoads the number of loads that run at once without slowing each other down.
 	LoadRate      float64
 	ParallelLoads int
-	// Adapters is the number over all customers.
+	// Adapters is the number of adapters of all customers.
 	Adapters int
-	// HopDelay is the time between data centres, ClientDelay that to a caller.
+	// HopDelay is the network delay between data centres, ClientDelay that to a caller.
 	HopDelay, ClientDelay magno.Millis
 	Customers             []magno.Customer
 	Classes               []Class
 }
 
-// Class is one kind of work of one customer.
+// Class is a type of request of one customer.
 type Class struct {
 	Name     string
 	Customer string
 	Pool     string
-	// Share is its part of all requests; the shares of a deployment sum to 1.
+	// Share is its share of all requests; the shares of a deployment sum to 1.
 	Share float64
-	// Prompt and Output are median tokens; Spread is the standard deviation
-	// of their logarithm.
+	// Prompt and Output are median numbers of tokens; Spread is the standard deviation of
+	// their logarithm.
 	Prompt, Output int
 	Spread         float64
-	// PrefixShare is the share of requests that begin with a prompt known before.
+	// PrefixShare is the share of requests that begin with a known prefix.
 	PrefixShare float64
 	Deadline    magno.Millis
 	Urgency     int
@@ -57,10 +57,10 @@
 	Idempotent  bool
 }
 
-// PerCustomer returns the number of adapters that each customer has.
+// PerCustomer returns the number of adapters of each customer.
 func (d *Deployment) PerCustomer() int { return d.Adapters / len(d.Customers) }
 
-// FindDeployment returns the deployment of that name.
+// FindDeployment returns a deployment by name.
 func FindDeployment(name string) (Deployment, error) {
 	switch name {
 	case "delta":
@@ -68,12 +68,12 @@
 	case "cursada":
 		return cursada(), nil
 	}
-	return Deployment{}, fmt.Errorf("no deployment named %q: delta or cursada", name)
+	return Deployment{}, fmt.Errorf("unknown deployment %q: want delta or cursada", name)
 }
 
-// delta has the brief's counts. Sizes of prompts and answers, steps of 10 ms,
-// 8 slots and batches of 16 are assumptions: a read receipt is a page of image
-// tokens and a few hundred tokens of fields.
+// delta has the upstream counts of the requirements; request sizes and engine limits
+// are assumptions. A request reads a receipt: a page of image tokens in, a few hundred
+// tokens of fields out.
 func delta() Deployment {
 	return Deployment{
 		Name: "delta", Engines: 9, PlainUpstreams: 4, DataCentres: 4, Entries: 3,
@@ -96,8 +96,8 @@
 	}
 }
 
-// cursada has the brief's counts; its sizes are assumptions as delta's are.
-// Drafts of a timetable are long jobs among the advisors' short ones.
+// cursada has the upstream counts of the requirements; request sizes and engine limits
+// are assumptions. Timetable drafts are long jobs among the short ones of the advisors.
 func cursada() Deployment {
 	return Deployment{
 		Name: "cursada", Engines: 18, PlainUpstreams: 4, DataCentres: 4, Entries: 3,
--- a/drive/load/load.go
+++ b/drive/load/load.go
@@ -1,8 +1,8 @@
-// Package load generates the work of a deployment: an open loop of arrivals
-// that doesn't wait for answers, for callers don't either. One seed gives the
-// same arrivals every time, whatever serves them.
+// Package load generates the load of a deployment as an open loop: arrivals don't wait for
+// responses, as those of real callers don't. A seed always gives the same arrivals,
+// whatever serves them.
 //
-//	Deploy, case, seed, rate --> thinned Poisson process --> class, caller,
+//	Deployment, case, seed, rate --> thinned Poisson process --> class, caller,
 //	adapter by Zipf rank --> Arrival, in order of time
 package load
 
@@ -18,241 +18,241 @@
 const (
 	// callers is the number of callers of each customer.
 	callers = 20
-	// wave and period shape the day, squeezed into minutes: the rate swings
-	// by 15% so that the peak of a load of 0.8 stays under capacity.
-	wave   = 0.15
-	period = 20 * magno.Minute
-	// burstEvery, burstFor and burstRate shape the bursts.
-	burstEvery = magno.Minute
-	burstFor   = 5 * magno.Second
-	burstRate  = 3.0
-	// hotShare is what the hot key takes; hotCaller how many times its share
-	// a hot caller sends.
-	hotShare  = 0.3
-	hotCaller = 10
-	// coldRank is the rank of the adapter that becomes the hot key.
+	// rateAmplitude and ratePeriod model the daily cycle, compressed into minutes: the
+	// rate varies by 15%, so that the peak at a load of 0.8 stays below capacity.
+	rateAmplitude = 0.15
+	ratePeriod    = 20 * magno.Minute
+	// burstInterval, burstDuration and burstFactor define the bursts of the case Burst.
+	burstInterval = magno.Minute
+	burstDuration = 5 * magno.Second
+	burstFactor   = 3.0
+	// hotShare is the share of requests for the hot key; hotCallerFactor multiplies the
+	// rate of a hot caller.
+	hotShare        = 0.3
+	hotCallerFactor = 10
+	// coldRank is the popularity rank of the adapter that becomes the hot key.
 	coldRank = 500
-	// drift is how often a customer's popularity moves: one hot adapter and
-	// one cold one change places, so that 60 an hour in each customer, 6% of
-	// 1,000, wake up or fall idle.
-	drift = 2 * magno.Minute
-	// hotRanks is how many adapters of a customer count as hot.
+	// driftInterval is how often a customer's popularity changes: one hot adapter and one
+	// cold adapter are swapped, so that 60 adapters of a customer per hour, 6% of 1,000,
+	// become hot or cold.
+	driftInterval = 2 * magno.Minute
+	// hotRanks is the number of a customer's adapters that count as hot.
 	hotRanks = 30
-	// prefixes is how many known prompt starts an adapter has.
-	prefixes = 3
-	// longFactor and longShare shape the case of long jobs.
-	longFactor = 4
-	longRatio  = 2 // drafts are long already
-	longShare  = 0.3
-	// allowed is the limit on tokens that callers state, against the median
-	// of what comes: engines often stop before it.
-	allowed = 1.5
+	// prefixesPerAdapter is the number of known prompt prefixes of an adapter.
+	prefixesPerAdapter = 3
+	// longFactor, longMinPromptRatio and longShare define the case Long.
+	longFactor         = 4
+	longMinPromptRatio = 2 // excludes drafts, whose output is already long
+	longShare          = 0.3
+	// outputLimitFactor is the callers' output limit relative to the median output;
+	// engines often stop earlier.
+	outputLimitFactor = 1.5
 )
 
-// Workload generates arrivals. Its fields are set before Jobs.
+// Workload generates arrivals. Its fields are set before Arrivals is called.
 type Workload struct {
 	Deployment Deployment
-	// Case is one of Scenes.
+	// Case is one of Cases.
 	Case string
 	Seed uint64
-	// Rate is requests a second over all pools.
+	// Rate is in requests per second over all pools.
 	Rate float64
 	// Duration is the length of the run.
 	Duration magno.Millis
-	// WarmUp is its first part, which isn't counted: every run begins with
-	// empty engines.
+	// WarmUp is the first part of the run, which is not measured because every run begins
+	// with empty engines.
 	WarmUp magno.Millis
-	// ZipfExponent is the exponent of popularity.
+	// ZipfExponent is the exponent of adapter popularity.
 	ZipfExponent float64
-	// StallWeight replaces the setting of all engine classes when it is not
-	// negative.
+	// StallWeight overrides the setting of all engine classes unless it is negative.
 	StallWeight float64
 }
 
-// Arrival is one request as it leaves its caller.
+// Arrival is one request as sent by its caller.
 type Arrival struct {
 	// Job is what policies see; its Output is the caller's limit.
 	Job magno.Job
-	// OutputTokens is how many tokens will come, at most Job.Output. Only the engine
-	// and the bound know it.
+	// OutputTokens is the actual number of output tokens, at most Job.Output. Only the
+	// engine and the bound know it.
 	OutputTokens int
 	Pool         string
 	Entry        int
-	// Hot is true when it comes of the case and not of the base load, so
-	// that the others' answers can be judged alone.
+	// Hot marks the requests that a case adds to the base load, so that the other requests
+	// can be measured separately.
 	Hot bool
 }
 
-// maker holds the state of one generation.
-type maker struct {
+// generator is the state of one generation.
+type generator struct {
 	*Workload
-	r    *rand.Rand
-	zipf []float64
-	// rank maps a customer and a rank to an adapter's number.
-	rank  map[string][]int
-	moved magno.Millis
-	done  bool
-	n     int
+	rand       *rand.Rand
+	popularity []float64
+	// adapters maps a customer and a popularity rank to the number of an adapter.
+	adapters  map[string][]int
+	driftedAt magno.Millis
+	shifted   bool
+	count     int
 }
 
-// Arrivals returns every arrival in order of time.
+// Arrivals returns all arrivals in order of time.
 func (l *Workload) Arrivals() []Arrival {
-	m := &maker{Workload: l, r: rand.New(rand.NewPCG(l.Seed, 0x10ad)), rank: map[string][]int{}}
-	m.zipf = zipfTable(l.Deployment.PerCustomer(), l.ZipfExponent)
-	for _, b := range l.Deployment.Customers {
-		m.rank[b.Name] = m.r.Perm(l.Deployment.PerCustomer())
+	g := &generator{Workload: l, rand: rand.New(rand.NewPCG(l.Seed, 0x10ad)), adapters: map[string][]int{}}
+	g.popularity = zipfTable(l.Deployment.PerCustomer(), l.ZipfExponent)
+	for _, customer := range l.Deployment.Customers {
+		g.adapters[customer.Name] = g.rand.Perm(l.Deployment.PerCustomer())
 	}
-	peak := l.Rate * m.peak()
-	jobs := make([]Arrival, 0, int(l.Rate*float64(l.Duration)/1000))
+	peak := l.Rate * g.peakFactor()
+	arrivals := make([]Arrival, 0, int(l.Rate*float64(l.Duration)/1000))
 	for at := 0.0; ; {
-		at += m.r.ExpFloat64() / peak * float64(magno.Second)
+		at += g.rand.ExpFloat64() / peak * float64(magno.Second)
 		now := magno.Millis(at)
 		if now >= l.Duration {
 			break
 		}
-		m.move(now)
-		if m.r.Float64() < l.Rate*m.shape(now)/peak {
-			jobs = append(jobs, m.arrival(now))
+		g.shiftPopularity(now)
+		if g.rand.Float64() < l.Rate*g.rateFactor(now)/peak {
+			arrivals = append(arrivals, g.arrival(now))
 		}
 	}
-	return m.withHot(jobs)
+	return g.addHotCaller(arrivals)
 }
 
-func (m *maker) peak() float64 {
-	if m.Case == Burst {
-		return burstRate * (1 + wave)
+func (g *generator) peakFactor() float64 {
+	if g.Case == Burst {
+		return burstFactor * (1 + rateAmplitude)
 	}
-	return 1 + wave
+	return 1 + rateAmplitude
 }
 
-// shape is the rate at now against the mean. Bursts take their work from the
-// rest of the minute, so the mean load stays as it was asked for.
-func (m *maker) shape(now magno.Millis) float64 {
-	s := 1 + wave*math.Sin(2*math.Pi*float64(now)/float64(period))
-	if m.Case != Burst {
+// rateFactor is the rate at a time relative to the mean rate. Bursts lower the rate of the
+// rest of the minute, so that the mean is unchanged.
+func (g *generator) rateFactor(now magno.Millis) float64 {
+	s := 1 + rateAmplitude*math.Sin(2*math.Pi*float64(now)/float64(ratePeriod))
+	if g.Case != Burst {
 		return s
 	}
-	if now%burstEvery < burstFor {
-		return s * burstRate
+	if now%burstInterval < burstDuration {
+		return s * burstFactor
 	}
-	part := float64(burstFor) / float64(burstEvery)
-	return s * (1 - burstRate*part) / (1 - part)
+	part := float64(burstDuration) / float64(burstInterval)
+	return s * (1 - burstFactor*part) / (1 - part)
 }
 
-// move lets popularity drift, and shift at once in its case.
-func (m *maker) move(now magno.Millis) {
-	for ; m.moved+drift <= now; m.moved += drift {
-		for _, b := range m.Deployment.Customers {
-			m.swap(m.rank[b.Name], 1)
+// shiftPopularity applies the drift of popularity, and in the case Shift the sudden
+// change.
+func (g *generator) shiftPopularity(now magno.Millis) {
+	for ; g.driftedAt+driftInterval <= now; g.driftedAt += driftInterval {
+		for _, customer := range g.Deployment.Customers {
+			g.swapHot(g.adapters[customer.Name], 1)
 		}
 	}
-	if m.Case == Shift && !m.done && now >= m.Duration/2 {
-		m.done = true
-		for _, b := range m.Deployment.Customers {
-			m.swap(m.rank[b.Name], hotRanks/2)
+	if g.Case == Shift && !g.shifted && now >= g.Duration/2 {
+		g.shifted = true
+		for _, customer := range g.Deployment.Customers {
+			g.swapHot(g.adapters[customer.Name], hotRanks/2)
 		}
 	}
 }
 
-func (m *maker) swap(rank []int, n int) {
-	hot := min(hotRanks, len(rank)/2)
-	for _, i := range m.r.Perm(hot)[:min(n, hot)] {
-		j := hot + m.r.IntN(len(rank)-hot)
-		rank[i], rank[j] = rank[j], rank[i]
+func (g *generator) swapHot(ranked []int, n int) {
+	hot := min(hotRanks, len(ranked)/2)
+	for _, i := range g.rand.Perm(hot)[:min(n, hot)] {
+		j := hot + g.rand.IntN(len(ranked)-hot)
+		ranked[i], ranked[j] = ranked[j], ranked[i]
 	}
 }
 
-func (m *maker) arrival(now magno.Millis) Arrival {
-	class := m.class()
-	c := &m.Deployment.Classes[class]
-	caller := fmt.Sprintf("%s-%02d", c.Customer, m.r.IntN(callers))
-	return m.job(now, class, caller)
+func (g *generator) arrival(now magno.Millis) Arrival {
+	class := g.class()
+	c := &g.Deployment.Classes[class]
+	caller := fmt.Sprintf("%s-%02d", c.Customer, g.rand.IntN(callers))
+	return g.newArrival(now, class, caller)
 }
 
-func (m *maker) job(now magno.Millis, class int, caller string) Arrival {
-	c := &m.Deployment.Classes[class]
-	m.n++
+func (g *generator) newArrival(now magno.Millis, class int, caller string) Arrival {
+	c := &g.Deployment.Classes[class]
+	g.count++
 	j := magno.Job{
-		ID: fmt.Sprintf("r%07d", m.n), Customer: c.Customer, Caller: caller, Profile: c.Name,
-		Urgency: c.Urgency, Stall: c.StallWeight, Repeat: c.Idempotent, Print: m.r.Uint64(),
-		Prompt: m.size(c.Prompt, c.Spread), Output: int(allowed * float64(c.Output)),
+		ID: fmt.Sprintf("r%07d", g.count), Customer: c.Customer, Caller: caller, Profile: c.Name,
+		Urgency: c.Urgency, Stall: c.StallWeight, Repeat: c.Idempotent, Print: g.rand.Uint64(),
+		Prompt: g.tokens(c.Prompt, c.Spread), Output: int(outputLimitFactor * float64(c.Output)),
 		Arrived: now, Deadline: now + c.Deadline,
 	}
-	made := m.size(c.Output, c.Spread)
+	outputTokens := g.tokens(c.Output, c.Spread)
 	if c.Pool == PoolReading {
-		m.engineJob(&j, c, now)
-		if m.Case == Long && c.Prompt > c.Output*longRatio && m.r.Float64() < longShare {
+		g.engineJob(&j, c, now)
+		if g.Case == Long && c.Prompt > c.Output*longMinPromptRatio && g.rand.Float64() < longShare {
 			j.Output *= longFactor
-			made *= longFactor
+			outputTokens *= longFactor
 		}
 	}
 	return Arrival{
-		Job: j, OutputTokens: min(max(1, made), j.Output), Pool: c.Pool, Entry: m.r.IntN(m.Deployment.Entries),
+		Job: j, OutputTokens: min(max(1, outputTokens), j.Output), Pool: c.Pool, Entry: g.rand.IntN(g.Deployment.Entries),
 	}
 }
 
-func (m *maker) engineJob(j *magno.Job, c *Class, now magno.Millis) {
-	n := m.pick(c.Customer, now)
+func (g *generator) engineJob(j *magno.Job, c *Class, now magno.Millis) {
+	n := g.adapter(c.Customer, now)
 	name := fmt.Sprintf("%s-%04d", c.Customer, n)
 	j.Profile = c.Name + "-" + name
 	j.Ref = magno.Ref{Adapter: name, Version: "1"}
-	if m.StallWeight >= 0 {
-		j.Stall = m.StallWeight
+	if g.StallWeight >= 0 {
+		j.Stall = g.StallWeight
 	}
-	if m.r.Float64() < c.PrefixShare {
-		j.Prefix = uint64(n)<<8 + uint64(m.r.IntN(prefixes)) + 1
+	if g.rand.Float64() < c.PrefixShare {
+		j.Prefix = uint64(n)<<8 + uint64(g.rand.IntN(prefixesPerAdapter)) + 1
 	}
 }
 
-// pick draws an adapter of a customer.
-func (m *maker) pick(customer string, now magno.Millis) int {
-	rank := m.rank[customer]
-	if m.Case == HotKey && now >= m.Duration/3 && m.r.Float64() < hotShare*float64(len(m.rank)) &&
-		customer == m.Deployment.Customers[0].Name {
-		return rank[min(coldRank, len(rank)-1)]
+// adapter draws an adapter of a customer by popularity.
+func (g *generator) adapter(customer string, now magno.Millis) int {
+	ranked := g.adapters[customer]
+	if g.Case == HotKey && now >= g.Duration/3 && g.rand.Float64() < hotShare*float64(len(g.adapters)) &&
+		customer == g.Deployment.Customers[0].Name {
+		return ranked[min(coldRank, len(ranked)-1)]
 	}
-	i := sort.SearchFloat64s(m.zipf, m.r.Float64())
-	return rank[min(i, len(rank)-1)]
+	i := sort.SearchFloat64s(g.popularity, g.rand.Float64())
+	return ranked[min(i, len(ranked)-1)]
 }
 
-func (m *maker) class() int {
-	x := m.r.Float64()
-	for i := range m.Deployment.Classes {
-		if x -= m.Deployment.Classes[i].Share; x < 0 {
+func (g *generator) class() int {
+	x := g.rand.Float64()
+	for i := range g.Deployment.Classes {
+		if x -= g.Deployment.Classes[i].Share; x < 0 {
 			return i
 		}
 	}
-	return len(m.Deployment.Classes) - 1
+	return len(g.Deployment.Classes) - 1
 }
 
-// size draws a log-normal number of tokens around a median.
-func (m *maker) size(median int, spread float64) int {
-	return int(float64(median) * math.Exp(spread*m.r.NormFloat64()))
+// tokens draws a number of tokens from a log-normal distribution with the given median.
+func (g *generator) tokens(median int, spread float64) int {
+	return int(float64(median) * math.Exp(spread*g.rand.NormFloat64()))
 }
 
-// withHot adds the hot caller's work to the base load, which stays the same,
-// so that the others' answers compare with those of the steady case.
-func (m *maker) withHot(jobs []Arrival) []Arrival {
-	if m.Case != HotCaller {
-		return jobs
+// addHotCaller adds the hot caller's requests to the base load, which stays the same, so
+// that the responses of the others are comparable with the case Steady.
+func (g *generator) addHotCaller(arrivals []Arrival) []Arrival {
+	if g.Case != HotCaller {
+		return arrivals
 	}
 	class := 0
-	share := m.Deployment.Classes[class].Share / callers
-	gap := float64(magno.Second) / (m.Rate * share * (hotCaller - 1))
-	for at := float64(m.Duration) / 3; ; {
-		at += m.r.ExpFloat64() * gap
-		if magno.Millis(at) >= m.Duration {
+	share := g.Deployment.Classes[class].Share / callers
+	gap := float64(magno.Second) / (g.Rate * share * (hotCallerFactor - 1))
+	for at := float64(g.Duration) / 3; ; {
+		at += g.rand.ExpFloat64() * gap
+		if magno.Millis(at) >= g.Duration {
 			break
 		}
-		a := m.job(magno.Millis(at), class, m.Deployment.Customers[0].Name+"-00")
+		a := g.newArrival(magno.Millis(at), class, g.Deployment.Customers[0].Name+"-00")
 		a.Hot = true
-		jobs = append(jobs, a)
+		arrivals = append(arrivals, a)
 	}
-	sort.SliceStable(jobs, func(i, j int) bool { return jobs[i].Job.Arrived < jobs[j].Job.Arrived })
-	return jobs
+	sort.SliceStable(arrivals, func(i, j int) bool { return arrivals[i].Job.Arrived < arrivals[j].Job.Arrived })
+	return arrivals
 }
 
-// zipfTable returns the cumulative shares of n ranks.
+// zipfTable returns the cumulative distribution of n ranks.
 func zipfTable(n int, s float64) []float64 {
 	table := make([]float64, n)
 	sum := 0.0
--- a/drive/load/load_test.go
+++ b/drive/load/load_test.go
@@ -18,20 +18,20 @@
 	return l, l.Arrivals()
 }
 
-// Policies are compared on the same arrivals; these must depend on the seed
-// alone.
+// Guards against arrivals that depend on more than the seed: policies are compared on the
+// same arrivals.
 func TestSameSeedSameArrivals(t *testing.T) {
 	for _, scene := range Cases {
 		_, a := generate(t, scene, 5)
 		_, b := generate(t, scene, 5)
 		if !reflect.DeepEqual(a, b) {
-			t.Errorf("%s: two generations of one seed differ", scene)
+			t.Errorf("%s: arrivals of one seed differ between two generations", scene)
 		}
 	}
 	_, a := generate(t, Steady, 5)
 	_, c := generate(t, Steady, 6)
 	if reflect.DeepEqual(a, c) {
-		t.Error("two seeds give the same arrivals")
+		t.Error("different seeds give the same arrivals")
 	}
 }
 
@@ -51,22 +51,22 @@
 				counts[a.Job.Ref]++
 				hot = max(hot, counts[a.Job.Ref])
 			}
-			if a.Job.Arrived%burstEvery < burstFor {
+			if a.Job.Arrived%burstInterval < burstDuration {
 				bursts++
 			}
 		}
 		share := float64(bursts) / float64(len(jobs))
 		if burst := scene == Burst; burst != (share > 0.2) {
-			t.Errorf("%s: %.2f of arrivals in the first 5 s of minutes", scene, share)
+			t.Errorf("%s: share of arrivals in the first 5 s of minutes is %.2f", scene, share)
 		}
 		if key := scene == HotKey; key != (float64(hot) > 0.22*float64(len(jobs))) {
-			t.Errorf("%s: the hottest adapter has %d of %d", scene, hot, len(jobs))
+			t.Errorf("%s: the most requested adapter has %d of %d requests", scene, hot, len(jobs))
 		}
 	}
 }
 
-// The hot caller's work comes on top: the base arrivals must stay as in the
-// steady case, or the others' answers would differ for that reason alone.
+// Guards against a hot caller that changes the base load: the responses of the others
+// would then differ from the case Steady for that reason alone.
 func TestHotCallerComesOnTop(t *testing.T) {
 	_, steady := generate(t, Steady, 2)
 	_, mixed := generate(t, HotCaller, 2)
@@ -77,6 +77,6 @@
 		}
 	}
 	if !reflect.DeepEqual(steady, base) || len(mixed) == len(base) {
-		t.Errorf("%d of %d arrivals are the base, steady has %d", len(base), len(mixed), len(steady))
+		t.Errorf("got %d base arrivals of %d, want %d as in the case Steady", len(base), len(mixed), len(steady))
 	}
 }
