--- a/drive/plot/plot.go
+++ b/drive/plot/plot.go
@@ -1,5 +1,5 @@
-// Package plot draws results as bars and curves, in PNG or SVG by the name of
-// the file.
+// Package plot draws results as bar charts and line charts, as PNG or SVG depending on the
+// file name.
 package plot
 
 import (
@@ -11,19 +11,19 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Size of a picture.
+// Dimensions of a chart.
 const (
-	width  = 24 * vg.Centimeter
-	height = 12 * vg.Centimeter
-	bar    = 9 * vg.Length(1)
+	width    = 24 * vg.Centimeter
+	height   = 12 * vg.Centimeter
+	barWidth = 9 * vg.Length(1)
 )
 
-// Plot is a picture to draw. Its fields are set before Bars or Curve.
+// Plot is a chart. Its fields are set before Bars or Curve is called.
 type Plot struct {
 	Title string
-	// XLabel and YLabel name the axes with their units.
+	// XLabel and YLabel are the labels of the axes, with units.
 	XLabel, YLabel string
-	// Groups name the places of bars.
+	// Groups are the labels of the groups of bars.
 	Groups []string
 	Series []Series
 }
@@ -35,7 +35,7 @@
 	X, Y []float64
 }
 
-func (p *Plot) begin() *gonum.Plot {
+func (p *Plot) newPlot() *gonum.Plot {
 	pic := gonum.New()
 	pic.Title.Text = p.Title
 	pic.X.Label.Text = p.XLabel
@@ -46,17 +46,17 @@
 	return pic
 }
 
-// Bars draws one group of bars a place, one bar a series, to file.
+// Bars writes a bar chart to a file, with one bar of each series in each group.
 func (p *Plot) Bars(file string) error {
-	pic := p.begin()
+	pic := p.newPlot()
 	for i, s := range p.Series {
-		bars, err := plotter.NewBarChart(plotter.Values(s.Y), bar)
+		bars, err := plotter.NewBarChart(plotter.Values(s.Y), barWidth)
 		if err != nil {
 			return err
 		}
 		bars.LineStyle.Width = 0
 		bars.Color = plotutil.Color(i)
-		bars.Offset = bar * vg.Length(float64(i)-float64(len(p.Series)-1)/2)
+		bars.Offset = barWidth * vg.Length(float64(i)-float64(len(p.Series)-1)/2)
 		pic.Add(bars)
 		pic.Legend.Add(s.Name, bars)
 	}
@@ -65,9 +65,9 @@
 	return pic.Save(width, height, file)
 }
 
-// Curve draws lines through points to file.
+// Curve writes a line chart to a file.
 func (p *Plot) Curve(file string) error {
-	pic := p.begin()
+	pic := p.newPlot()
 	for i, s := range p.Series {
 		points := make(plotter.XYs, len(s.X))
 		for j := range points {
