--- a/drive/aims/aims.go
+++ b/drive/aims/aims.go
@@ -1,6 +1,6 @@
-// Package aims compares results with the aims that the project has set itself:
-// load stalls and batch efficiency against baselines of the same run, and what
-// an overload or a hot caller does to the others.
+// Package aims compares results with the performance targets of the project: load stalls
+// and batch efficiency relative to baselines of the same run, and the effect of an
+// overload or a hot caller on other requests.
 package aims
 
 import (
@@ -14,35 +14,35 @@
 	"magnoliastall.example/drive/tally"
 )
 
-// The aims' figures.
+// Limits of the targets.
 const (
-	stallRatio  = 0.25 // p99 stall against the best baseline, at most
-	batchRatio  = 1.3  // batch efficiency against the best baseline, at least
-	boundRatio  = 0.9  // batch efficiency against the bound, at least
-	goodRatio   = 0.95 // goodput at 3 times capacity against that at capacity, at least
-	keptShare   = 0.99 // admitted requests in time at 3 times capacity, at least
-	othersRatio = 1.1  // others' p95 with a hot caller against without, at most
+	maxStallRatio   = 0.25 // p99 stall relative to the best baseline
+	minBatchRatio   = 1.3  // batch efficiency relative to the best baseline
+	minBoundRatio   = 0.9  // batch efficiency relative to the bound
+	minGoodputRatio = 0.95 // goodput at 3 times capacity relative to that at capacity
+	minInTime       = 0.99 // share of admitted requests in time at 3 times capacity
+	maxOthersRatio  = 1.1  // p95 of other callers with a hot caller relative to that without
 )
 
-// The deployments: one weighs stalls more, the other batch efficiency.
+// The deployments: cursada has the targets for stalls, delta those for batch efficiency.
 const (
 	delta   = "delta"
 	cursada = "cursada"
 )
 
-// Target is one aim with what was measured.
+// Target is one target with its measured value.
 type Target struct {
 	Deployment string
 	Name       string
-	// Limit is the limit, Value the figure; More is true when Value may not be
-	// under Limit.
+	// Limit is the target, a minimum if AtLeast is true and a maximum otherwise. Value is
+	// the measured value.
 	Limit, Value float64
 	AtLeast      bool
-	// Detail says what the figure was made of.
+	// Detail describes the figures that Value was calculated from.
 	Detail string
 }
 
-// Met is true when the figure keeps the limit.
+// Met returns whether the target is met.
 func (a *Target) Met() bool {
 	if a.AtLeast {
 		return a.Value >= a.Limit
@@ -50,12 +50,12 @@
 	return a.Value <= a.Limit
 }
 
-// results finds lines by case and policy.
+// results maps "case/policy" to a line of results.
 type results map[string]*tally.Line
 
 func (r results) get(scene, policy string) *tally.Line { return r[scene+"/"+policy] }
 
-// Evaluate works out the aims that lines over all customers have figures for.
+// Evaluate returns the targets for which the lines over all customers have figures.
 func Evaluate(deploy string, lines []tally.Line) []Target {
 	r := results{}
 	for i := range lines {
@@ -75,19 +75,19 @@
 			add(r.stall(baselines))
 		}
 		if deploy == delta {
-			add(r.batch(baselines))
+			add(r.batchEfficiency(baselines))
 		}
 	}
 	if deploy == delta {
 		add(r.bound())
 	}
 	add(r.goodput())
-	add(r.kept())
-	add(r.others())
+	add(r.inTime())
+	add(r.hotCaller())
 	return list
 }
 
-// best returns the baseline for which better is true against all others.
+// best returns the best line of the named baselines.
 func (r results) best(scene string, names []string, better func(a, b *tally.Line) bool) *tally.Line {
 	var best *tally.Line
 	for _, name := range names {
@@ -105,20 +105,20 @@
 		return Target{}, false
 	}
 	return Target{
-		Name: "p99 load stall against " + strings.Join(names, ", "), Limit: stallRatio,
+		Name: "p99 load stall against " + strings.Join(names, ", "), Limit: maxStallRatio,
 		Value:  float64(ours.Stall.P99) / float64(base.Stall.P99),
 		Detail: fmt.Sprintf("%d ms, %s %d ms", ours.Stall.P99, base.Policy, base.Stall.P99),
 	}, true
 }
 
-func (r results) batch(names []string) (Target, bool) {
+func (r results) batchEfficiency(names []string) (Target, bool) {
 	ours := r.get(load.Steady, sim.PolicyOurs)
 	base := r.best(load.Steady, names, func(a, b *tally.Line) bool { return a.Batch > b.Batch })
 	if ours == nil || base == nil || base.Batch == 0 {
 		return Target{}, false
 	}
 	return Target{
-		Name: "batch efficiency against " + strings.Join(names, ", "), Limit: batchRatio, AtLeast: true,
+		Name: "batch efficiency against " + strings.Join(names, ", "), Limit: minBatchRatio, AtLeast: true,
 		Value: ours.Batch / base.Batch, Detail: fmt.Sprintf("%.3f, %s %.3f", ours.Batch, base.Policy, base.Batch),
 	}, true
 }
@@ -129,7 +129,7 @@
 		return Target{}, false
 	}
 	return Target{
-		Name: "batch efficiency against the bound", Limit: boundRatio, AtLeast: true,
+		Name: "batch efficiency against the bound", Limit: minBoundRatio, AtLeast: true,
 		Value: ours.Batch / bound.Batch, Detail: fmt.Sprintf("%.3f, bound %.3f", ours.Batch, bound.Batch),
 	}, true
 }
@@ -140,35 +140,35 @@
 		return Target{}, false
 	}
 	return Target{
-		Name: "goodput at 3 times capacity against that at capacity", Limit: goodRatio, AtLeast: true,
+		Name: "goodput at 3 times capacity against that at capacity", Limit: minGoodputRatio, AtLeast: true,
 		Value: over.Goodput / full.Goodput, Detail: fmt.Sprintf("%.0f, %.0f tokens/s", over.Goodput, full.Goodput),
 	}, true
 }
 
-func (r results) kept() (Target, bool) {
+func (r results) inTime() (Target, bool) {
 	over := r.get(load.Over3, sim.PolicyOurs)
 	if over == nil {
 		return Target{}, false
 	}
 	return Target{
-		Name: "admitted requests in time at 3 times capacity", Limit: keptShare, AtLeast: true,
+		Name: "admitted requests in time at 3 times capacity", Limit: minInTime, AtLeast: true,
 		Value: over.Kept(), Detail: fmt.Sprintf("%d of %d", over.Good, over.Admitted),
 	}, true
 }
 
-func (r results) others() (Target, bool) {
+func (r results) hotCaller() (Target, bool) {
 	calm, hot := r.get(load.Steady, sim.PolicyOurs), r.get(load.HotCaller, sim.PolicyOurs)
 	if calm == nil || hot == nil || calm.Other.P95 == 0 {
 		return Target{}, false
 	}
 	return Target{
-		Name: "others' p95 with a hot caller against without", Limit: othersRatio,
+		Name: "others' p95 with a hot caller against without", Limit: maxOthersRatio,
 		Value:  float64(hot.Other.P95) / float64(calm.Other.P95),
 		Detail: fmt.Sprintf("%d, %d ms", hot.Other.P95, calm.Other.P95),
 	}, true
 }
 
-// Print writes aims as a table.
+// Print writes the targets as a table.
 func Print(w io.Writer, list []Target) error {
 	tw := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	for i := range list {
--- a/drive/aims/aims_test.go
+++ b/drive/aims/aims_test.go
@@ -8,8 +8,8 @@
 	"magnoliastall.example/drive/tally"
 )
 
-// A table that says met where it isn't would end the work on it; the best
-// baseline has to be the one compared with.
+// Guards against missed targets reported as met, and against comparison with a baseline
+// other than the best.
 func TestFrom(t *testing.T) {
 	line := func(scene, policy string, p99 int64, batch, goodput float64) tally.Line {
 		return tally.Line{Case: scene, Policy: policy, Customer: "all", Batch: batch, Goodput: goodput,
@@ -31,7 +31,7 @@
 	for _, tt := range tests {
 		got := Evaluate(tt.deploy, lines)
 		if len(got) != len(tt.met) {
-			t.Fatalf("%s: %d aims, want %d", tt.deploy, len(got), len(tt.met))
+			t.Fatalf("%s: got %d targets, want %d", tt.deploy, len(got), len(tt.met))
 		}
 		for i, a := range got {
 			if a.Met() != tt.met[i] {
