--- a/drive/later/later_test.go
+++ b/drive/later/later_test.go
@@ -11,16 +11,16 @@
 	var q Queue
 	var order []int
 	for i, at := range []magno.Millis{30, 10, 20, 10} {
-		q.At(at, func() { order = append(order, i) })
+		q.Schedule(at, func() { order = append(order, i) })
 	}
 	for {
-		next, ok := q.Next()
+		next, ok := q.NextTime()
 		if !ok {
 			break
 		}
 		at, do := q.Pop()
 		if at != next {
-			t.Errorf("an event of %d ms was told for %d ms", at, next)
+			t.Errorf("event at %d ms, NextTime returned %d ms", at, next)
 		}
 		do()
 	}
