--- a/drive/aims/aims.go
+++ b/drive/aims/aims.go
@@ -113,24 +113,24 @@
 
 func (r results) batchEfficiency(names []string) (Target, bool) {
 	ours := r.get(load.Steady, sim.PolicyOurs)
-	base := r.best(load.Steady, names, func(a, b *tally.Line) bool { return a.Batch > b.Batch })
-	if ours == nil || base == nil || base.Batch == 0 {
+	base := r.best(load.Steady, names, func(a, b *tally.Line) bool { return a.BatchEfficiency > b.BatchEfficiency })
+	if ours == nil || base == nil || base.BatchEfficiency == 0 {
 		return Target{}, false
 	}
 	return Target{
 		Name: "batch efficiency against " + strings.Join(names, ", "), Limit: minBatchRatio, AtLeast: true,
-		Value: ours.Batch / base.Batch, Detail: fmt.Sprintf("%.3f, %s %.3f", ours.Batch, base.Policy, base.Batch),
+		Value: ours.BatchEfficiency / base.BatchEfficiency, Detail: fmt.Sprintf("%.3f, %s %.3f", ours.BatchEfficiency, base.Policy, base.BatchEfficiency),
 	}, true
 }
 
 func (r results) bound() (Target, bool) {
 	ours, bound := r.get(load.Steady, sim.PolicyOurs), r.get(load.Steady, sim.PolicyBound)
-	if ours == nil || bound == nil || bound.Batch == 0 {
+	if ours == nil || bound == nil || bound.BatchEfficiency == 0 {
 		return Target{}, false
 	}
 	return Target{
 		Name: "batch efficiency against the bound", Limit: minBoundRatio, AtLeast: true,
-		Value: ours.Batch / bound.Batch, Detail: fmt.Sprintf("%.3f, bound %.3f", ours.Batch, bound.Batch),
+		Value: ours.BatchEfficiency / bound.BatchEfficiency, Detail: fmt.Sprintf("%.3f, bound %.3f", ours.BatchEfficiency, bound.BatchEfficiency),
 	}, true
 }
 
@@ -152,19 +152,19 @@
 	}
 	return Target{
 		Name: "admitted requests in time at 3 times capacity", Limit: minInTime, AtLeast: true,
-		Value: over.Kept(), Detail: fmt.Sprintf("%d of %d", over.Good, over.Admitted),
+		Value: over.InTimeShare(), Detail: fmt.Sprintf("%d of %d", over.InTime, over.Admitted),
 	}, true
 }
 
 func (r results) hotCaller() (Target, bool) {
 	calm, hot := r.get(load.Steady, sim.PolicyOurs), r.get(load.HotCaller, sim.PolicyOurs)
-	if calm == nil || hot == nil || calm.Other.P95 == 0 {
+	if calm == nil || hot == nil || calm.OtherLatency.P95 == 0 {
 		return Target{}, false
 	}
 	return Target{
 		Name: "others' p95 with a hot caller against without", Limit: maxOthersRatio,
-		Value:  float64(hot.Other.P95) / float64(calm.Other.P95),
-		Detail: fmt.Sprintf("%d, %d ms", hot.Other.P95, calm.Other.P95),
+		Value:  float64(hot.OtherLatency.P95) / float64(calm.OtherLatency.P95),
+		Detail: fmt.Sprintf("%d, %d ms", hot.OtherLatency.P95, calm.OtherLatency.P95),
 	}, true
 }
 
--- a/drive/aims/aims_test.go
+++ b/drive/aims/aims_test.go
@@ -12,14 +12,14 @@
 // other than the best.
 func TestFrom(t *testing.T) {
 	line := func(scene, policy string, p99 int64, batch, goodput float64) tally.Line {
-		return tally.Line{Case: scene, Policy: policy, Customer: "all", Batch: batch, Goodput: goodput,
-			Stall: tally.Spread{P99: p99}, Other: tally.Spread{P95: p99}, Admitted: 1000, Good: 989}
+		return tally.Line{Case: scene, Policy: policy, Customer: "all", BatchEfficiency: batch, Goodput: goodput,
+			Stall: tally.Distribution{P99: p99}, OtherLatency: tally.Distribution{P95: p99}, Admitted: 1000, InTime: 989}
 	}
 	lines := []tally.Line{
 		line(load.Steady, "random", 9000, 0.5, 1), line(load.Steady, "least", 4000, 0.6, 1),
 		line(load.Steady, sim.PolicyOurs, 1000, 0.78, 1), line(load.Full, sim.PolicyOurs, 1000, 0.9, 100),
 		line(load.Over3, sim.PolicyOurs, 1000, 0.9, 94), line(load.HotCaller, sim.PolicyOurs, 1101, 0.9, 1),
-		{Case: load.Steady, Policy: sim.PolicyBound, Customer: tally.Bounded, Batch: 0.86},
+		{Case: load.Steady, Policy: sim.PolicyBound, Customer: tally.BoundCustomer, BatchEfficiency: 0.86},
 	}
 	tests := []struct {
 		deploy string
--- a/drive/bound/line.go
+++ b/drive/bound/line.go
@@ -20,8 +20,8 @@
 // bound.
 func (b *Bound) Line() tally.Line {
 	return tally.Line{
-		Customer: tally.Bounded, Offered: b.Requests, Admitted: b.Requests,
-		Good: int(b.GoodShare * float64(b.Requests)), Goodput: b.Goodput, Batch: b.BatchEfficiency,
-		Stall: tally.Spread{Mean: b.MeanStall},
+		Customer: tally.BoundCustomer, Offered: b.Requests, Admitted: b.Requests,
+		InTime: int(b.GoodShare * float64(b.Requests)), Goodput: b.Goodput, BatchEfficiency: b.BatchEfficiency,
+		Stall: tally.Distribution{Mean: b.MeanStall},
 	}
 }
--- a/drive/curvecmd.go
+++ b/drive/curvecmd.go
@@ -38,13 +38,13 @@
 		l := merged(&one, t, results)[0]
 		l.Policy = fmt.Sprintf("stall=%g", stall)
 		lines = append(lines, l)
-		batch.X, batch.Y = append(batch.X, stall), append(batch.Y, 100*l.Batch)
+		batch.X, batch.Y = append(batch.X, stall), append(batch.Y, 100*l.BatchEfficiency)
 		mean.X, mean.Y = append(mean.X, stall), append(mean.Y, l.Stall.Mean/1000)
 		late.X, late.Y = append(late.X, stall), append(late.Y, float64(l.Stall.P95)/1000)
 	}
-	show := tally.Print
+	show := tally.PrintTable
 	if cfg.Page {
-		show = tally.Page
+		show = tally.PrintMarkdown
 	}
 	if err := show(os.Stdout, lines); err != nil || cfg.Out == "" {
 		return err
@@ -64,9 +64,9 @@
 	}{
 		{"stall", "p99 load stall (s)", func(l *tally.Line) float64 { return float64(l.Stall.P99) / 1000 }},
 		{"good", "answered within the deadline (% of requests)", func(l *tally.Line) float64 {
-			return 100 * float64(l.Good) / float64(max(1, l.Offered))
+			return 100 * float64(l.InTime) / float64(max(1, l.Offered))
 		}},
-		{"batch", "batch efficiency", func(l *tally.Line) float64 { return l.Batch }},
+		{"batch", "batch efficiency", func(l *tally.Line) float64 { return l.BatchEfficiency }},
 	}
 	for _, k := range kinds {
 		p := plot.Plot{Title: cfg.Deploy + ": " + k.label, YLabel: k.label, Groups: cfg.cases()}
--- a/drive/live/call.go
+++ b/drive/live/call.go
@@ -67,7 +67,7 @@
 }
 
 // ask makes the calls of one request.
-func (l *Live) ask(ctx context.Context, r request) outcome {
+func (l *LoadTest) ask(ctx context.Context, r request) outcome {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), r.left.Span()+grace)
 	defer cancel()
 	second := make(chan result, 1)
@@ -89,7 +89,7 @@
 // persist calls until there is a final answer, through another entry each time
 // that the connection broke. Without a key only a call that may be repeated
 // is sent again.
-func (l *Live) persist(ctx context.Context, r request, entry int) (result, int) {
+func (l *LoadTest) persist(ctx context.Context, r request, entry int) (result, int) {
 	for n := 0; ; n++ {
 		res := l.call(ctx, r, l.Entries[(entry+n)%len(l.Entries)])
 		if res.state != lost || n+1 >= tries || ctx.Err() != nil {
@@ -99,25 +99,25 @@
 }
 
 // call sends one request and reads its answer to the end.
-func (l *Live) call(ctx context.Context, r request, base string) result {
+func (l *LoadTest) call(ctx context.Context, r request, base string) result {
 	begun := time.Now()
 	req, err := l.build(ctx, r, base)
 	if err != nil {
 		return result{state: lost, why: err.Error()}
 	}
-	sleep(ctx, l.Client.Span())
+	sleep(ctx, l.ClientDelay.Span())
 	resp, err := l.client.Do(req)
 	if err != nil {
 		return result{state: lost, why: err.Error()}
 	}
 	defer resp.Body.Close()
 	res := l.read(r, resp, begun)
-	sleep(ctx, l.Client.Span())
+	sleep(ctx, l.ClientDelay.Span())
 	res.end = time.Since(begun)
 	return res
 }
 
-func (l *Live) build(ctx context.Context, r request, base string) (*http.Request, error) {
+func (l *LoadTest) build(ctx context.Context, r request, base string) (*http.Request, error) {
 	url, body := base+"/v1/call/"+r.Name, []byte(r.text)
 	if !r.plain {
 		var err error
@@ -159,7 +159,7 @@
 	} `json:"choices"`
 }
 
-func (l *Live) read(r request, resp *http.Response, begun time.Time) result {
+func (l *LoadTest) read(r request, resp *http.Response, begun time.Time) result {
 	if resp.StatusCode != http.StatusOK {
 		return readRefusal(resp)
 	}
@@ -201,7 +201,7 @@
 
 // readStream reads events up to [DONE] or an error. A stream that just ends is
 // the silent cut that no caller can tell from a short answer.
-func (l *Live) readStream(r request, body io.Reader, begun time.Time) result {
+func (l *LoadTest) readStream(r request, body io.Reader, begun time.Time) result {
 	res := result{stall: -1}
 	var text strings.Builder
 	pieces := 0
@@ -227,7 +227,7 @@
 		}
 		if len(c.Choices) == 1 && c.Choices[0].Text != "" {
 			if pieces == 0 {
-				res.first = time.Since(begun) + l.Client.Span()
+				res.first = time.Since(begun) + l.ClientDelay.Span()
 			}
 			pieces++
 			text.WriteString(c.Choices[0].Text)
--- a/drive/live/judge.go
+++ b/drive/live/judge.go
@@ -26,9 +26,9 @@
 }
 
 // counts reads the record of every stand-in.
-func (l *Live) counts(ctx context.Context) (*ledger, error) {
+func (l *LoadTest) counts(ctx context.Context) (*ledger, error) {
 	sum := &ledger{runs: map[string]int{}, models: map[string]string{}}
-	for _, s := range l.Stands {
+	for _, s := range l.Upstreams {
 		if s.Plain {
 			var c plain.Counts
 			if err := l.get(ctx, s.URL+"/counts", &c); err != nil {
@@ -56,7 +56,7 @@
 	return sum, nil
 }
 
-func (l *Live) get(ctx context.Context, url string, into any) error {
+func (l *LoadTest) get(ctx context.Context, url string, into any) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return err
@@ -74,9 +74,9 @@
 
 // judge compares what callers were told with what ran.
 func (r *Report) judge(before, after *ledger) {
-	r.Dropped = after.dropped
+	r.DroppedRecords = after.dropped
 	if capacity := after.potential - before.potential; capacity > 0 {
-		r.Batch = float64(after.used-before.used) / float64(capacity)
+		r.BatchEfficiency = float64(after.used-before.used) / float64(capacity)
 	}
 	for i := range r.outcomes {
 		o := &r.outcomes[i]
@@ -85,7 +85,7 @@
 			r.note("wrong: " + why)
 		}
 		if hash := o.hash(); !o.request.Repeat && after.runs[hash] > 1 {
-			r.Doubled++
+			r.DoubleRuns++
 			r.note(fmt.Sprintf("doubled: %s ran %d times", o.request.key, after.runs[hash]))
 		}
 	}
--- a/drive/live/layout.go
+++ b/drive/live/layout.go
@@ -10,8 +10,8 @@
 	"magnoliastall.example/magno"
 )
 
-// Read fills Entries, Stands and Config from the folder of a layout.
-func (l *Live) Read(dir string) error {
+// ReadLayout fills Entries, Stands and Config from the folder of a layout.
+func (l *LoadTest) ReadLayout(dir string) error {
 	if err := parse(filepath.Join(dir, "config.json"), &l.Config); err != nil {
 		return err
 	}
@@ -27,7 +27,7 @@
 	}
 	for _, s := range stands.Stands {
 		if s.Kind == "engine" || s.Kind == "plain" {
-			l.Stands = append(l.Stands, Stand{Name: s.Name, URL: "http://" + s.Listen, Plain: s.Kind == "plain"})
+			l.Upstreams = append(l.Upstreams, Upstream{Name: s.Name, URL: "http://" + s.Listen, Plain: s.Kind == "plain"})
 		}
 	}
 	data, err := os.ReadFile(filepath.Join(dir, "processes"))
--- a/drive/live/live.go
+++ b/drive/live/live.go
@@ -20,10 +20,10 @@
 
 // Defaults of an experiment.
 const (
-	DefaultRate   = 40.0
-	DefaultZipf   = 1.5
-	DefaultResend = 0.3
-	DefaultClient = 1 * magno.Millis(1)
+	DefaultRate         = 40.0
+	DefaultZipfExponent = 1.5
+	DefaultResendShare  = 0.3
+	DefaultClientDelay  = 1 * magno.Millis(1)
 )
 
 const (
@@ -38,26 +38,26 @@
 	show = time.Second
 )
 
-// Live is one experiment. Its fields are set before Run; a zero figure takes
+// LoadTest is one experiment. Its fields are set before Run; a zero figure takes
 // its default.
-type Live struct {
+type LoadTest struct {
 	// Entries are the base URLs of callers' ports, Stands those of engines
 	// and plain services with /counts.
-	Entries []string
-	Stands  []Stand
+	Entries   []string
+	Upstreams []Upstream
 	// Config holds the profiles that are asked for.
 	Config magno.Config
 	Seed   uint64
 	// Rate is requests a second.
 	Rate float64
-	// For is the length of the run without its end.
-	For  time.Duration
-	Zipf float64
-	// Resend is the share of requests with a key that are sent a second time
+	// Duration is the length of the run without its end.
+	Duration     time.Duration
+	ZipfExponent float64
+	// ResendShare is the share of requests with a key that are sent a second time
 	// through another entry, as a caller does that lost its first answer.
-	Resend float64
-	// Client is the one-way time between caller and entry.
-	Client magno.Millis
+	ResendShare float64
+	// ClientDelay is the one-way time between caller and entry.
+	ClientDelay magno.Millis
 	// Out takes a line of progress each second. It may be nil.
 	Out io.Writer
 
@@ -68,15 +68,15 @@
 	mark string
 }
 
-// Stand is one stand-in upstream.
-type Stand struct {
+// Upstream is one stand-in upstream.
+type Upstream struct {
 	Name, URL string
 	Plain     bool
 }
 
 // Run sends for the time that was asked for, waits for the last answer and
 // judges. An error means that the experiment itself could not be done.
-func (l *Live) Run(ctx context.Context) (*Report, error) {
+func (l *LoadTest) Run(ctx context.Context) (*Report, error) {
 	if err := l.prepare(); err != nil {
 		return nil, err
 	}
@@ -96,12 +96,12 @@
 	return report, nil
 }
 
-func (l *Live) prepare() error {
+func (l *LoadTest) prepare() error {
 	if l.Rate == 0 {
 		l.Rate = DefaultRate
 	}
-	if l.Zipf == 0 {
-		l.Zipf = DefaultZipf
+	if l.ZipfExponent == 0 {
+		l.ZipfExponent = DefaultZipfExponent
 	}
 	if len(l.Entries) == 0 {
 		return fmt.Errorf("no entry to send to")
@@ -119,13 +119,13 @@
 }
 
 // pace starts requests at their times, whatever became of earlier ones.
-func (l *Live) pace(ctx context.Context, outcomes chan<- outcome, sent chan<- int) {
+func (l *LoadTest) pace(ctx context.Context, outcomes chan<- outcome, sent chan<- int) {
 	slots := make(chan struct{}, openMost)
 	begun := time.Now()
 	n := 0
 	for at := time.Duration(0); ; {
 		at += time.Duration(l.rand.ExpFloat64() / l.Rate * float64(time.Second))
-		if at >= l.For || !sleep(ctx, time.Until(begun.Add(at))) {
+		if at >= l.Duration || !sleep(ctx, time.Until(begun.Add(at))) {
 			break
 		}
 		r := l.next(n)
@@ -144,7 +144,7 @@
 }
 
 // collect takes one outcome a request and tells progress until all are there.
-func (l *Live) collect(outcomes <-chan outcome, sent <-chan int) *Report {
+func (l *LoadTest) collect(outcomes <-chan outcome, sent <-chan int) *Report {
 	report := newReport()
 	ticker := time.NewTicker(show)
 	defer ticker.Stop()
--- a/drive/live/live_test.go
+++ b/drive/live/live_test.go
@@ -129,13 +129,13 @@
 		{"unrun", false, func(r *Report) int { return r.Wrong }},
 		{"liar", false, func(r *Report) int { return r.Wrong }},
 		{"cut", false, func(r *Report) int { return r.Lost }},
-		{"double", false, func(r *Report) int { return r.Doubled }},
+		{"double", false, func(r *Report) int { return r.DoubleRuns }},
 	}
 	for _, tt := range tests {
 		t.Run(tt.fault, func(t *testing.T) {
 			r := drive(t, tt.fault)
-			if r.Good() != tt.good || tt.seen(r) == 0 {
-				t.Errorf("good %v, report %+v", r.Good(), r.Notes)
+			if r.Passed() != tt.good || tt.seen(r) == 0 {
+				t.Errorf("good %v, report %+v", r.Passed(), r.Notes)
 			}
 			if r.total != r.Served+r.Refused+r.Lost+r.Wrong+r.Skipped && tt.fault == "" {
 				t.Errorf("%d requests, report %+v", r.total, r)
@@ -148,9 +148,9 @@
 	t.Helper()
 	server := httptest.NewServer(&system{fault: fault, keys: map[string]bool{}})
 	defer server.Close()
-	l := &Live{
-		Entries: []string{server.URL, server.URL}, Seed: 3, Rate: 400, For: 300 * time.Millisecond, Resend: 1,
-		Stands: []Stand{{Name: "e", URL: server.URL + "/engine"}, {Name: "p", URL: server.URL + "/plain", Plain: true}},
+	l := &LoadTest{
+		Entries: []string{server.URL, server.URL}, Seed: 3, Rate: 400, Duration: 300 * time.Millisecond, ResendShare: 1,
+		Upstreams: []Upstream{{Name: "e", URL: server.URL + "/engine"}, {Name: "p", URL: server.URL + "/plain", Plain: true}},
 		Config: magno.Config{
 			Pools: []magno.Pool{{Name: "e", Kind: magno.PoolEngine}, {Name: "p", Kind: magno.PoolPlain}},
 			Profiles: []magno.Profile{
@@ -176,7 +176,7 @@
 	s := &system{keys: map[string]bool{}}
 	server := httptest.NewServer(s)
 	defer server.Close()
-	l := &Live{Entries: []string{dead.URL, server.URL}, client: http.DefaultClient}
+	l := &LoadTest{Entries: []string{dead.URL, server.URL}, client: http.DefaultClient}
 	r := request{kind: kind{Profile: magno.Profile{Name: "record"}, plain: true}, text: "{}", key: "k", left: magno.Minute, again: -1}
 	if o := l.ask(t.Context(), r); o.state != served || o.resent != 1 {
 		t.Errorf("%+v", o)
--- a/drive/live/report.go
+++ b/drive/live/report.go
@@ -23,17 +23,17 @@
 
 // Report sums a run up.
 type Report struct {
-	// Served, Refused, Lost, Wrong and Skipped count requests; Doubled counts
+	// Served, Refused, Lost, Wrong and Skipped count requests; DoubleRuns counts
 	// those that ran more than once and may not, also when they were served.
-	Served, Refused, Lost, Wrong, Skipped, Doubled int
-	// Resent counts calls after a broken connection, Twice requests that
+	Served, Refused, Lost, Wrong, Skipped, DoubleRuns int
+	// Retried counts calls after a broken connection, SentTwice requests that
 	// were sent a second time on purpose.
-	Resent, Twice int
-	// Batch is the engines' batch efficiency during the run.
-	Batch float64
-	// Dropped is over zero when a stand-in's record was too small to judge
+	Retried, SentTwice int
+	// BatchEfficiency is the engines' batch efficiency during the run.
+	BatchEfficiency float64
+	// DroppedRecords is over zero when a stand-in's record was too small to judge
 	// by.
-	Dropped int64
+	DroppedRecords int64
 	// Notes tell of single requests that were lost, wrong or doubled.
 	Notes []string
 
@@ -57,10 +57,10 @@
 	return &row{kinds: map[string]int{}, first: h(), end: h(), gap: h(), stall: h()}
 }
 
-// Good is true when nothing was doubled, lost or wrong, and that could be
+// Passed is true when nothing was doubled, lost or wrong, and that could be
 // judged.
-func (r *Report) Good() bool {
-	return r.Doubled == 0 && r.Lost == 0 && r.Wrong == 0 && r.Dropped == 0
+func (r *Report) Passed() bool {
+	return r.DoubleRuns == 0 && r.Lost == 0 && r.Wrong == 0 && r.DroppedRecords == 0
 }
 
 func (r *Report) note(text string) {
@@ -72,8 +72,8 @@
 func (r *Report) add(o outcome) {
 	r.total++
 	r.outcomes = append(r.outcomes, o)
-	r.Resent += o.resent
-	r.Twice += len(o.more)
+	r.Retried += o.resent
+	r.SentTwice += len(o.more)
 	if o.state == skipped {
 		r.Skipped++
 		return
@@ -144,7 +144,7 @@
 // progress is one line of what has ended so far.
 func (r *Report) progress() string {
 	return fmt.Sprintf("served %d  refused %d  lost %d  wrong %d  resent %d  sent twice %d",
-		r.Served, r.Refused, r.Lost, r.Wrong, r.Resent, r.Twice)
+		r.Served, r.Refused, r.Lost, r.Wrong, r.Retried, r.SentTwice)
 }
 
 // Print writes the final table.
@@ -166,10 +166,10 @@
 		return err
 	}
 	fmt.Fprintf(w, "batch efficiency %.3f; %d requests, %d sent twice, %d resent after a broken connection, %d skipped\n",
-		r.Batch, r.total, r.Twice, r.Resent, r.Skipped)
-	fmt.Fprintf(w, "served %d  refused %d  doubled %d  lost %d  wrong %d\n", r.Served, r.Refused, r.Doubled, r.Lost, r.Wrong)
-	if r.Dropped > 0 {
-		fmt.Fprintf(w, "a stand-in dropped %d records: doubles can't be judged\n", r.Dropped)
+		r.BatchEfficiency, r.total, r.SentTwice, r.Retried, r.Skipped)
+	fmt.Fprintf(w, "served %d  refused %d  doubled %d  lost %d  wrong %d\n", r.Served, r.Refused, r.DoubleRuns, r.Lost, r.Wrong)
+	if r.DroppedRecords > 0 {
+		fmt.Fprintf(w, "a stand-in dropped %d records: doubles can't be judged\n", r.DroppedRecords)
 	}
 	for _, note := range r.Notes {
 		fmt.Fprintln(w, note)
--- a/drive/live/request.go
+++ b/drive/live/request.go
@@ -53,7 +53,7 @@
 }
 
 // profiles lists what can be asked for, first the engines' repeatable ones.
-func (l *Live) profiles() []kind {
+func (l *LoadTest) profiles() []kind {
 	plain := map[string]bool{}
 	for _, p := range l.Config.Pools {
 		plain[p.Name] = p.Kind == magno.PoolPlain
@@ -69,7 +69,7 @@
 
 // pick draws a profile: plain ones and those with a key evenly, the others by
 // a Zipf law in their order.
-func (l *Live) pick() kind {
+func (l *LoadTest) pick() kind {
 	x := l.rand.Float64()
 	wantPlain := x < plainShare
 	wantKey := !wantPlain && x < plainShare+(1-plainShare)*namedShare
@@ -85,7 +85,7 @@
 	if wantPlain || wantKey {
 		return some[l.rand.IntN(len(some))]
 	}
-	return some[rank(l.rand, len(some), l.Zipf)]
+	return some[rank(l.rand, len(some), l.ZipfExponent)]
 }
 
 // rank draws from a Zipf law over n by inversion of its continuous form.
@@ -99,7 +99,7 @@
 }
 
 // next makes the request number n.
-func (l *Live) next(n int) request {
+func (l *LoadTest) next(n int) request {
 	r := request{kind: l.pick(), entry: l.rand.IntN(len(l.Entries)), again: -1}
 	r.left = r.Deadline
 	if r.left == 0 {
@@ -118,7 +118,7 @@
 	r.stream = !r.plain && l.rand.Float64() < streamed
 	if !r.Repeat {
 		r.key = uuid.Must(uuid.NewV7()).String()
-		if l.rand.Float64() < l.Resend {
+		if l.rand.Float64() < l.ResendShare {
 			r.again = time.Duration(l.rand.Float64() * float64(startSpan))
 		}
 	}
--- a/drive/livecmd.go
+++ b/drive/livecmd.go
@@ -44,8 +44,8 @@
 // lost or wrong.
 func runLive(ctx context.Context, args []string) int {
 	cfg := &liveConfig{
-		Layout: "out/demo", For: "20s", Seed: 1, Rate: live.DefaultRate, Zipf: live.DefaultZipf,
-		Resend: live.DefaultResend, Client: live.DefaultClient,
+		Layout: "out/demo", For: "20s", Seed: 1, Rate: live.DefaultRate, Zipf: live.DefaultZipfExponent,
+		Resend: live.DefaultResendShare, Client: live.DefaultClientDelay,
 	}
 	if err := setup.Load("drive live", args, cfg); err != nil {
 		if errors.Is(err, flag.ErrHelp) {
@@ -59,7 +59,7 @@
 		fmt.Fprintln(os.Stderr, "drive live:", err)
 		return 1
 	}
-	if err := report.Print(os.Stdout); err != nil || !report.Good() {
+	if err := report.Print(os.Stdout); err != nil || !report.Passed() {
 		return 1
 	}
 	return 0
@@ -70,11 +70,11 @@
 	if err != nil {
 		return nil, err
 	}
-	l := &live.Live{
-		Seed: cfg.Seed, Rate: cfg.Rate, For: span, Zipf: cfg.Zipf, Resend: cfg.Resend, Client: cfg.Client,
+	l := &live.LoadTest{
+		Seed: cfg.Seed, Rate: cfg.Rate, Duration: span, ZipfExponent: cfg.Zipf, ResendShare: cfg.Resend, ClientDelay: cfg.Client,
 		Out: os.Stdout,
 	}
-	if err := l.Read(cfg.Layout); err != nil {
+	if err := l.ReadLayout(cfg.Layout); err != nil {
 		return nil, err
 	}
 	return l.Run(ctx)
--- a/drive/sim/request.go
+++ b/drive/sim/request.go
@@ -144,10 +144,10 @@
 	a.Job.Output = r.arrival.OutputTokens
 	if refusal == nil {
 		network := s.Workload.Deployment.ClientDelay + s.Workload.Deployment.HopDelay
-		a.First = r.firstToken + network - r.job.Arrived
-		a.End = s.clock.Now() + s.Workload.Deployment.ClientDelay - r.job.Arrived
+		a.FirstToken = r.firstToken + network - r.job.Arrived
+		a.Latency = s.clock.Now() + s.Workload.Deployment.ClientDelay - r.job.Arrived
 		if r.tokens > 1 {
-			a.Gap = int64(r.lastToken-r.firstToken) * 1000 / int64(r.tokens-1)
+			a.TokenGap = int64(r.lastToken-r.firstToken) * 1000 / int64(r.tokens-1)
 		}
 	}
 	s.tally.Add(a)
--- a/drive/sim/sim.go
+++ b/drive/sim/sim.go
@@ -79,7 +79,7 @@
 	s.tally = tally.New(s.Workload.Deployment.Customers)
 	s.pendingLoads = map[int64]pendingLoad{}
 	d := &s.Workload.Deployment
-	s.store = &store.Store{Rate: d.LoadRate, Load: d.Limits.Load, Width: d.ParallelLoads, Rand: rand.New(rand.NewPCG(s.Workload.Seed, 0x5703))}
+	s.store = &store.Store{Rate: d.LoadRate, LoadTime: d.Limits.Load, Concurrency: d.ParallelLoads, Rand: rand.New(rand.NewPCG(s.Workload.Seed, 0x5703))}
 	s.turns = newTurns(s)
 	if err := s.build(); err != nil {
 		return nil, err
@@ -174,7 +174,7 @@
 	case load.Restart:
 		s.upstreams[f.Engine].restart()
 	case load.Store:
-		s.store.Change(s.clock.Now(), f.Slowdown, f.FailureRate)
+		s.store.SetFault(s.clock.Now(), f.Slowdown, f.FailureRate)
 		s.scheduleStore()
 	}
 }
@@ -193,7 +193,7 @@
 // scheduleStore schedules a check of the store at the end of its next load. A check that
 // became obsolete finds no finished load.
 func (s *Sim) scheduleStore() {
-	when, ok := s.store.Next()
+	when, ok := s.store.NextEnd()
 	if !ok || (s.storeWakeAt > s.clock.Now() && s.storeWakeAt <= when) {
 		return
 	}
@@ -202,7 +202,7 @@
 		if s.storeWakeAt == s.clock.Now() {
 			s.storeWakeAt = 0
 		}
-		for _, id := range s.store.Take(s.clock.Now()) {
+		for _, id := range s.store.TakeFinished(s.clock.Now()) {
 			p := s.pendingLoads[id]
 			delete(s.pendingLoads, id)
 			p.up.finishLoad(p, true)
@@ -225,11 +225,11 @@
 	for _, up := range s.upstreams {
 		if up.pool == load.PoolReading {
 			s.tally.Steps += up.engine.Steps
-			s.tally.Capacity += up.engine.CapacityTokens
-			s.tally.Used += up.engine.UsedTokens
+			s.tally.TokenCapacity += up.engine.CapacityTokens
+			s.tally.UsedTokens += up.engine.UsedTokens
 		}
 	}
-	s.tally.Loads, s.tally.Failed = s.store.Loads, s.store.Failed+s.store.Refused
+	s.tally.AdapterLoads, s.tally.FailedLoads = s.store.Loads, s.store.Failed+s.store.Refused
 }
 
 // refuseOpen refuses all requests that are still open.
@@ -238,6 +238,6 @@
 		for _, id := range up.jobIDs() {
 			up.jobs[id].finish(magno.Refuse(magno.KindDeadline, "still open when the run ended"))
 		}
-		s.tally.Wrong += up.engine.Violations
+		s.tally.InvalidOrders += up.engine.Violations
 	}
 }
--- a/drive/simcmd.go
+++ b/drive/simcmd.go
@@ -118,9 +118,9 @@
 	fmt.Printf("%s: capacity %.1f requests/s, %d runs of %s in %.1f s\n",
 		cfg.Deploy, t.Capacity, len(results), cfg.For, time.Since(began).Seconds())
 	lines := merged(cfg, t, results)
-	show := tally.Print
+	show := tally.PrintTable
 	if cfg.Page {
-		show = tally.Page
+		show = tally.PrintMarkdown
 	}
 	if err := show(os.Stdout, lines); err != nil {
 		return err
@@ -148,8 +148,8 @@
 		return nil, err
 	}
 	t := &trial.Trial{
-		Deploy: deploy, Cases: cfg.cases(), Seed: cfg.Seed, Seeds: cfg.Seeds,
-		Load: cfg.Load, For: magno.ToMillis(length), Warm: magno.ToMillis(warm), Zipf: cfg.Zipf, Stall: cfg.Stall,
+		Deployment: deploy, Cases: cfg.cases(), Seed: cfg.Seed, Seeds: cfg.Seeds,
+		Load: cfg.Load, Duration: magno.ToMillis(length), WarmUp: magno.ToMillis(warm), ZipfExponent: cfg.Zipf, StallWeight: cfg.Stall,
 		Progress: func(r *trial.Result) {
 			fmt.Fprintf(os.Stderr, "%s %s seed %d\n", r.Case, r.Policy, r.Seed)
 		},
@@ -179,11 +179,11 @@
 		}
 		lines = []tally.Line{bound.Mean(bounds).Line()}
 	} else {
-		sum := tally.New(t.Deploy.Customers)
+		sum := tally.New(t.Deployment.Customers)
 		for i := range runs {
 			sum.Merge(runs[i].Tally)
 		}
-		lines = sum.Lines(float64(t.For-t.Warm) / float64(magno.Second) * float64(len(runs)))
+		lines = sum.Lines(float64(t.Duration-t.WarmUp) / float64(magno.Second) * float64(len(runs)))
 	}
 	if !cfg.Wide {
 		lines = lines[:1]
@@ -206,7 +206,7 @@
 	wide := *cfg
 	wide.Wide = true
 	for i := range results {
-		if err := tally.Write(f, label(&wide, t, results[i:i+1])); err != nil {
+		if err := tally.WriteJSON(f, label(&wide, t, results[i:i+1])); err != nil {
 			return errors.Join(err, f.Close())
 		}
 	}
--- a/drive/soak/soak.go
+++ b/drive/soak/soak.go
@@ -40,8 +40,8 @@
 
 // Soak is one run. Fields are set before Run.
 type Soak struct {
-	Seed uint64
-	For  time.Duration
+	Seed     uint64
+	Duration time.Duration
 	// Dir takes settings and logs, Bin holds the programs.
 	Dir, Bin string
 	Out      io.Writer
@@ -86,7 +86,7 @@
 		defer close(watched)
 		s.watch(watching)
 	}()
-	playing, stop := context.WithTimeout(ctx, s.For)
+	playing, stop := context.WithTimeout(ctx, s.Duration)
 	defer stop()
 	var working sync.WaitGroup
 	for i := range callers {
--- a/drive/soakcmd.go
+++ b/drive/soakcmd.go
@@ -30,7 +30,7 @@
 			fmt.Fprintln(os.Stderr, "soak:", err)
 			return 2
 		}
-		one := &soak.Soak{Seed: s, For: *span, Dir: dir, Bin: *bin, Out: os.Stdout}
+		one := &soak.Soak{Seed: s, Duration: *span, Dir: dir, Bin: *bin, Out: os.Stdout}
 		broken, err := one.Run(context.Background())
 		if err != nil {
 			fmt.Fprintf(os.Stderr, "soak: seed %d: %v\n", s, err)
--- a/drive/store/store.go
+++ b/drive/store/store.go
@@ -16,14 +16,14 @@
 type Store struct {
 	// Rate is how many loads a second may begin; more are refused.
 	Rate float64
-	// Load is the time of a load at full speed, Width how many run so.
-	Load  magno.Millis
-	Width int
-	// Factor is how many times as long as usual a load takes; at least 1.
-	Factor float64
-	// Fail is the share of loads that fail, drawn from Rand.
-	Fail float64
-	Rand *rand.Rand
+	// LoadTime is the time of a load at full speed, Width how many run so.
+	LoadTime    magno.Millis
+	Concurrency int
+	// Slowdown is how many times as long as usual a load takes; at least 1.
+	Slowdown float64
+	// FailureRate is the share of loads that fail, drawn from Rand.
+	FailureRate float64
+	Rand        *rand.Rand
 
 	// Loads counts delivered loads, Failed those that a fault failed, Refused
 	// those over the rate.
@@ -42,9 +42,9 @@
 // Begin starts a load at now; false means that it was refused or failed.
 func (s *Store) Begin(now magno.Millis, id int64) bool {
 	if s.limiter == nil {
-		s.limiter = rate.NewLimiter(rate.Limit(s.Rate), max(s.Width, int(s.Rate)))
+		s.limiter = rate.NewLimiter(rate.Limit(s.Rate), max(s.Concurrency, int(s.Rate)))
 	}
-	if s.Fail > 0 && s.Rand.Float64() < s.Fail {
+	if s.FailureRate > 0 && s.Rand.Float64() < s.FailureRate {
 		s.Failed++
 		return false
 	}
@@ -53,12 +53,12 @@
 		return false
 	}
 	s.advance(now)
-	s.active = append(s.active, &transfer{id: id, left: float64(s.Load)})
+	s.active = append(s.active, &transfer{id: id, left: float64(s.LoadTime)})
 	return true
 }
 
-// Next returns when the next load ends; false when none is active.
-func (s *Store) Next() (magno.Millis, bool) {
+// NextEnd returns when the next load ends; false when none is active.
+func (s *Store) NextEnd() (magno.Millis, bool) {
 	if len(s.active) == 0 {
 		return 0, false
 	}
@@ -69,8 +69,8 @@
 	return s.last + max(1, magno.Millis(least/s.speed()+0.999)), true
 }
 
-// Take returns the loads that have ended by now.
-func (s *Store) Take(now magno.Millis) []int64 {
+// TakeFinished returns the loads that have ended by now.
+func (s *Store) TakeFinished(now magno.Millis) []int64 {
 	s.advance(now)
 	var ended []int64
 	keep := s.active[:0]
@@ -87,10 +87,10 @@
 	return ended
 }
 
-// Change sets the fault from now on.
-func (s *Store) Change(now magno.Millis, factor, fail float64) {
+// SetFault sets the fault from now on.
+func (s *Store) SetFault(now magno.Millis, factor, fail float64) {
 	s.advance(now)
-	s.Factor, s.Fail = factor, fail
+	s.Slowdown, s.FailureRate = factor, fail
 }
 
 func (s *Store) advance(now magno.Millis) {
@@ -105,6 +105,6 @@
 
 // speed is what each active load makes in a millisecond.
 func (s *Store) speed() float64 {
-	share := min(1, float64(s.Width)/float64(max(1, len(s.active))))
-	return share / max(1, s.Factor)
+	share := min(1, float64(s.Concurrency)/float64(max(1, len(s.active))))
+	return share / max(1, s.Slowdown)
 }
--- a/drive/store/store_test.go
+++ b/drive/store/store_test.go
@@ -7,7 +7,7 @@
 )
 
 func TestRateAndWidth(t *testing.T) {
-	s := &Store{Rate: 2, Load: 500, Width: 1}
+	s := &Store{Rate: 2, LoadTime: 500, Concurrency: 1}
 	if !s.Begin(0, 1) || !s.Begin(0, 2) {
 		t.Fatal("the burst of a second was refused")
 	}
@@ -15,24 +15,24 @@
 		t.Fatal("a load over the rate was taken")
 	}
 	// Two share the speed of one.
-	when, ok := s.Next()
+	when, ok := s.NextEnd()
 	if !ok || when < 999 || when > 1001 {
 		t.Fatalf("the next load ends at %d, %v", when, ok)
 	}
-	if got := s.Take(when); len(got) != 2 || s.Loads != 2 {
+	if got := s.TakeFinished(when); len(got) != 2 || s.Loads != 2 {
 		t.Errorf("%v ended at %d", got, when)
 	}
 	if !s.Begin(when, 4) {
 		t.Fatal("the rate was not given back")
 	}
-	s.Change(when+250, 2, 0)
-	if end, _ := s.Next(); end < when+749 || end > when+751 {
+	s.SetFault(when+250, 2, 0)
+	if end, _ := s.NextEnd(); end < when+749 || end > when+751 {
 		t.Errorf("a store of half the speed ends at %d after %d", end, when)
 	}
-	if got := s.Take(when + 800); len(got) != 1 || got[0] != 4 {
+	if got := s.TakeFinished(when + 800); len(got) != 1 || got[0] != 4 {
 		t.Errorf("%v ended", got)
 	}
-	if _, ok := s.Next(); ok {
+	if _, ok := s.NextEnd(); ok {
 		t.Error("an idle store has a next end")
 	}
 	if s.Begin(magno.Hour, 5); s.Failed != 0 {
--- a/drive/tally/line.go
+++ b/drive/tally/line.go
@@ -4,12 +4,12 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Bounded stands for a customer on a line that bounds all engine requests; what
+// BoundCustomer stands for a customer on a line that bounds all engine requests; what
 // it doesn't bound is zero.
-const Bounded = "engines"
+const BoundCustomer = "engines"
 
-// Spread describes a histogram, in its unit.
-type Spread struct {
+// Distribution describes a histogram, in its unit.
+type Distribution struct {
 	Mean float64 `json:"mean"`
 	P50  int64   `json:"p50"`
 	P95  int64   `json:"p95"`
@@ -28,45 +28,45 @@
 	Offered  int     `json:"offered"`
 	Admitted int     `json:"admitted"`
 	Served   int     `json:"served"`
-	Good     int     `json:"good"`
+	InTime   int     `json:"good"`
 	// Goodput is tokens a second of answers within their deadline.
 	Goodput float64        `json:"goodput"`
 	Refused map[string]int `json:"refused,omitempty"`
-	// Stalled is the share of admitted engine requests that waited for an
+	// StalledShare is the share of admitted engine requests that waited for an
 	// adapter.
-	Stalled float64 `json:"stalled"`
-	Stall   Spread  `json:"stall"`
-	// Full counts a request refused for loading as a stall to its deadline.
-	Full  Spread `json:"full"`
-	First Spread `json:"first"`
-	Gap   Spread `json:"gap"`
-	End   Spread `json:"end"`
-	// Other is End without the hot work of a case.
-	Other Spread `json:"other"`
-	// Batch is the batch efficiency; it and the rest stand on the line of all.
-	Batch float64 `json:"batch,omitempty"`
+	StalledShare float64      `json:"stalled"`
+	Stall        Distribution `json:"stall"`
+	// StallWithRefused counts a request refused for loading as a stall to its deadline.
+	StallWithRefused Distribution `json:"full"`
+	FirstToken       Distribution `json:"first"`
+	TokenGap         Distribution `json:"gap"`
+	Latency          Distribution `json:"end"`
+	// OtherLatency is End without the hot work of a case.
+	OtherLatency Distribution `json:"other"`
+	// BatchEfficiency is the batch efficiency; it and the rest stand on the line of all.
+	BatchEfficiency float64 `json:"batch,omitempty"`
 	// Steps counts the engines' steps that had work.
-	Steps int64   `json:"steps,omitempty"`
-	Jain  float64 `json:"jain,omitempty"`
-	// Worst is the customer that got the smallest Part of its fair share.
-	Worst  string  `json:"worst,omitempty"`
-	Part   float64 `json:"part,omitempty"`
-	Loads  int     `json:"loads,omitempty"`
-	Failed int     `json:"failed,omitempty"`
-	Wrong  int     `json:"wrong,omitempty"`
+	Steps     int64   `json:"steps,omitempty"`
+	JainIndex float64 `json:"jain,omitempty"`
+	// WorstCustomer is the customer that got the smallest Part of its fair share.
+	WorstCustomer string  `json:"worst,omitempty"`
+	WorstShare    float64 `json:"part,omitempty"`
+	AdapterLoads  int     `json:"loads,omitempty"`
+	FailedLoads   int     `json:"failed,omitempty"`
+	InvalidOrders int     `json:"wrong,omitempty"`
 }
 
-// Kept is the share of admitted requests that were answered in time.
-func (l *Line) Kept() float64 { return ratio(float64(l.Good), float64(l.Admitted)) }
+// InTimeShare is the share of admitted requests that were answered in time.
+func (l *Line) InTimeShare() float64 { return ratio(float64(l.InTime), float64(l.Admitted)) }
 
 // Lines returns the line of all and one a customer; seconds is the length of
 // the run.
 func (t *Tally) Lines(seconds float64) []Line {
 	all := line(t.all, seconds)
-	all.Batch = t.Efficiency()
+	all.BatchEfficiency = t.BatchEfficiency()
 	all.Steps = t.Steps
-	all.Jain, all.Worst, all.Part = t.Fairness()
-	all.Loads, all.Failed, all.Wrong = t.Loads, t.Failed, t.Wrong
+	all.JainIndex, all.WorstCustomer, all.WorstShare = t.Fairness()
+	all.AdapterLoads, all.FailedLoads, all.InvalidOrders = t.AdapterLoads, t.FailedLoads, t.InvalidOrders
 	lines := []Line{all}
 	for _, r := range t.Rows() {
 		lines = append(lines, line(r, seconds))
@@ -76,16 +76,16 @@
 
 func line(r *Row, seconds float64) Line {
 	return Line{
-		Customer: r.Customer, Offered: r.Offered, Admitted: r.Admitted, Served: r.Served, Good: r.Good,
-		Goodput: ratio(float64(r.GoodTokens), seconds), Refused: r.Refused,
-		Stalled: ratio(float64(r.Stalled), float64(r.Stall.TotalCount())),
-		Stall:   spread(r.Stall), Full: spread(r.Full), First: spread(r.First), Gap: spread(r.Gap),
-		End: spread(r.End), Other: spread(r.Other),
+		Customer: r.Customer, Offered: r.Offered, Admitted: r.Admitted, Served: r.Served, InTime: r.InTime,
+		Goodput: ratio(float64(r.InTimeTokens), seconds), Refused: r.Refused,
+		StalledShare: ratio(float64(r.Stalled), float64(r.Stall.TotalCount())),
+		Stall:        spread(r.Stall), StallWithRefused: spread(r.StallWithRefused), FirstToken: spread(r.FirstToken), TokenGap: spread(r.TokenGap),
+		Latency: spread(r.Latency), OtherLatency: spread(r.OtherLatency),
 	}
 }
 
-func spread(h *hdrhistogram.Histogram) Spread {
-	return Spread{
+func spread(h *hdrhistogram.Histogram) Distribution {
+	return Distribution{
 		Mean: h.Mean(), P50: h.ValueAtQuantile(50),
 		P95: h.ValueAtQuantile(95), P99: h.ValueAtQuantile(99),
 	}
@@ -94,11 +94,11 @@
 // Merge adds another run's counts and histograms.
 func (t *Tally) Merge(o *Tally) {
 	t.Steps += o.Steps
-	t.Capacity += o.Capacity
-	t.Used += o.Used
-	t.Loads += o.Loads
-	t.Failed += o.Failed
-	t.Wrong += o.Wrong
+	t.TokenCapacity += o.TokenCapacity
+	t.UsedTokens += o.UsedTokens
+	t.AdapterLoads += o.AdapterLoads
+	t.FailedLoads += o.FailedLoads
+	t.InvalidOrders += o.InvalidOrders
 	t.all.merge(o.all)
 	for name, row := range o.rows {
 		if t.rows[name] == nil {
@@ -112,18 +112,18 @@
 	r.Offered += o.Offered
 	r.Admitted += o.Admitted
 	r.Served += o.Served
-	r.Good += o.Good
-	r.GoodTokens += o.GoodTokens
-	r.Work += o.Work
-	r.Tokens += o.Tokens
+	r.InTime += o.InTime
+	r.InTimeTokens += o.InTimeTokens
+	r.OfferedTokens += o.OfferedTokens
+	r.ServedTokens += o.ServedTokens
 	r.Stalled += o.Stalled
 	for kind, n := range o.Refused {
 		r.Refused[kind] += n
 	}
 	r.Stall.Merge(o.Stall)
-	r.Full.Merge(o.Full)
-	r.First.Merge(o.First)
-	r.End.Merge(o.End)
-	r.Gap.Merge(o.Gap)
-	r.Other.Merge(o.Other)
+	r.StallWithRefused.Merge(o.StallWithRefused)
+	r.FirstToken.Merge(o.FirstToken)
+	r.Latency.Merge(o.Latency)
+	r.TokenGap.Merge(o.TokenGap)
+	r.OtherLatency.Merge(o.OtherLatency)
 }
--- a/drive/tally/page.go
+++ b/drive/tally/page.go
@@ -10,9 +10,9 @@
 // kindsShown is how many kinds of refusal a page's row names.
 const kindsShown = 3
 
-// Page writes lines as a table of Markdown with fewer columns than Print, times
+// PrintMarkdown writes lines as a table of Markdown with fewer columns than Print, times
 // in seconds.
-func Page(w io.Writer, lines []Line) error {
+func PrintMarkdown(w io.Writer, lines []Line) error {
 	const head = "| case | policy | in time % | kept % | tokens/s | stalled % | stall mean | p50 | p95 | p99 | p99 with refused " +
 		"| first p95 | between p95 ms | batch | Jain | worst | refused % |\n" +
 		"|---|---|--:|--:|--:|--:|--:|--:|--:|--:|--:|--:|--:|--:|--:|---|---|\n"
@@ -21,9 +21,9 @@
 	}
 	for i := range lines {
 		l := &lines[i]
-		if l.Customer == Bounded {
+		if l.Customer == BoundCustomer {
 			if _, err := fmt.Fprintf(w, "| %s | %s | %s | | %.0f | | %.2f | | | | | | | %s | | | |\n",
-				l.Case, l.Policy, percent(l.Good, l.Offered), l.Goodput, l.Stall.Mean/1000, blank(l.Batch)); err != nil {
+				l.Case, l.Policy, percent(l.InTime, l.Offered), l.Goodput, l.Stall.Mean/1000, blank(l.BatchEfficiency)); err != nil {
 				return err
 			}
 			continue
@@ -33,9 +33,9 @@
 			name += " / " + l.Customer
 		}
 		_, err := fmt.Fprintf(w, "| %s | %s | %s | %s | %.0f | %.1f | %.2f | %s | %s | %s | %s | %s | %.1f | %s | %s | %s | %s |\n",
-			l.Case, name, percent(l.Good, l.Offered), percent(l.Good, l.Admitted), l.Goodput, 100*l.Stalled,
-			l.Stall.Mean/1000, seconds(l.Stall.P50), seconds(l.Stall.P95), seconds(l.Stall.P99), seconds(l.Full.P99),
-			seconds(l.First.P95), float64(l.Gap.P95)/1000, blank(l.Batch), blank(l.Jain), worst(l), shares(l))
+			l.Case, name, percent(l.InTime, l.Offered), percent(l.InTime, l.Admitted), l.Goodput, 100*l.StalledShare,
+			l.Stall.Mean/1000, seconds(l.Stall.P50), seconds(l.Stall.P95), seconds(l.Stall.P99), seconds(l.StallWithRefused.P99),
+			seconds(l.FirstToken.P95), float64(l.TokenGap.P95)/1000, blank(l.BatchEfficiency), blank(l.JainIndex), worst(l), shares(l))
 		if err != nil {
 			return err
 		}
--- a/drive/tally/table.go
+++ b/drive/tally/table.go
@@ -9,8 +9,8 @@
 	"text/tabwriter"
 )
 
-// Print writes lines as a table.
-func Print(w io.Writer, lines []Line) error {
+// PrintTable writes lines as a table.
+func PrintTable(w io.Writer, lines []Line) error {
 	tw := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(tw, "deploy\tcase\tpolicy\tload\tcustomer\toffered\tadmit%\tgood%\tkept%\ttok/s\t"+
 		"stall%\tmean\tp50\tp95\tp99\tfull p99\tfirst p95\tgap p95\tend p95\tbatch\tjain\tworst\trefused\t")
@@ -18,15 +18,15 @@
 		l := &lines[i]
 		fmt.Fprintf(tw, "%s\t%s\t%s\t%.2g\t%s\t%d\t%s\t%s\t%s\t%.0f\t%s\t%.0f\t%d\t%d\t%d\t%d\t%d\t%.1f\t%d\t%s\t%s\t%s\t%s\t\n",
 			l.Deploy, l.Case, l.Policy, l.Load, l.Customer, l.Offered,
-			percent(l.Admitted, l.Offered), percent(l.Good, l.Offered), percent(l.Good, l.Admitted),
-			l.Goodput, fmt.Sprintf("%.1f", 100*l.Stalled), l.Stall.Mean, l.Stall.P50, l.Stall.P95, l.Stall.P99,
-			l.Full.P99, l.First.P95, float64(l.Gap.P95)/1000, l.End.P95, blank(l.Batch), blank(l.Jain), worst(l), kinds(l.Refused))
+			percent(l.Admitted, l.Offered), percent(l.InTime, l.Offered), percent(l.InTime, l.Admitted),
+			l.Goodput, fmt.Sprintf("%.1f", 100*l.StalledShare), l.Stall.Mean, l.Stall.P50, l.Stall.P95, l.Stall.P99,
+			l.StallWithRefused.P99, l.FirstToken.P95, float64(l.TokenGap.P95)/1000, l.Latency.P95, blank(l.BatchEfficiency), blank(l.JainIndex), worst(l), kinds(l.Refused))
 	}
 	return tw.Flush()
 }
 
-// Write writes lines as JSON, one a line.
-func Write(w io.Writer, lines []Line) error {
+// WriteJSON writes lines as JSON, one a line.
+func WriteJSON(w io.Writer, lines []Line) error {
 	enc := json.NewEncoder(w)
 	for i := range lines {
 		if err := enc.Encode(&lines[i]); err != nil {
@@ -46,10 +46,10 @@
 }
 
 func worst(l *Line) string {
-	if l.Worst == "" {
+	if l.WorstCustomer == "" {
 		return "-"
 	}
-	return fmt.Sprintf("%s %.2f", l.Worst, l.Part)
+	return fmt.Sprintf("%s %.2f", l.WorstCustomer, l.WorstShare)
 }
 
 func kinds(refused map[string]int) string {
--- a/drive/tally/tally.go
+++ b/drive/tally/tally.go
@@ -28,11 +28,11 @@
 	Admitted bool
 	// Stall is how long it waited for its adapter while admitted.
 	Stall magno.Millis
-	// First is the time to the first token, End to the answer, both at the
+	// FirstToken is the time to the first token, Latency to the answer, both at the
 	// caller and from when it was sent; Gap the mean time between tokens in
 	// microseconds.
-	First, End magno.Millis
-	Gap        int64
+	FirstToken, Latency magno.Millis
+	TokenGap            int64
 	// Engine is true when a model engine ran it.
 	Engine bool
 	// Hot work counts for its customer but not among the others.
@@ -47,39 +47,39 @@
 	Offered  int `json:"offered"`
 	Admitted int `json:"admitted"`
 	Served   int `json:"served"`
-	Good     int `json:"good"`
-	// GoodTokens are the tokens, read and made, of answers within their deadline.
-	GoodTokens int `json:"goodtokens"`
-	// Work is the tokens offered, Tokens those of all whole answers.
-	Work   int `json:"work"`
-	Tokens int `json:"tokens"`
+	InTime   int `json:"good"`
+	// InTimeTokens are the tokens, read and made, of answers within their deadline.
+	InTimeTokens int `json:"goodtokens"`
+	// OfferedTokens is the tokens offered, Tokens those of all whole answers.
+	OfferedTokens int `json:"work"`
+	ServedTokens  int `json:"tokens"`
 	// Stalled counts admitted requests that waited for an adapter.
 	Stalled int            `json:"stalled"`
 	Refused map[string]int `json:"refused"`
 
 	// Stall holds admitted engine requests, refused later or not.
 	Stall *hdrhistogram.Histogram `json:"-"`
-	// Full also holds those refused because their adapter couldn't be loaded,
+	// StallWithRefused also holds those refused because their adapter couldn't be loaded,
 	// each with the whole time to its deadline: else refusing what would
 	// stall would look like serving it at once.
-	Full  *hdrhistogram.Histogram `json:"-"`
-	First *hdrhistogram.Histogram `json:"-"`
-	End   *hdrhistogram.Histogram `json:"-"`
-	Gap   *hdrhistogram.Histogram `json:"-"`
-	// Other is the time to the answer without the case's own hot work.
-	Other *hdrhistogram.Histogram `json:"-"`
+	StallWithRefused *hdrhistogram.Histogram `json:"-"`
+	FirstToken       *hdrhistogram.Histogram `json:"-"`
+	Latency          *hdrhistogram.Histogram `json:"-"`
+	TokenGap         *hdrhistogram.Histogram `json:"-"`
+	// OtherLatency is the time to the answer without the case's own hot work.
+	OtherLatency *hdrhistogram.Histogram `json:"-"`
 }
 
 // Tally is the result of one run. Add is called by one goroutine.
 type Tally struct {
 	// Weights maps a customer to its share.
 	Weights map[string]float64
-	// Steps, Capacity and Used sum the model engines' steps and tokens.
-	Steps, Capacity, Used int64
-	// Loads and Failed count adapter loads.
-	Loads, Failed int
-	// Wrong counts orders that no engine may be given.
-	Wrong int
+	// Steps, TokenCapacity and UsedTokens sum the model engines' steps and tokens.
+	Steps, TokenCapacity, UsedTokens int64
+	// AdapterLoads and FailedLoads count adapter loads.
+	AdapterLoads, FailedLoads int
+	// InvalidOrders counts orders that no engine may be given.
+	InvalidOrders int
 
 	rows map[string]*Row
 	all  *Row
@@ -99,8 +99,8 @@
 	h := func() *hdrhistogram.Histogram { return hdrhistogram.New(0, top, digits) }
 	return &Row{
 		Customer: name, Refused: map[string]int{},
-		Stall: h(), Full: h(), First: h(), End: h(), Other: h(),
-		Gap: hdrhistogram.New(0, topGap, digits),
+		Stall: h(), StallWithRefused: h(), FirstToken: h(), Latency: h(), OtherLatency: h(),
+		TokenGap: hdrhistogram.New(0, topGap, digits),
 	}
 }
 
@@ -117,12 +117,12 @@
 
 func (r *Row) add(a Answer) {
 	r.Offered++
-	r.Work += a.Job.Prompt + a.Job.Output
+	r.OfferedTokens += a.Job.Prompt + a.Job.Output
 	refusedLoad := a.Refusal != nil && a.Refusal.Kind == magno.KindLoading
 	if a.Engine && refusedLoad {
-		record(r.Full, int64(a.Job.Deadline-a.Job.Arrived))
+		record(r.StallWithRefused, int64(a.Job.Deadline-a.Job.Arrived))
 	} else if a.Engine && a.Admitted {
-		record(r.Full, int64(a.Stall))
+		record(r.StallWithRefused, int64(a.Stall))
 	}
 	if a.Admitted {
 		r.Admitted++
@@ -138,19 +138,19 @@
 		return
 	}
 	r.Served++
-	r.Tokens += a.Job.Prompt + a.Job.Output
-	if a.Job.Arrived+a.End <= a.Job.Deadline {
-		r.Good++
-		r.GoodTokens += a.Job.Prompt + a.Job.Output
+	r.ServedTokens += a.Job.Prompt + a.Job.Output
+	if a.Job.Arrived+a.Latency <= a.Job.Deadline {
+		r.InTime++
+		r.InTimeTokens += a.Job.Prompt + a.Job.Output
 	}
-	record(r.End, int64(a.End))
+	record(r.Latency, int64(a.Latency))
 	if !a.Hot {
-		record(r.Other, int64(a.End))
+		record(r.OtherLatency, int64(a.Latency))
 	}
 	if a.Engine {
-		record(r.First, int64(a.First))
-		if a.Gap > 0 {
-			record(r.Gap, a.Gap)
+		record(r.FirstToken, int64(a.FirstToken))
+		if a.TokenGap > 0 {
+			record(r.TokenGap, a.TokenGap)
 		}
 	}
 }
@@ -173,8 +173,10 @@
 	return rows
 }
 
-// Efficiency is tokens over the capacity of all steps that had work.
-func (t *Tally) Efficiency() float64 { return ratio(float64(t.Used), float64(t.Capacity)) }
+// BatchEfficiency is tokens over the capacity of all steps that had work.
+func (t *Tally) BatchEfficiency() float64 {
+	return ratio(float64(t.UsedTokens), float64(t.TokenCapacity))
+}
 
 // Fairness returns Jain's index and the worst customer. Each customer counts
 // with the tokens it got within deadlines over its max-min fair part of all
@@ -188,7 +190,7 @@
 		if fair[r.Customer] <= 0 {
 			continue
 		}
-		x := float64(r.GoodTokens) / fair[r.Customer]
+		x := float64(r.InTimeTokens) / fair[r.Customer]
 		n++
 		sum += x
 		squares += x * x
@@ -206,7 +208,7 @@
 // customer than it asked for.
 func (t *Tally) fairParts() map[string]float64 {
 	fair := map[string]float64{}
-	left := float64(t.all.GoodTokens)
+	left := float64(t.all.InTimeTokens)
 	open := t.Rows()
 	for len(open) > 0 && left > 0 {
 		weights := 0.0
@@ -216,9 +218,9 @@
 		var next []*Row
 		given := 0.0
 		for _, r := range open {
-			if float64(r.Work) <= left*t.weight(r.Customer)/weights {
-				fair[r.Customer] = float64(r.Work)
-				given += float64(r.Work)
+			if float64(r.OfferedTokens) <= left*t.weight(r.Customer)/weights {
+				fair[r.Customer] = float64(r.OfferedTokens)
+				given += float64(r.OfferedTokens)
 			} else {
 				next = append(next, r)
 			}
--- a/drive/tally/tally_test.go
+++ b/drive/tally/tally_test.go
@@ -28,7 +28,7 @@
 			for i, name := range []string{"a", "b"} {
 				add := func(tokens int, refusal *magno.Refusal) {
 					job := magno.Job{Customer: name, Output: tokens, Deadline: 10}
-					tl.Add(Answer{Job: job, Refusal: refusal, Admitted: refusal == nil, End: 5, Engine: true})
+					tl.Add(Answer{Job: job, Refusal: refusal, Admitted: refusal == nil, Latency: 5, Engine: true})
 				}
 				add(tt.got[i], nil)
 				add(tt.asked[i]-tt.got[i], magno.Refuse(magno.KindBusy, "full"))
@@ -46,11 +46,11 @@
 func TestRefusedLoadsCountAsStalls(t *testing.T) {
 	tl := New(nil)
 	job := magno.Job{Customer: "a", Output: 1, Arrived: 100, Deadline: 20100}
-	tl.Add(Answer{Job: job, Admitted: true, Engine: true, Stall: 7, End: 50})
+	tl.Add(Answer{Job: job, Admitted: true, Engine: true, Stall: 7, Latency: 50})
 	tl.Add(Answer{Job: job, Engine: true, Refusal: magno.Refuse(magno.KindLoading, "no")})
-	tl.Add(Answer{Job: job, Engine: true, Admitted: true, End: 30000})
+	tl.Add(Answer{Job: job, Engine: true, Admitted: true, Latency: 30000})
 	l := tl.Lines(1)[0]
-	if l.Stall.P99 > 10 || l.Full.P99 < 19900 || l.Good != 1 || l.Served != 2 || l.Kept() != 0.5 {
+	if l.Stall.P99 > 10 || l.StallWithRefused.P99 < 19900 || l.InTime != 1 || l.Served != 2 || l.InTimeShare() != 0.5 {
 		t.Errorf("%+v", l)
 	}
 }
--- a/drive/trial/bound_test.go
+++ b/drive/trial/bound_test.go
@@ -31,9 +31,9 @@
 					t.Fatal(err)
 				}
 				got := tl.Lines(l.Duration.Span().Seconds())[0]
-				if got.Batch > b.BatchEfficiency || got.Goodput > b.Goodput {
+				if got.BatchEfficiency > b.BatchEfficiency || got.Goodput > b.Goodput {
 					t.Errorf("seed %d %s %s: batch %.3f of %.3f, %.0f tokens/s of %.0f",
-						seed, scene, name, got.Batch, b.BatchEfficiency, got.Goodput, b.Goodput)
+						seed, scene, name, got.BatchEfficiency, b.BatchEfficiency, got.Goodput, b.Goodput)
 				}
 				if refused := got.Offered - got.Served; refused == 0 && got.Stall.Mean < b.MeanStall {
 					t.Errorf("seed %d %s %s: mean stall %.0f under %.0f", seed, scene, name, got.Stall.Mean, b.MeanStall)
--- a/drive/trial/help_test.go
+++ b/drive/trial/help_test.go
@@ -57,8 +57,8 @@
 		t.Fatal(err)
 	}
 	tr := &Trial{
-		Deploy: d, Cases: cases, Seed: 11, Seeds: 1, Load: 0.8, For: spans[deploy], Warm: warm,
-		Zipf: 1.5, Stall: -1, Capacity: capacities[deploy],
+		Deployment: d, Cases: cases, Seed: 11, Seeds: 1, Load: 0.8, Duration: spans[deploy], WarmUp: warm,
+		ZipfExponent: 1.5, StallWeight: -1, Capacity: capacities[deploy],
 	}
 	for _, name := range policies {
 		tr.Policies = append(tr.Policies, sim.Policies[name])
@@ -70,11 +70,11 @@
 	out := map[string]tally.Line{}
 	for _, r := range results {
 		l := r.Tally.Lines(float64(spans[deploy]-warm) / float64(magno.Second))[0]
-		if l.Wrong != 0 {
-			t.Errorf("%s of %s: %d orders that an engine may not be given", r.Case, r.Policy, l.Wrong)
+		if l.InvalidOrders != 0 {
+			t.Errorf("%s of %s: %d orders that an engine may not be given", r.Case, r.Policy, l.InvalidOrders)
 		}
 		t.Logf("%s %s: good %.3f kept %.3f Jain %.3f worst %s %.2f stall p99 %d other p95 %d refused %v",
-			r.Case, r.Policy, good(l), l.Kept(), l.Jain, l.Worst, l.Part, l.Stall.P99, l.Other.P95, l.Refused)
+			r.Case, r.Policy, good(l), l.InTimeShare(), l.JainIndex, l.WorstCustomer, l.WorstShare, l.Stall.P99, l.OtherLatency.P95, l.Refused)
 		name := r.Case
 		if r.Policy != sim.PolicyOurs {
 			name += "/" + r.Policy
@@ -85,4 +85,4 @@
 }
 
 // good is the share of callers that got their whole answer in time.
-func good(l tally.Line) float64 { return float64(l.Good) / float64(l.Offered) }
+func good(l tally.Line) float64 { return float64(l.InTime) / float64(l.Offered) }
--- a/drive/trial/scene_test.go
+++ b/drive/trial/scene_test.go
@@ -24,8 +24,8 @@
 					t.Errorf("good %.3f, %s %.3f", good(mine), base, good(r[base]))
 				}
 			}
-			if good(mine) < 0.9 || mine.Kept() < 0.97 || mine.Jain < 0.95 {
-				t.Errorf("good %.3f kept %.3f Jain %.3f", good(mine), mine.Kept(), mine.Jain)
+			if good(mine) < 0.9 || mine.InTimeShare() < 0.97 || mine.JainIndex < 0.95 {
+				t.Errorf("good %.3f kept %.3f Jain %.3f", good(mine), mine.InTimeShare(), mine.JainIndex)
 			}
 		})
 	}
@@ -36,8 +36,8 @@
 // of the minute must not pay for the burst.
 func TestBurst(t *testing.T) {
 	r := ours(t, "cursada")
-	if b := r[load.Burst]; b.Kept() < 0.97 || good(b) < good(r[load.Steady])-0.05 {
-		t.Errorf("kept %.3f, good %.3f of %.3f", b.Kept(), good(b), good(r[load.Steady]))
+	if b := r[load.Burst]; b.InTimeShare() < 0.97 || good(b) < good(r[load.Steady])-0.05 {
+		t.Errorf("kept %.3f, good %.3f of %.3f", b.InTimeShare(), good(b), good(r[load.Steady]))
 	}
 }
 
@@ -48,11 +48,11 @@
 		t.Run(deploy, func(t *testing.T) {
 			r := ours(t, deploy)
 			calm, hot := r[load.Steady], r[load.HotCaller]
-			if float64(hot.Other.P95) > 1.25*float64(calm.Other.P95) {
-				t.Errorf("the others' p95 went from %d to %d ms", calm.Other.P95, hot.Other.P95)
+			if float64(hot.OtherLatency.P95) > 1.25*float64(calm.OtherLatency.P95) {
+				t.Errorf("the others' p95 went from %d to %d ms", calm.OtherLatency.P95, hot.OtherLatency.P95)
 			}
-			if hot.Kept() < 0.97 {
-				t.Errorf("kept %.3f", hot.Kept())
+			if hot.InTimeShare() < 0.97 {
+				t.Errorf("kept %.3f", hot.InTimeShare())
 			}
 		})
 	}
@@ -64,8 +64,8 @@
 func TestHotKey(t *testing.T) {
 	r := ours(t, "cursada")
 	mine := r[load.HotKey]
-	if good(mine) < 0.9 || mine.Kept() < 0.97 || good(mine) < good(r["hotkey/hash"]) {
-		t.Errorf("good %.3f kept %.3f, hash %.3f", good(mine), mine.Kept(), good(r["hotkey/hash"]))
+	if good(mine) < 0.9 || mine.InTimeShare() < 0.97 || good(mine) < good(r["hotkey/hash"]) {
+		t.Errorf("good %.3f kept %.3f, hash %.3f", good(mine), mine.InTimeShare(), good(r["hotkey/hash"]))
 	}
 }
 
@@ -74,8 +74,8 @@
 // their deadlines pass while its neighbours have room.
 func TestSlowUpstream(t *testing.T) {
 	r := ours(t, "cursada")
-	if s := r[load.Slow]; good(s) < good(r[load.Steady])-0.05 || s.Kept() < 0.95 {
-		t.Errorf("good %.3f of %.3f, kept %.3f", good(s), good(r[load.Steady]), s.Kept())
+	if s := r[load.Slow]; good(s) < good(r[load.Steady])-0.05 || s.InTimeShare() < 0.95 {
+		t.Errorf("good %.3f of %.3f, kept %.3f", good(s), good(r[load.Steady]), s.InTimeShare())
 	}
 }
 
@@ -84,8 +84,8 @@
 func TestLongAmongShort(t *testing.T) {
 	r := ours(t, "cursada")
 	mine := r[load.Long]
-	if good(mine) < good(r["long/hash"]) || good(mine) < 0.8 || mine.Kept() < 0.95 {
-		t.Errorf("good %.3f kept %.3f, hash %.3f", good(mine), mine.Kept(), good(r["long/hash"]))
+	if good(mine) < good(r["long/hash"]) || good(mine) < 0.8 || mine.InTimeShare() < 0.95 {
+		t.Errorf("good %.3f kept %.3f, hash %.3f", good(mine), mine.InTimeShare(), good(r["long/hash"]))
 	}
 }
 
@@ -101,9 +101,9 @@
 				if !played {
 					continue
 				}
-				if l.Goodput < 0.9*r[load.Full].Goodput || l.Kept() < 0.95 || l.Part < 0.45 {
+				if l.Goodput < 0.9*r[load.Full].Goodput || l.InTimeShare() < 0.95 || l.WorstShare < 0.45 {
 					t.Errorf("%s: %.0f tokens/s of %.0f, kept %.3f, %s got %.2f of its part",
-						c, l.Goodput, r[load.Full].Goodput, l.Kept(), l.Worst, l.Part)
+						c, l.Goodput, r[load.Full].Goodput, l.InTimeShare(), l.WorstCustomer, l.WorstShare)
 				}
 			}
 		})
@@ -114,8 +114,8 @@
 // that stay with yesterday's favourites would let the new ones wait for ever.
 func TestShift(t *testing.T) {
 	r := ours(t, "cursada")
-	if s := r[load.Shift]; good(s) < good(r[load.Steady])-0.05 || s.Kept() < 0.95 {
-		t.Errorf("good %.3f of %.3f, kept %.3f", good(s), good(r[load.Steady]), s.Kept())
+	if s := r[load.Shift]; good(s) < good(r[load.Steady])-0.05 || s.InTimeShare() < 0.95 {
+		t.Errorf("good %.3f of %.3f, kept %.3f", good(s), good(r[load.Steady]), s.InTimeShare())
 	}
 }
 
@@ -134,8 +134,8 @@
 			if l.Served+refused != l.Offered {
 				t.Errorf("%d served and %d refused of %d", l.Served, refused, l.Offered)
 			}
-			if good(l) < good(r[load.Steady])-0.05 || l.Kept() < 0.95 {
-				t.Errorf("good %.3f of %.3f, kept %.3f", good(l), good(r[load.Steady]), l.Kept())
+			if good(l) < good(r[load.Steady])-0.05 || l.InTimeShare() < 0.95 {
+				t.Errorf("good %.3f of %.3f, kept %.3f", good(l), good(r[load.Steady]), l.InTimeShare())
 			}
 			batch := 16
 			if d, _ := load.FindDeployment(deploy); l.Refused[string(magno.KindUnknown)] > d.Engines/3*batch {
@@ -150,8 +150,8 @@
 // everybody at once.
 func TestStoreSlowAndFailing(t *testing.T) {
 	r := ours(t, "cursada")
-	if s := r[load.Store]; good(s) < good(r[load.Steady])-0.05 || s.Kept() < 0.95 {
-		t.Errorf("good %.3f of %.3f, kept %.3f", good(s), good(r[load.Steady]), s.Kept())
+	if s := r[load.Store]; good(s) < good(r[load.Steady])-0.05 || s.InTimeShare() < 0.95 {
+		t.Errorf("good %.3f of %.3f, kept %.3f", good(s), good(r[load.Steady]), s.InTimeShare())
 	}
 }
 
@@ -169,7 +169,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	got, err := (&Trial{Deploy: d, Zipf: 1.5, Stall: -1}).Measure()
+	got, err := (&Trial{Deployment: d, ZipfExponent: 1.5, StallWeight: -1}).MeasureCapacity()
 	if want := capacities["delta"]; err != nil || got < 0.99*want || got > 1.01*want {
 		t.Errorf("capacity %.2f, want %.1f: %v", got, want, err)
 	}
--- a/drive/trial/trial.go
+++ b/drive/trial/trial.go
@@ -14,8 +14,8 @@
 	"magnoliastall.example/magno"
 )
 
-// Workers is how many runs go on at once at most: machines are shared.
-const Workers = 4
+// MaxConcurrentRuns is how many runs go on at once at most: machines are shared.
+const MaxConcurrentRuns = 4
 
 const (
 	// probe is the length of the run that measures capacity, and half of it
@@ -29,19 +29,19 @@
 
 // Trial is one experiment. Its fields are set before Run.
 type Trial struct {
-	Deploy   load.Deployment
-	Cases    []string
-	Policies []sim.Policy
+	Deployment load.Deployment
+	Cases      []string
+	Policies   []sim.Policy
 	// Seeds are run one by one from Seed.
 	Seed  uint64
 	Seeds int
 	// Load is against the measured capacity; some cases set their own.
-	Load float64
-	For  magno.Millis
-	// Warm is the first part of a run, which isn't counted.
-	Warm  magno.Millis
-	Zipf  float64
-	Stall float64
+	Load     float64
+	Duration magno.Millis
+	// WarmUp is the first part of a run, which isn't counted.
+	WarmUp       magno.Millis
+	ZipfExponent float64
+	StallWeight  float64
 	// Progress is called after each run, by one goroutine at a time. It may
 	// be nil.
 	Progress func(r *Result)
@@ -69,7 +69,7 @@
 // Run returns the results in order of case, policy and seed.
 func (t *Trial) Run(ctx context.Context) ([]Result, error) {
 	if t.Capacity == 0 {
-		c, err := t.Measure()
+		c, err := t.MeasureCapacity()
 		if err != nil {
 			return nil, err
 		}
@@ -86,7 +86,7 @@
 	todo := make(chan int)
 	var wg sync.WaitGroup
 	var mu sync.Mutex
-	for range Workers {
+	for range MaxConcurrentRuns {
 		wg.Go(func() {
 			for i := range todo {
 				rs, err := t.one(tasks[i], &mu)
@@ -140,7 +140,7 @@
 
 func (t *Trial) load(scene string, seed uint64) *load.Workload {
 	return &load.Workload{
-		Deployment: t.Deploy, Case: scene, Seed: seed, Duration: t.For, WarmUp: t.Warm, ZipfExponent: t.Zipf, StallWeight: t.Stall,
+		Deployment: t.Deployment, Case: scene, Seed: seed, Duration: t.Duration, WarmUp: t.WarmUp, ZipfExponent: t.ZipfExponent, StallWeight: t.StallWeight,
 		Rate: t.Capacity * load.CaseLoad(scene, t.Load),
 	}
 }
@@ -159,12 +159,12 @@
 	return out
 }
 
-// Measure returns the capacity in requests a second over all pools: the engine
+// MeasureCapacity returns the capacity in requests a second over all pools: the engine
 // tokens a second that the deployment's engines complete when they are
 // overloaded, every request needs no adapter and the least-loaded engine gets
 // it, over the mean tokens of a request. It is the engines' own limit; the
 // weight store's limit comes on top and shows in the results.
-func (t *Trial) Measure() (float64, error) {
+func (t *Trial) MeasureCapacity() (float64, error) {
 	half, err := t.saturate(probe / 2)
 	if err != nil {
 		return 0, err
@@ -179,8 +179,8 @@
 // saturate returns how many mean requests of all pools are served in a run of
 // that length.
 func (t *Trial) saturate(length magno.Millis) (float64, error) {
-	l := &load.Workload{Deployment: t.Deploy, Case: load.Steady, Seed: probeSeed, Duration: length, ZipfExponent: t.Zipf, StallWeight: t.Stall}
-	l.Rate = probeLoad * estimate(&t.Deploy)
+	l := &load.Workload{Deployment: t.Deployment, Case: load.Steady, Seed: probeSeed, Duration: length, ZipfExponent: t.ZipfExponent, StallWeight: t.StallWeight}
+	l.Rate = probeLoad * estimate(&t.Deployment)
 	arrivals := l.Arrivals()
 	total := 0
 	for i := range arrivals {
@@ -191,7 +191,7 @@
 	if err != nil {
 		return 0, err
 	}
-	return float64(tl.All().Tokens) / (float64(total) / float64(len(arrivals))), nil
+	return float64(tl.All().ServedTokens) / (float64(total) / float64(len(arrivals))), nil
 }
 
 // estimate is the rate at which the engines' steps are full of tokens.
