--- a/drive/live/judge.go
+++ b/drive/live/judge.go
@@ -14,25 +14,25 @@
 	"magnoliastall.example/stand/plain"
 )
 
-// ledger is what all stand-ins say that they ran.
-type ledger struct {
-	// runs counts by the hash of prompt or body, which no two requests share;
-	// models maps it to the model of the last run.
+// runLog sums up the execution records of all stand-ins.
+type runLog struct {
+	// runs counts executions by the hash of the prompt or body, which is unique to a
+	// request; models maps it to the model of the last execution.
 	runs   map[string]int
 	models map[string]string
-	// dropped is over zero when a stand-in's record is not whole.
-	dropped                int64
-	steps, used, potential int64
+	// dropped is positive if the record of a stand-in is incomplete.
+	dropped               int64
+	steps, used, capacity int64
 }
 
-// counts reads the record of every stand-in.
-func (l *LoadTest) counts(ctx context.Context) (*ledger, error) {
-	sum := &ledger{runs: map[string]int{}, models: map[string]string{}}
+// readRunLog reads the execution records of all stand-ins.
+func (l *LoadTest) readRunLog(ctx context.Context) (*runLog, error) {
+	sum := &runLog{runs: map[string]int{}, models: map[string]string{}}
 	for _, s := range l.Upstreams {
 		if s.Plain {
 			var c plain.Counts
-			if err := l.get(ctx, s.URL+"/counts", &c); err != nil {
-				return nil, fmt.Errorf("counts of %s: %w", s.Name, err)
+			if err := l.getJSON(ctx, s.URL+"/counts", &c); err != nil {
+				return nil, fmt.Errorf("read counts of %s: %w", s.Name, err)
 			}
 			sum.dropped += c.Dropped
 			for _, r := range c.Runs {
@@ -41,13 +41,13 @@
 			continue
 		}
 		var c engine.Counts
-		if err := l.get(ctx, s.URL+"/counts", &c); err != nil {
-			return nil, fmt.Errorf("counts of %s: %w", s.Name, err)
+		if err := l.getJSON(ctx, s.URL+"/counts", &c); err != nil {
+			return nil, fmt.Errorf("read counts of %s: %w", s.Name, err)
 		}
 		sum.dropped += c.Dropped
 		sum.steps += c.Steps
 		sum.used += c.Used
-		sum.potential += c.Capacity
+		sum.capacity += c.Capacity
 		for _, r := range c.Runs {
 			sum.runs[r.Prompt]++
 			sum.models[r.Prompt] = r.Model
@@ -56,7 +56,7 @@
 	return sum, nil
 }
 
-func (l *LoadTest) get(ctx context.Context, url string, into any) error {
+func (l *LoadTest) getJSON(ctx context.Context, url string, into any) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return err
@@ -67,45 +67,45 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return fmt.Errorf("status %d", resp.StatusCode)
+		return fmt.Errorf("unexpected status %d", resp.StatusCode)
 	}
 	return json.NewDecoder(resp.Body).Decode(into)
 }
 
-// judge compares what callers were told with what ran.
-func (r *Report) judge(before, after *ledger) {
+// verify compares what callers received with what the stand-ins ran.
+func (r *Report) verify(before, after *runLog) {
 	r.DroppedRecords = after.dropped
-	if capacity := after.potential - before.potential; capacity > 0 {
+	if capacity := after.capacity - before.capacity; capacity > 0 {
 		r.BatchEfficiency = float64(after.used-before.used) / float64(capacity)
 	}
 	for i := range r.outcomes {
 		o := &r.outcomes[i]
-		if why := o.judge(after); why != "" && o.state != wrong {
+		if why := o.verify(after); why != "" && o.state != wrong {
 			r.Wrong++
-			r.note("wrong: " + why)
+			r.addNote("wrong: " + why)
 		}
 		if hash := o.hash(); !o.request.Repeat && after.runs[hash] > 1 {
 			r.DoubleRuns++
-			r.note(fmt.Sprintf("doubled: %s ran %d times", o.request.key, after.runs[hash]))
+			r.addNote(fmt.Sprintf("doubled: %s ran %d times", o.request.key, after.runs[hash]))
 		}
 	}
 }
 
-func (o *outcome) hash() string { return strconv.FormatUint(xxhash.Sum64String(o.request.text), 16) }
+func (o *outcome) hash() string { return strconv.FormatUint(xxhash.Sum64String(o.request.payload), 16) }
 
-// judge says what is wrong with an outcome, given what ran.
-func (o *outcome) judge(l *ledger) string {
+// verify returns what is wrong with an outcome given the execution records, or "".
+func (o *outcome) verify(l *runLog) string {
 	hash := o.hash()
 	ran := l.runs[hash]
-	calls := append([]result{o.result}, o.more...)
-	whole := false
+	calls := append([]result{o.result}, o.duplicates...)
+	complete := false
 	for _, c := range calls {
 		if c.state == refused && c.run == magno.RunNo && ran > 0 && !o.request.Repeat {
 			return fmt.Sprintf("%s was told not run (%s) and ran", o.request.key, c.kind)
 		}
-		whole = whole || c.state == served
+		complete = complete || c.state == served
 	}
-	if whole && o.state != skipped && ran == 0 && l.dropped == 0 {
+	if complete && o.state != skipped && ran == 0 && l.dropped == 0 {
 		return fmt.Sprintf("%s was answered and ran nowhere", o.request.Name)
 	}
 	ref := magno.Ref{Adapter: o.request.Adapter, Version: o.request.Version}.String()
--- a/drive/live/layout.go
+++ b/drive/live/layout.go
@@ -10,9 +10,9 @@
 	"magnoliastall.example/magno"
 )
 
-// ReadLayout fills Entries, Stands and Config from the folder of a layout.
+// ReadLayout fills Entries, Upstreams and Config from the folder of a layout.
 func (l *LoadTest) ReadLayout(dir string) error {
-	if err := parse(filepath.Join(dir, "config.json"), &l.Config); err != nil {
+	if err := readJSON(filepath.Join(dir, "config.json"), &l.Config); err != nil {
 		return err
 	}
 	var stands struct {
@@ -22,7 +22,7 @@
 			Listen string `json:"listen"`
 		} `json:"stands"`
 	}
-	if err := parse(filepath.Join(dir, "stands.json"), &stands); err != nil {
+	if err := readJSON(filepath.Join(dir, "stands.json"), &stands); err != nil {
 		return err
 	}
 	for _, s := range stands.Stands {
@@ -42,7 +42,7 @@
 		var entry struct {
 			Listen string `json:"listen"`
 		}
-		if err := parse(filepath.Join(dir, file), &entry); err != nil {
+		if err := readJSON(filepath.Join(dir, file), &entry); err != nil {
 			return err
 		}
 		l.Entries = append(l.Entries, "http://"+entry.Listen)
@@ -50,7 +50,7 @@
 	return nil
 }
 
-func parse(path string, into any) error {
+func readJSON(path string, into any) error {
 	data, err := os.ReadFile(path)
 	if err != nil {
 		return err
--- a/drive/live/live.go
+++ b/drive/live/live.go
@@ -1,10 +1,10 @@
-// Package live sends an open loop of requests to running entries over HTTP and
-// judges what comes back: each answer against what the stand-in must have
-// made, and each request against the stand-ins' own record of what they ran.
+// Package live sends an open loop of requests to running entries over HTTP and verifies the
+// results: each response against the one that the stand-in must have produced, and each
+// request against the stand-ins' own execution records.
 //
-//	pacer --request--> caller (one goroutine a request) --outcome--> collector
-//	                   sends, resends, checks the answer               |
-//	stand-ins' /counts ------------------------------------> judge --> Report
+//	pacer --request--> caller (one goroutine each) --outcome--> collector
+//	                   sends, retries, checks the response          |
+//	stand-ins' /counts -------------------------------> verify --> Report
 package live
 
 import (
@@ -18,7 +18,7 @@
 	"magnoliastall.example/magno"
 )
 
-// Defaults of an experiment.
+// Defaults of the fields of LoadTest.
 const (
 	DefaultRate         = 40.0
 	DefaultZipfExponent = 1.5
@@ -27,72 +27,73 @@
 )
 
 const (
-	// openMost bounds requests under way; one over it is counted as skipped,
-	// for this machine and not the system would be what is measured.
-	openMost = 4096
-	// ring is the room between callers and the collector.
-	ring = 256
-	// grace is how long after its deadline an answer is waited for.
-	grace = 20 * time.Second
-	// show is how often progress is told.
-	show = time.Second
+	// maxInFlight limits the requests in flight. Requests over it are counted as skipped,
+	// because beyond it the load generator's machine would be measured instead of the
+	// system.
+	maxInFlight = 4096
+	// outcomeBuffer is the capacity of the channel from callers to the collector.
+	outcomeBuffer = 256
+	// answerGrace is how long after its deadline a response is awaited.
+	answerGrace = 20 * time.Second
+	// progressInterval is the interval of progress lines.
+	progressInterval = time.Second
 )
 
-// LoadTest is one experiment. Its fields are set before Run; a zero figure takes
-// its default.
+// LoadTest is a load test of running processes. Its fields are set before Run; a Rate or
+// ZipfExponent of zero takes its default.
 type LoadTest struct {
-	// Entries are the base URLs of callers' ports, Stands those of engines
-	// and plain services with /counts.
+	// Entries are the base URLs of the entries' caller ports. Upstreams are the stand-ins
+	// for engines and plain services, which serve /counts.
 	Entries   []string
 	Upstreams []Upstream
-	// Config holds the profiles that are asked for.
+	// Config holds the profiles to request.
 	Config magno.Config
 	Seed   uint64
-	// Rate is requests a second.
+	// Rate is in requests per second.
 	Rate float64
-	// Duration is the length of the run without its end.
+	// Duration is how long requests are sent; the wait for the last responses comes on top.
 	Duration     time.Duration
 	ZipfExponent float64
-	// ResendShare is the share of requests with a key that are sent a second time
-	// through another entry, as a caller does that lost its first answer.
+	// ResendShare is the share of keyed requests that are sent a second time through
+	// another entry, like a caller that lost the first response.
 	ResendShare float64
-	// ClientDelay is the one-way time between caller and entry.
+	// ClientDelay is the one-way delay between caller and entry.
 	ClientDelay magno.Millis
-	// Out takes a line of progress each second. It may be nil.
+	// Out receives a progress line each second. It may be nil.
 	Out io.Writer
 
-	client *http.Client
-	rand   *rand.Rand
-	kinds  []kind
-	// mark tells this run's prompts from those of earlier ones.
-	mark string
+	client  *http.Client
+	rand    *rand.Rand
+	targets []target
+	// runID distinguishes the prompts of this run from those of earlier runs.
+	runID string
 }
 
-// Upstream is one stand-in upstream.
+// Upstream is a stand-in for an engine or a plain service.
 type Upstream struct {
 	Name, URL string
 	Plain     bool
 }
 
-// Run sends for the time that was asked for, waits for the last answer and
-// judges. An error means that the experiment itself could not be done.
+// Run sends requests for Duration, waits for the last response and verifies the results. It
+// returns an error only if the test itself could not be carried out.
 func (l *LoadTest) Run(ctx context.Context) (*Report, error) {
 	if err := l.prepare(); err != nil {
 		return nil, err
 	}
-	before, err := l.counts(ctx)
+	before, err := l.readRunLog(ctx)
 	if err != nil {
 		return nil, err
 	}
-	outcomes := make(chan outcome, ring)
+	outcomes := make(chan outcome, outcomeBuffer)
 	sent := make(chan int, 1)
 	go l.pace(ctx, outcomes, sent)
 	report := l.collect(outcomes, sent)
-	after, err := l.counts(context.WithoutCancel(ctx))
+	after, err := l.readRunLog(context.WithoutCancel(ctx))
 	if err != nil {
 		return nil, err
 	}
-	report.judge(before, after)
+	report.verify(before, after)
 	return report, nil
 }
 
@@ -104,23 +105,23 @@
 		l.ZipfExponent = DefaultZipfExponent
 	}
 	if len(l.Entries) == 0 {
-		return fmt.Errorf("no entry to send to")
+		return fmt.Errorf("the layout has no entry")
 	}
-	l.rand = rand.New(rand.NewPCG(l.Seed, 0x11fe)) //nolint:gosec // an experiment repeats
-	l.mark = fmt.Sprintf("%x", time.Now().UnixNano())
+	l.rand = rand.New(rand.NewPCG(l.Seed, 0x11fe)) //nolint:gosec // a seed must reproduce the run
+	l.runID = fmt.Sprintf("%x", time.Now().UnixNano())
 	l.client = &http.Client{Transport: &http.Transport{
-		MaxIdleConnsPerHost: openMost, MaxConnsPerHost: 0, IdleConnTimeout: time.Minute,
+		MaxIdleConnsPerHost: maxInFlight, MaxConnsPerHost: 0, IdleConnTimeout: time.Minute,
 	}}
-	l.kinds = l.profiles()
-	if len(l.kinds) == 0 {
-		return fmt.Errorf("the configuration has no profile in force")
+	l.targets = l.listTargets()
+	if len(l.targets) == 0 {
+		return fmt.Errorf("the configuration has no active profile")
 	}
 	return nil
 }
 
-// pace starts requests at their times, whatever became of earlier ones.
+// pace starts requests on schedule, independently of earlier responses.
 func (l *LoadTest) pace(ctx context.Context, outcomes chan<- outcome, sent chan<- int) {
-	slots := make(chan struct{}, openMost)
+	slots := make(chan struct{}, maxInFlight)
 	begun := time.Now()
 	n := 0
 	for at := time.Duration(0); ; {
@@ -128,12 +129,12 @@
 		if at >= l.Duration || !sleep(ctx, time.Until(begun.Add(at))) {
 			break
 		}
-		r := l.next(n)
+		r := l.nextRequest(n)
 		n++
 		select {
 		case slots <- struct{}{}:
 			go func() {
-				outcomes <- l.ask(ctx, r)
+				outcomes <- l.send(ctx, r)
 				<-slots
 			}()
 		default:
@@ -143,10 +144,10 @@
 	sent <- n
 }
 
-// collect takes one outcome a request and tells progress until all are there.
+// collect receives one outcome per request and reports progress until all have arrived.
 func (l *LoadTest) collect(outcomes <-chan outcome, sent <-chan int) *Report {
 	report := newReport()
-	ticker := time.NewTicker(show)
+	ticker := time.NewTicker(progressInterval)
 	defer ticker.Stop()
 	begun := time.Now()
 	total := -1
@@ -164,7 +165,7 @@
 	return report
 }
 
-// sleep waits; false means that ctx ended first.
+// sleep waits for d; it returns false if ctx ended first.
 func sleep(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
--- a/drive/live/live_test.go
+++ b/drive/live/live_test.go
@@ -16,9 +16,9 @@
 	"magnoliastall.example/stand/plain"
 )
 
-// system stands for entries and upstreams at once: it answers calls and counts
-// runs, with one fault at a time.
-type system struct {
+// fakeSystem acts as entry and upstream: it answers calls and records runs, with one fault
+// at a time.
+type fakeSystem struct {
 	fault string
 
 	mu    sync.Mutex
@@ -27,7 +27,7 @@
 	calls []plain.Run
 }
 
-func (s *system) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (s *fakeSystem) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(r.Body)
 	switch {
 	case r.URL.Path == "/engine/counts":
@@ -51,8 +51,8 @@
 	}
 }
 
-// run records a run, once for each key unless the fault is to double.
-func (s *system) run(r *http.Request, record func()) {
+// run records a run, once per key unless the fault is "double".
+func (s *fakeSystem) run(r *http.Request, record func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	key := r.Header.Get("Idempotency-Key")
@@ -63,7 +63,7 @@
 	record()
 }
 
-func (s *system) refuse(w http.ResponseWriter) bool {
+func (s *fakeSystem) refuse(w http.ResponseWriter) bool {
 	if s.fault != "refused" && s.fault != "liar" {
 		return false
 	}
@@ -72,7 +72,7 @@
 	return true
 }
 
-func (s *system) complete(w http.ResponseWriter, r *http.Request, body []byte) {
+func (s *fakeSystem) complete(w http.ResponseWriter, r *http.Request, body []byte) {
 	var req struct {
 		Prompt string `json:"prompt"`
 		Max    int    `json:"max_tokens"`
@@ -111,10 +111,10 @@
 	}
 }
 
-// A caller may get another's answer, half of its own, or be told that nothing
-// ran when it did; a resent receipt may be recorded twice. Whoever reads the
-// final table must see each of these, and the status must not be 0.
-func TestJudges(t *testing.T) {
+// Guards against a report that passes although a caller got the response of another caller,
+// a truncated one, or "not run" for a request that ran, or although a request with a key
+// ran twice.
+func TestReportDetectsFaults(t *testing.T) {
 	tests := []struct {
 		fault string
 		good  bool
@@ -133,9 +133,9 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.fault, func(t *testing.T) {
-			r := drive(t, tt.fault)
+			r := runWithFault(t, tt.fault)
 			if r.Passed() != tt.good || tt.seen(r) == 0 {
-				t.Errorf("good %v, report %+v", r.Passed(), r.Notes)
+				t.Errorf("passed %v, notes %+v", r.Passed(), r.Notes)
 			}
 			if r.total != r.Served+r.Refused+r.Lost+r.Wrong+r.Skipped && tt.fault == "" {
 				t.Errorf("%d requests, report %+v", r.total, r)
@@ -144,9 +144,9 @@
 	}
 }
 
-func drive(t *testing.T, fault string) *Report {
+func runWithFault(t *testing.T, fault string) *Report {
 	t.Helper()
-	server := httptest.NewServer(&system{fault: fault, keys: map[string]bool{}})
+	server := httptest.NewServer(&fakeSystem{fault: fault, keys: map[string]bool{}})
 	defer server.Close()
 	l := &LoadTest{
 		Entries: []string{server.URL, server.URL}, Seed: 3, Rate: 400, Duration: 300 * time.Millisecond, ResendShare: 1,
@@ -168,17 +168,17 @@
 	return r
 }
 
-// An entry that dies takes its connections with it; its callers send again
-// through another and must find one final answer.
+// When an entry dies, its connections break. Its callers retry through another entry and
+// must get one final response.
 func TestSendsAgainThroughAnotherEntry(t *testing.T) {
 	dead := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }))
 	defer dead.Close()
-	s := &system{keys: map[string]bool{}}
+	s := &fakeSystem{keys: map[string]bool{}}
 	server := httptest.NewServer(s)
 	defer server.Close()
 	l := &LoadTest{Entries: []string{dead.URL, server.URL}, client: http.DefaultClient}
-	r := request{kind: kind{Profile: magno.Profile{Name: "record"}, plain: true}, text: "{}", key: "k", left: magno.Minute, again: -1}
-	if o := l.ask(t.Context(), r); o.state != served || o.resent != 1 {
+	r := request{target: target{Profile: magno.Profile{Name: "record"}, plain: true}, payload: "{}", key: "k", timeout: magno.Minute, resendAfter: -1}
+	if o := l.send(t.Context(), r); o.state != served || o.retries != 1 {
 		t.Errorf("%+v", o)
 	}
 }
--- a/drive/live/report.go
+++ b/drive/live/report.go
@@ -13,28 +13,28 @@
 	"magnoliastall.example/magno"
 )
 
-// Histograms hold microseconds up to a quarter of an hour.
+// Histograms record microseconds up to 15 minutes.
 const (
-	top    = int64(15 * time.Minute / time.Microsecond)
-	digits = 2
-	// notesMost bounds what is told of single requests.
-	notesMost = 20
+	maxMicros         = int64(15 * time.Minute / time.Microsecond)
+	significantDigits = 2
+	// maxNotes limits the notes about single requests.
+	maxNotes = 20
 )
 
-// Report sums a run up.
+// Report summarizes a run.
 type Report struct {
-	// Served, Refused, Lost, Wrong and Skipped count requests; DoubleRuns counts
-	// those that ran more than once and may not, also when they were served.
+	// Served, Refused, Lost, Wrong and Skipped count requests. DoubleRuns counts requests
+	// that ran more than once although they must not, whether they were served or not.
 	Served, Refused, Lost, Wrong, Skipped, DoubleRuns int
-	// Retried counts calls after a broken connection, SentTwice requests that
-	// were sent a second time on purpose.
+	// Retried counts calls made after a broken connection, SentTwice requests that were
+	// sent a second time on purpose.
 	Retried, SentTwice int
-	// BatchEfficiency is the engines' batch efficiency during the run.
+	// BatchEfficiency is the batch efficiency of the engines during the run.
 	BatchEfficiency float64
-	// DroppedRecords is over zero when a stand-in's record was too small to judge
-	// by.
+	// DroppedRecords is positive if the record of a stand-in overflowed, so that double
+	// runs could not be detected.
 	DroppedRecords int64
-	// Notes tell of single requests that were lost, wrong or doubled.
+	// Notes describe single requests that were lost, wrong or run twice.
 	Notes []string
 
 	total    int
@@ -42,29 +42,29 @@
 	rows     map[string]*row
 }
 
-// row holds one customer.
+// row holds the figures of one customer.
 type row struct {
-	served, refused, stalled, known int
-	late                            int
-	kinds                           map[string]int
-	first, end, gap, stall          *hdrhistogram.Histogram
+	served, refused, stalled, stallKnown int
+	late                                 int
+	kinds                                map[string]int
+	firstToken, latency, tokenGap, stall *hdrhistogram.Histogram
 }
 
 func newReport() *Report { return &Report{rows: map[string]*row{}} }
 
 func newRow() *row {
-	h := func() *hdrhistogram.Histogram { return hdrhistogram.New(0, top, digits) }
-	return &row{kinds: map[string]int{}, first: h(), end: h(), gap: h(), stall: h()}
+	h := func() *hdrhistogram.Histogram { return hdrhistogram.New(0, maxMicros, significantDigits) }
+	return &row{kinds: map[string]int{}, firstToken: h(), latency: h(), tokenGap: h(), stall: h()}
 }
 
-// Passed is true when nothing was doubled, lost or wrong, and that could be
-// judged.
+// Passed returns whether no request was run twice, lost or answered wrongly, and the
+// records of the stand-ins were complete enough to tell.
 func (r *Report) Passed() bool {
 	return r.DoubleRuns == 0 && r.Lost == 0 && r.Wrong == 0 && r.DroppedRecords == 0
 }
 
-func (r *Report) note(text string) {
-	if len(r.Notes) < notesMost {
+func (r *Report) addNote(text string) {
+	if len(r.Notes) < maxNotes {
 		r.Notes = append(r.Notes, text)
 	}
 }
@@ -72,29 +72,29 @@
 func (r *Report) add(o outcome) {
 	r.total++
 	r.outcomes = append(r.outcomes, o)
-	r.Retried += o.resent
-	r.SentTwice += len(o.more)
+	r.Retried += o.retries
+	r.SentTwice += len(o.duplicates)
 	if o.state == skipped {
 		r.Skipped++
 		return
 	}
-	b := r.rows[o.request.Customer]
-	if b == nil {
-		b = newRow()
-		r.rows[o.request.Customer] = b
+	c := r.rows[o.request.Customer]
+	if c == nil {
+		c = newRow()
+		r.rows[o.request.Customer] = c
 	}
-	b.add(&o)
-	r.count(&o)
+	c.add(&o)
+	r.classify(&o)
 }
 
-// count takes the worst of a request's calls.
-func (r *Report) count(o *outcome) {
-	for _, c := range append([]result{o.result}, o.more...) {
+// classify counts a request by the worst result of its calls.
+func (r *Report) classify(o *outcome) {
+	for _, c := range append([]result{o.result}, o.duplicates...) {
 		if c.state != lost && c.state != wrong {
 			continue
 		}
 		name := map[state]string{lost: "lost", wrong: "wrong"}[c.state]
-		r.note(fmt.Sprintf("%s: %s by entry %d: %s", name, o.request.Name, o.request.entry, c.why))
+		r.addNote(fmt.Sprintf("%s: %s by entry %d: %s", name, o.request.Name, o.request.entry, c.reason))
 		o.state = max(o.state, c.state)
 	}
 	r.outcomes[len(r.outcomes)-1].state = o.state
@@ -110,38 +110,38 @@
 	}
 }
 
-func (b *row) add(o *outcome) {
+func (r *row) add(o *outcome) {
 	if o.result.state == refused {
-		b.refused++
-		b.kinds[string(o.kind)]++
+		r.refused++
+		r.kinds[string(o.kind)]++
 		return
 	}
 	if o.result.state != served {
 		return
 	}
-	b.served++
-	if o.end > o.request.left.Span() {
-		b.late++
+	r.served++
+	if o.latency > o.request.timeout.Span() {
+		r.late++
 	}
-	record(b.end, o.end)
+	record(r.latency, o.latency)
 	if o.request.stream {
-		record(b.first, o.first)
-		record(b.gap, o.gap)
+		record(r.firstToken, o.firstToken)
+		record(r.tokenGap, o.tokenGap)
 	}
 	if o.stall >= 0 && !o.request.plain {
-		b.known++
-		record(b.stall, o.stall.Span())
+		r.stallKnown++
+		record(r.stall, o.stall.Span())
 		if o.stall > 0 {
-			b.stalled++
+			r.stalled++
 		}
 	}
 }
 
 func record(h *hdrhistogram.Histogram, d time.Duration) {
-	_ = h.RecordValue(min(max(d.Microseconds(), 0), top))
+	_ = h.RecordValue(min(max(d.Microseconds(), 0), maxMicros))
 }
 
-// progress is one line of what has ended so far.
+// progress returns a line about the requests that have ended so far.
 func (r *Report) progress() string {
 	return fmt.Sprintf("served %d  refused %d  lost %d  wrong %d  resent %d  sent twice %d",
 		r.Served, r.Refused, r.Lost, r.Wrong, r.Retried, r.SentTwice)
@@ -157,10 +157,12 @@
 	}
 	sort.Strings(names)
 	for _, name := range names {
-		b := r.rows[name]
-		fmt.Fprintf(tw, "%s\t%d\t%d\t%d\t%.1f\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t\n", name, b.served, b.late, b.refused,
-			100*float64(b.stalled)/float64(max(1, b.known)), ms(b.stall, 50), ms(b.stall, 95), ms(b.stall, 99),
-			ms(b.first, 50), ms(b.first, 95), ms(b.gap, 95), ms(b.end, 50), ms(b.end, 95), kinds(b.kinds))
+		c := r.rows[name]
+		fmt.Fprintf(tw, "%s\t%d\t%d\t%d\t%.1f\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t\n", name, c.served, c.late, c.refused,
+			100*float64(c.stalled)/float64(max(1, c.stallKnown)),
+			quantileMillis(c.stall, 50), quantileMillis(c.stall, 95), quantileMillis(c.stall, 99),
+			quantileMillis(c.firstToken, 50), quantileMillis(c.firstToken, 95), quantileMillis(c.tokenGap, 95),
+			quantileMillis(c.latency, 50), quantileMillis(c.latency, 95), formatKinds(c.kinds))
 	}
 	if err := tw.Flush(); err != nil {
 		return err
@@ -177,8 +179,8 @@
 	return nil
 }
 
-// ms is a quantile in milliseconds.
-func ms(h *hdrhistogram.Histogram, q float64) string {
+// quantileMillis formats the quantile q in milliseconds.
+func quantileMillis(h *hdrhistogram.Histogram, q float64) string {
 	if h.TotalCount() == 0 {
 		return "-"
 	}
@@ -186,7 +188,7 @@
 	return fmt.Sprintf("%.1f", float64(h.ValueAtQuantile(q))/perMilli)
 }
 
-func kinds(counts map[string]int) string {
+func formatKinds(counts map[string]int) string {
 	names := make([]string, 0, len(counts))
 	for k := range counts {
 		names = append(names, k)
--- a/drive/live/request.go
+++ b/drive/live/request.go
@@ -13,83 +13,82 @@
 )
 
 const (
-	// wordsLeast and wordsMost bound the length of an answer; long ones have
-	// longFactor times as many, one in longEvery.
-	wordsLeast, wordsMost = 8, 48
-	longEvery             = 20
-	longFactor            = 5
-	// plainShare is the share of requests that go to plain services.
+	// minAnswerTokens and maxAnswerTokens bound the length of a response. One in
+	// longAnswerInterval is longAnswerFactor times as long.
+	minAnswerTokens, maxAnswerTokens = 8, 48
+	longAnswerInterval               = 20
+	longAnswerFactor                 = 5
+	// plainShare is the share of requests to plain services.
 	plainShare = 0.25
-	// namedShare is the share of engine requests that go to profiles with a
-	// key, which a Zipf law over all would hardly reach.
-	namedShare = 0.2
-	// streamed is the share of engine requests that are streamed.
-	streamed = 0.5
-	// callers is the number of callers of each customer.
-	callers = 12
-	// startSpan is how long before its resend a request was sent at most.
-	startSpan = 400 * time.Millisecond
+	// keyedShare is the share of engine requests to profiles that require a key, which the
+	// Zipf distribution over all profiles would rarely select.
+	keyedShare = 0.2
+	// streamShare is the share of engine requests that are streamed.
+	streamShare        = 0.5
+	callersPerCustomer = 12
+	// maxResendDelay limits the time between a request and its duplicate.
+	maxResendDelay = 400 * time.Millisecond
 )
 
-// kind is a profile that can be asked for.
-type kind struct {
+// target is a profile that requests can name.
+type target struct {
 	magno.Profile
 	plain bool
 }
 
-// request is one call of one caller.
+// request is one request of a caller.
 type request struct {
-	kind
-	// text is the prompt or the body, unlike that of any other request.
-	text   string
-	key    string
-	caller string
-	max    int
-	stream bool
-	entry  int
-	left   magno.Millis
-	// again is after how long it is sent a second time; negative means never.
-	again time.Duration
+	target
+	// payload is the prompt or the body, unique to the request.
+	payload   string
+	key       string
+	caller    string
+	maxTokens int
+	stream    bool
+	entry     int
+	timeout   magno.Millis
+	// resendAfter is the delay of the duplicate; negative means that there is none.
+	resendAfter time.Duration
 }
 
-// profiles lists what can be asked for, first the engines' repeatable ones.
-func (l *LoadTest) profiles() []kind {
+// listTargets returns the profiles that are not retired, in the order of the configuration.
+func (l *LoadTest) listTargets() []target {
 	plain := map[string]bool{}
 	for _, p := range l.Config.Pools {
 		plain[p.Name] = p.Kind == magno.PoolPlain
 	}
-	var kinds []kind
+	var targets []target
 	for _, p := range l.Config.Profiles {
 		if !p.Retired {
-			kinds = append(kinds, kind{p, plain[p.Pool]})
+			targets = append(targets, target{p, plain[p.Pool]})
 		}
 	}
-	return kinds
+	return targets
 }
 
-// pick draws a profile: plain ones and those with a key evenly, the others by
-// a Zipf law in their order.
-func (l *LoadTest) pick() kind {
+// pickTarget draws a target: plain and keyed profiles uniformly, all others by a Zipf
+// distribution over their order.
+func (l *LoadTest) pickTarget() target {
 	x := l.rand.Float64()
 	wantPlain := x < plainShare
-	wantKey := !wantPlain && x < plainShare+(1-plainShare)*namedShare
-	var some []kind
-	for _, k := range l.kinds {
+	wantKey := !wantPlain && x < plainShare+(1-plainShare)*keyedShare
+	var candidates []target
+	for _, k := range l.targets {
 		if k.plain == wantPlain && (wantPlain || k.Repeat != wantKey) {
-			some = append(some, k)
+			candidates = append(candidates, k)
 		}
 	}
-	if len(some) == 0 {
-		return l.kinds[l.rand.IntN(len(l.kinds))]
+	if len(candidates) == 0 {
+		return l.targets[l.rand.IntN(len(l.targets))]
 	}
 	if wantPlain || wantKey {
-		return some[l.rand.IntN(len(some))]
+		return candidates[l.rand.IntN(len(candidates))]
 	}
-	return some[rank(l.rand, len(some), l.ZipfExponent)]
+	return candidates[zipfRank(l.rand, len(candidates), l.ZipfExponent)]
 }
 
-// rank draws from a Zipf law over n by inversion of its continuous form.
-func rank(r *rand.Rand, n int, s float64) int {
+// zipfRank draws from a Zipf distribution over n ranks by inversion of its continuous form.
+func zipfRank(r *rand.Rand, n int, s float64) int {
 	u := r.Float64()
 	if math.Abs(s-1) < 1e-9 {
 		return min(n-1, int(math.Pow(float64(n+1), u))-1)
@@ -98,28 +97,28 @@
 	return min(n-1, int(math.Pow(1+u*top, 1/(1-s)))-1)
 }
 
-// next makes the request number n.
-func (l *LoadTest) next(n int) request {
-	r := request{kind: l.pick(), entry: l.rand.IntN(len(l.Entries)), again: -1}
-	r.left = r.Deadline
-	if r.left == 0 {
-		r.left = 20 * magno.Second
+// nextRequest builds request number n.
+func (l *LoadTest) nextRequest(n int) request {
+	r := request{target: l.pickTarget(), entry: l.rand.IntN(len(l.Entries)), resendAfter: -1}
+	r.timeout = r.Deadline
+	if r.timeout == 0 {
+		r.timeout = 20 * magno.Second
 	}
-	r.caller = fmt.Sprintf("%s-%02d", r.Customer, l.rand.IntN(callers))
-	r.max = wordsLeast + l.rand.IntN(wordsMost-wordsLeast)
-	if l.rand.IntN(longEvery) == 0 {
-		r.max *= longFactor
+	r.caller = fmt.Sprintf("%s-%02d", r.Customer, l.rand.IntN(callersPerCustomer))
+	r.maxTokens = minAnswerTokens + l.rand.IntN(maxAnswerTokens-minAnswerTokens)
+	if l.rand.IntN(longAnswerInterval) == 0 {
+		r.maxTokens *= longAnswerFactor
 	}
 	filler := strings.Repeat(" line of text", 1+l.rand.IntN(60))
-	r.text = fmt.Sprintf("%s of %s, run %s, number %d:%s", r.Name, r.Customer, l.mark, n, filler)
+	r.payload = fmt.Sprintf("%s of %s, run %s, number %d:%s", r.Name, r.Customer, l.runID, n, filler)
 	if r.plain {
-		r.text = fmt.Sprintf(`{"run": %q, "number": %d}`, l.mark, n)
+		r.payload = fmt.Sprintf(`{"run": %q, "number": %d}`, l.runID, n)
 	}
-	r.stream = !r.plain && l.rand.Float64() < streamed
+	r.stream = !r.plain && l.rand.Float64() < streamShare
 	if !r.Repeat {
 		r.key = uuid.Must(uuid.NewV7()).String()
 		if l.rand.Float64() < l.ResendShare {
-			r.again = time.Duration(l.rand.Float64() * float64(startSpan))
+			r.resendAfter = time.Duration(l.rand.Float64() * float64(maxResendDelay))
 		}
 	}
 	return r
