--- a/drive/tally/line.go
+++ b/drive/tally/line.go
@@ -4,11 +4,11 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// BoundCustomer stands for a customer on a line that bounds all engine requests; what
-// it doesn't bound is zero.
+// BoundCustomer marks a line that holds the bound over all engine requests; fields without
+// a bound are zero.
 const BoundCustomer = "engines"
 
-// Distribution describes a histogram, in its unit.
+// Distribution summarizes a histogram, in the unit of the histogram.
 type Distribution struct {
 	Mean float64 `json:"mean"`
 	P50  int64   `json:"p50"`
@@ -16,8 +16,8 @@
 	P99  int64   `json:"p99"`
 }
 
-// Line is one line of results: a customer, or all, in one run. Times are in
-// milliseconds but for Gap, which is in microseconds.
+// Line is one line of results: one customer, or all, in one run. Times are in milliseconds
+// except TokenGap, which is in microseconds.
 type Line struct {
 	Deploy   string  `json:"deploy"`
 	Case     string  `json:"case"`
@@ -29,26 +29,26 @@
 	Admitted int     `json:"admitted"`
 	Served   int     `json:"served"`
 	InTime   int     `json:"good"`
-	// Goodput is tokens a second of answers within their deadline.
+	// Goodput is in tokens per second of requests answered within their deadline.
 	Goodput float64        `json:"goodput"`
 	Refused map[string]int `json:"refused,omitempty"`
-	// StalledShare is the share of admitted engine requests that waited for an
-	// adapter.
+	// StalledShare is the share of admitted engine requests that waited for an adapter.
 	StalledShare float64      `json:"stalled"`
 	Stall        Distribution `json:"stall"`
-	// StallWithRefused counts a request refused for loading as a stall to its deadline.
+	// StallWithRefused counts a request refused for loading as a stall up to its deadline.
 	StallWithRefused Distribution `json:"full"`
 	FirstToken       Distribution `json:"first"`
 	TokenGap         Distribution `json:"gap"`
 	Latency          Distribution `json:"end"`
-	// OtherLatency is End without the hot work of a case.
+	// OtherLatency is Latency without the requests that the case itself adds.
 	OtherLatency Distribution `json:"other"`
-	// BatchEfficiency is the batch efficiency; it and the rest stand on the line of all.
+	// BatchEfficiency and all fields below are set only on the line over all customers;
+	// the line of a bound has BatchEfficiency alone.
 	BatchEfficiency float64 `json:"batch,omitempty"`
-	// Steps counts the engines' steps that had work.
+	// Steps counts the engine steps that had work.
 	Steps     int64   `json:"steps,omitempty"`
 	JainIndex float64 `json:"jain,omitempty"`
-	// WorstCustomer is the customer that got the smallest Part of its fair share.
+	// WorstCustomer got the smallest part of its fair share, WorstShare.
 	WorstCustomer string  `json:"worst,omitempty"`
 	WorstShare    float64 `json:"part,omitempty"`
 	AdapterLoads  int     `json:"loads,omitempty"`
@@ -56,11 +56,11 @@
 	InvalidOrders int     `json:"wrong,omitempty"`
 }
 
-// InTimeShare is the share of admitted requests that were answered in time.
+// InTimeShare returns the share of admitted requests that were answered in time.
 func (l *Line) InTimeShare() float64 { return ratio(float64(l.InTime), float64(l.Admitted)) }
 
-// Lines returns the line of all and one a customer; seconds is the length of
-// the run.
+// Lines returns the line over all customers, followed by one line per customer. The length
+// of the run is given in seconds.
 func (t *Tally) Lines(seconds float64) []Line {
 	all := line(t.all, seconds)
 	all.BatchEfficiency = t.BatchEfficiency()
@@ -91,7 +91,7 @@
 	}
 }
 
-// Merge adds another run's counts and histograms.
+// Merge adds the counts and histograms of another run.
 func (t *Tally) Merge(o *Tally) {
 	t.Steps += o.Steps
 	t.TokenCapacity += o.TokenCapacity
--- a/drive/tally/page.go
+++ b/drive/tally/page.go
@@ -7,11 +7,11 @@
 	"strings"
 )
 
-// kindsShown is how many kinds of refusal a page's row names.
+// kindsShown limits the refusal kinds listed in a row.
 const kindsShown = 3
 
-// PrintMarkdown writes lines as a table of Markdown with fewer columns than Print, times
-// in seconds.
+// PrintMarkdown writes lines as a Markdown table with fewer columns than PrintTable and
+// times in seconds.
 func PrintMarkdown(w io.Writer, lines []Line) error {
 	const head = "| case | policy | in time % | kept % | tokens/s | stalled % | stall mean | p50 | p95 | p99 | p99 with refused " +
 		"| first p95 | between p95 ms | batch | Jain | worst | refused % |\n" +
@@ -45,7 +45,7 @@
 
 func seconds(ms int64) string { return fmt.Sprintf("%.1f", float64(ms)/1000) }
 
-// shares names the most frequent refusals in percent of all requests.
+// shares formats the most frequent refusals as percentages of all requests.
 func shares(l *Line) string {
 	names := make([]string, 0, len(l.Refused))
 	for k := range l.Refused {
--- a/drive/tally/table.go
+++ b/drive/tally/table.go
@@ -9,7 +9,7 @@
 	"text/tabwriter"
 )
 
-// PrintTable writes lines as a table.
+// PrintTable writes lines as a text table.
 func PrintTable(w io.Writer, lines []Line) error {
 	tw := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(tw, "deploy\tcase\tpolicy\tload\tcustomer\toffered\tadmit%\tgood%\tkept%\ttok/s\t"+
@@ -25,7 +25,7 @@
 	return tw.Flush()
 }
 
-// WriteJSON writes lines as JSON, one a line.
+// WriteJSON writes lines as JSON, one object per line.
 func WriteJSON(w io.Writer, lines []Line) error {
 	enc := json.NewEncoder(w)
 	for i := range lines {
--- a/drive/tally/tally.go
+++ b/drive/tally/tally.go
@@ -1,5 +1,5 @@
-// Package tally counts what callers received in one run, by customer: served,
-// refused by kind, stalls, token times, fairness.
+// Package tally collects the results that callers received in one run, per customer: served
+// requests, refusals by kind, stalls, token latencies and fairness.
 package tally
 
 import (
@@ -11,81 +11,83 @@
 	"magnoliastall.example/magno"
 )
 
-// Histograms hold milliseconds up to an hour with two significant digits;
-// times between tokens are in microseconds.
+// Histograms record milliseconds up to an hour with two significant digits; token gaps are
+// in microseconds.
 const (
 	top    = int64(magno.Hour)
 	topGap = int64(100 * magno.Second * 1000)
 	digits = 2
 )
 
-// Answer is what became of one request.
+// Answer is the result of one request.
 type Answer struct {
 	Job magno.Job
-	// Refusal is nil for a whole answer.
+	// Refusal is nil for a complete response.
 	Refusal *magno.Refusal
-	// Admitted is true when an upstream took it into its queue.
+	// Admitted is true if an upstream queued the request.
 	Admitted bool
-	// Stall is how long it waited for its adapter while admitted.
+	// Stall is how long the request waited for its adapter after admission.
 	Stall magno.Millis
-	// FirstToken is the time to the first token, Latency to the answer, both at the
-	// caller and from when it was sent; Gap the mean time between tokens in
-	// microseconds.
+	// FirstToken and Latency are the times to the first token and to the complete response,
+	// measured by the caller from when it sent the request. TokenGap is the mean time
+	// between tokens in microseconds.
 	FirstToken, Latency magno.Millis
 	TokenGap            int64
-	// Engine is true when a model engine ran it.
+	// Engine is true if a model engine ran the request.
 	Engine bool
-	// Hot work counts for its customer but not among the others.
+	// Hot marks requests that a case adds to the base load; they are left out of
+	// OtherLatency.
 	Hot bool
 }
 
-// Row sums up the answers of one customer, or of all.
+// Row sums up the results of one customer, or of all customers.
 type Row struct {
 	Customer string `json:"customer"`
-	// Offered counts requests, Admitted those taken into a queue, Served
-	// whole answers, Good those within their deadline.
+	// Offered counts all requests, Admitted those queued by an upstream, Served complete
+	// responses, and InTime those within their deadline.
 	Offered  int `json:"offered"`
 	Admitted int `json:"admitted"`
 	Served   int `json:"served"`
 	InTime   int `json:"good"`
-	// InTimeTokens are the tokens, read and made, of answers within their deadline.
+	// InTimeTokens counts the prompt and output tokens of responses within their deadline.
 	InTimeTokens int `json:"goodtokens"`
-	// OfferedTokens is the tokens offered, Tokens those of all whole answers.
+	// OfferedTokens counts the tokens of all requests, ServedTokens those of complete
+	// responses.
 	OfferedTokens int `json:"work"`
 	ServedTokens  int `json:"tokens"`
-	// Stalled counts admitted requests that waited for an adapter.
+	// Stalled counts the admitted requests that waited for an adapter.
 	Stalled int            `json:"stalled"`
 	Refused map[string]int `json:"refused"`
 
-	// Stall holds admitted engine requests, refused later or not.
+	// Stall holds all admitted engine requests, including those refused later.
 	Stall *hdrhistogram.Histogram `json:"-"`
-	// StallWithRefused also holds those refused because their adapter couldn't be loaded,
-	// each with the whole time to its deadline: else refusing what would
-	// stall would look like serving it at once.
+	// StallWithRefused also holds requests refused because their adapter couldn't be
+	// loaded, each with the whole time to its deadline. Otherwise a policy could shorten
+	// its stalls by refusing the requests that would stall.
 	StallWithRefused *hdrhistogram.Histogram `json:"-"`
 	FirstToken       *hdrhistogram.Histogram `json:"-"`
 	Latency          *hdrhistogram.Histogram `json:"-"`
 	TokenGap         *hdrhistogram.Histogram `json:"-"`
-	// OtherLatency is the time to the answer without the case's own hot work.
+	// OtherLatency is the latency of requests that are not Hot.
 	OtherLatency *hdrhistogram.Histogram `json:"-"`
 }
 
-// Tally is the result of one run. Add is called by one goroutine.
+// Tally holds the results of one run. Add must not be called concurrently.
 type Tally struct {
-	// Weights maps a customer to its share.
+	// Weights maps a customer to its weight.
 	Weights map[string]float64
-	// Steps, TokenCapacity and UsedTokens sum the model engines' steps and tokens.
+	// Steps, TokenCapacity and UsedTokens are sums over the steps of all model engines.
 	Steps, TokenCapacity, UsedTokens int64
-	// AdapterLoads and FailedLoads count adapter loads.
+	// AdapterLoads counts completed adapter loads, FailedLoads failed and refused ones.
 	AdapterLoads, FailedLoads int
-	// InvalidOrders counts orders that no engine may be given.
+	// InvalidOrders counts orders that an engine must never receive.
 	InvalidOrders int
 
 	rows map[string]*Row
 	all  *Row
 }
 
-// New returns an empty tally for those customers.
+// New returns an empty tally for the customers.
 func New(customers []magno.Customer) *Tally {
 	t := &Tally{Weights: map[string]float64{}, rows: map[string]*Row{}, all: newRow("all")}
 	for _, b := range customers {
@@ -104,7 +106,7 @@
 	}
 }
 
-// Add counts one answer.
+// Add counts one result.
 func (t *Tally) Add(a Answer) {
 	row := t.rows[a.Job.Customer]
 	if row == nil {
@@ -155,15 +157,15 @@
 	}
 }
 
-// record keeps values beyond the histogram's range at its end.
+// record clamps values to the range of the histogram.
 func record(h *hdrhistogram.Histogram, v int64) {
 	_ = h.RecordValue(min(max(v, 0), h.HighestTrackableValue()))
 }
 
-// All returns the row over all customers.
+// All returns the row that sums up all customers.
 func (t *Tally) All() *Row { return t.all }
 
-// Rows returns a row a customer, in order of name.
+// Rows returns one row per customer, sorted by name.
 func (t *Tally) Rows() []*Row {
 	rows := make([]*Row, 0, len(t.rows))
 	for _, r := range t.rows {
@@ -173,14 +175,15 @@
 	return rows
 }
 
-// BatchEfficiency is tokens over the capacity of all steps that had work.
+// BatchEfficiency returns the tokens processed relative to the capacity of all steps that
+// had work.
 func (t *Tally) BatchEfficiency() float64 {
 	return ratio(float64(t.UsedTokens), float64(t.TokenCapacity))
 }
 
-// Fairness returns Jain's index and the worst customer. Each customer counts
-// with the tokens it got within deadlines over its max-min fair part of all
-// such tokens, so one that asked for little isn't taken as treated badly.
+// Fairness returns Jain's index, the worst customer and its part of its fair share. Each
+// customer counts with its tokens served in time relative to its max-min fair share of all
+// such tokens, so that a customer with little demand doesn't appear to be treated badly.
 func (t *Tally) Fairness() (jain float64, worst string, part float64) {
 	fair := t.fairParts()
 	var sum, squares float64
@@ -204,8 +207,8 @@
 	return sum * sum / (float64(n) * squares), worst, part
 }
 
-// fairParts shares the tokens that were served by weight, never more to a
-// customer than it asked for.
+// fairParts distributes the tokens served in time by weight, but gives no customer more
+// than it asked for.
 func (t *Tally) fairParts() map[string]float64 {
 	fair := map[string]float64{}
 	left := float64(t.all.InTimeTokens)
--- a/drive/tally/tally_test.go
+++ b/drive/tally/tally_test.go
@@ -7,12 +7,12 @@
 	"magnoliastall.example/magno"
 )
 
-// A customer that asks for little must not look badly treated, and one that
-// takes another's part must show.
+// Guards against a fairness index that reports a customer with little demand as treated
+// badly, or hides that a customer takes the share of another.
 func TestFairness(t *testing.T) {
 	tests := []struct {
 		name string
-		// asked and got are tokens of a customer of weight 3 and one of 1.
+		// asked and got are the tokens of a customer of weight 3 and of one of weight 1.
 		asked, got [2]int
 		jain, part float64
 	}{
@@ -35,14 +35,14 @@
 			}
 			jain, _, part := tl.Fairness()
 			if math.Abs(jain-tt.jain) > 0.01 || math.Abs(part-tt.part) > 0.01 {
-				t.Errorf("Jain %.3f, worst %.3f", jain, part)
+				t.Errorf("Jain %.3f, worst share %.3f", jain, part)
 			}
 		})
 	}
 }
 
-// Who refuses what would stall has short stalls; the full figure must not
-// hide it.
+// A policy that refuses the requests that would stall has short stalls. StallWithRefused
+// must count the refused requests as well.
 func TestRefusedLoadsCountAsStalls(t *testing.T) {
 	tl := New(nil)
 	job := magno.Job{Customer: "a", Output: 1, Arrived: 100, Deadline: 20100}
