--- a/drive/store/store.go
+++ b/drive/store/store.go
@@ -1,6 +1,6 @@
-// Package store fakes a rate-limited weight store for experiments, as the
-// stand-in of live runs does: loads beyond its width share its speed, and what
-// is asked over its rate is refused at once.
+// Package store simulates a rate-limited weight store, like the stand-in of live runs:
+// loads beyond Concurrency share its bandwidth, and loads over the rate limit are refused
+// immediately.
 package store
 
 import (
@@ -12,21 +12,22 @@
 	"magnoliastall.example/magno"
 )
 
-// Store is one weight store. Time is told to it.
+// Store is a weight store on simulated time, which is passed to its methods.
 type Store struct {
-	// Rate is how many loads a second may begin; more are refused.
+	// Rate is the number of loads that may begin per second; more are refused.
 	Rate float64
-	// LoadTime is the time of a load at full speed, Width how many run so.
+	// LoadTime is the duration of a load at full speed, Concurrency how many loads run at
+	// full speed at the same time.
 	LoadTime    magno.Millis
 	Concurrency int
-	// Slowdown is how many times as long as usual a load takes; at least 1.
+	// Slowdown multiplies the duration of loads; values below 1 count as 1.
 	Slowdown float64
 	// FailureRate is the share of loads that fail, drawn from Rand.
 	FailureRate float64
 	Rand        *rand.Rand
 
-	// Loads counts delivered loads, Failed those that a fault failed, Refused
-	// those over the rate.
+	// Loads counts completed loads, Failed those that failed by a fault, Refused those over
+	// the rate limit.
 	Loads, Failed, Refused int
 
 	limiter *rate.Limiter
@@ -39,7 +40,7 @@
 	left float64
 }
 
-// Begin starts a load at now; false means that it was refused or failed.
+// Begin starts a load; it returns false if the load was refused or failed.
 func (s *Store) Begin(now magno.Millis, id int64) bool {
 	if s.limiter == nil {
 		s.limiter = rate.NewLimiter(rate.Limit(s.Rate), max(s.Concurrency, int(s.Rate)))
@@ -57,7 +58,7 @@
 	return true
 }
 
-// NextEnd returns when the next load ends; false when none is active.
+// NextEnd returns when the next load ends; false if none is active.
 func (s *Store) NextEnd() (magno.Millis, bool) {
 	if len(s.active) == 0 {
 		return 0, false
@@ -69,7 +70,7 @@
 	return s.last + max(1, magno.Millis(least/s.speed()+0.999)), true
 }
 
-// TakeFinished returns the loads that have ended by now.
+// TakeFinished removes and returns the loads that have ended by now.
 func (s *Store) TakeFinished(now magno.Millis) []int64 {
 	s.advance(now)
 	var ended []int64
@@ -87,7 +88,7 @@
 	return ended
 }
 
-// SetFault sets the fault from now on.
+// SetFault sets Slowdown and FailureRate from now on.
 func (s *Store) SetFault(now magno.Millis, factor, fail float64) {
 	s.advance(now)
 	s.Slowdown, s.FailureRate = factor, fail
@@ -103,7 +104,7 @@
 	s.last = max(s.last, now)
 }
 
-// speed is what each active load makes in a millisecond.
+// speed returns the progress of each active load per millisecond.
 func (s *Store) speed() float64 {
 	share := min(1, float64(s.Concurrency)/float64(max(1, len(s.active))))
 	return share / max(1, s.Slowdown)
