--- a/drive/trial/bound_test.go
+++ b/drive/trial/bound_test.go
@@ -9,9 +9,9 @@
 	"magnoliastall.example/magno"
 )
 
-// A bound that a policy beats is none, and whatever is said against it is
-// worth nothing. One of the first was.
-func TestNobodyBeatsTheBound(t *testing.T) {
+// A bound that a policy exceeds is wrong, and so is every comparison with it. An early
+// version of the bound was exceeded.
+func TestNoPolicyExceedsTheBound(t *testing.T) {
 	for seed := uint64(1); seed <= 2; seed++ {
 		for _, scene := range []string{load.Steady, load.Over3} {
 			d, err := load.FindDeployment("cursada")
@@ -22,7 +22,7 @@
 				Duration: 30 * magno.Second, ZipfExponent: 1.5, StallWeight: -1}
 			arrivals := l.Arrivals()
 			for i := range arrivals {
-				arrivals[i].Job.Deadline += 4 * magno.Minute // nobody refuses, so that the stall's bound holds
+				arrivals[i].Job.Deadline += 4 * magno.Minute // no request is refused, as the bound on stalls assumes
 			}
 			b := bound.New(l, arrivals)
 			for _, name := range []string{"hash", sim.PolicyOurs} {
@@ -32,11 +32,11 @@
 				}
 				got := tl.Lines(l.Duration.Span().Seconds())[0]
 				if got.BatchEfficiency > b.BatchEfficiency || got.Goodput > b.Goodput {
-					t.Errorf("seed %d %s %s: batch %.3f of %.3f, %.0f tokens/s of %.0f",
+					t.Errorf("seed %d %s %s: batch efficiency %.3f, bound %.3f; %.0f tokens/s, bound %.0f",
 						seed, scene, name, got.BatchEfficiency, b.BatchEfficiency, got.Goodput, b.Goodput)
 				}
 				if refused := got.Offered - got.Served; refused == 0 && got.Stall.Mean < b.MeanStall {
-					t.Errorf("seed %d %s %s: mean stall %.0f under %.0f", seed, scene, name, got.Stall.Mean, b.MeanStall)
+					t.Errorf("seed %d %s %s: mean stall %.0f ms below the bound of %.0f ms", seed, scene, name, got.Stall.Mean, b.MeanStall)
 				}
 			}
 		}
--- a/drive/trial/trial.go
+++ b/drive/trial/trial.go
@@ -1,5 +1,5 @@
-// Package trial runs an experiment: policies on the same arrivals, over cases
-// and seeds, a few runs at a time.
+// Package trial runs an experiment: several policies on the same arrivals, over cases and
+// seeds, with a few runs at a time.
 package trial
 
 import (
@@ -14,17 +14,19 @@
 	"magnoliastall.example/magno"
 )
 
-// MaxConcurrentRuns is how many runs go on at once at most: machines are shared.
+// MaxConcurrentRuns limits the runs at the same time, because machines are shared with
+// other work.
 const MaxConcurrentRuns = 4
 
 const (
-	// probe is the length of the run that measures capacity, and half of it
-	// is its ramp.
-	probe = 4 * magno.Minute
-	// probeLoad is the load of that run against an estimate.
-	probeLoad = 1.6
-	// probeSeed keeps the capacity the same whatever seeds are compared.
-	probeSeed = 4711
+	// measureDuration is the length of the run that measures capacity; its first half is
+	// the ramp-up.
+	measureDuration = 4 * magno.Minute
+	// measureLoad is the load of that run relative to the estimated capacity.
+	measureLoad = 1.6
+	// measureSeed is fixed, so that the capacity does not depend on the seeds under
+	// comparison.
+	measureSeed = 4711
 )
 
 // Trial is one experiment. Its fields are set before Run.
@@ -32,31 +34,30 @@
 	Deployment load.Deployment
 	Cases      []string
 	Policies   []sim.Policy
-	// Seeds are run one by one from Seed.
+	// Seeds is the number of consecutive seeds, starting with Seed.
 	Seed  uint64
 	Seeds int
-	// Load is against the measured capacity; some cases set their own.
+	// Load is relative to the measured capacity; some cases override it.
 	Load     float64
 	Duration magno.Millis
-	// WarmUp is the first part of a run, which isn't counted.
+	// WarmUp is the first part of a run, which is not measured.
 	WarmUp       magno.Millis
 	ZipfExponent float64
 	StallWeight  float64
-	// Progress is called after each run, by one goroutine at a time. It may
-	// be nil.
+	// Progress is called after each run, never concurrently. It may be nil.
 	Progress func(r *Result)
 
-	// Capacity is requests a second over all pools, set by Run when zero.
+	// Capacity is in requests per second over all pools. Run measures it if it is zero.
 	Capacity float64
 }
 
-// Result is one run.
+// Result is the result of one run.
 type Result struct {
 	Case   string
 	Policy string
 	Seed   uint64
 	Load   float64
-	// Tally is nil for the bound, Bound for all else.
+	// Tally is nil for the bound, Bound for every other policy.
 	Tally *tally.Tally
 	Bound *bound.Bound
 }
@@ -89,7 +90,7 @@
 	for range MaxConcurrentRuns {
 		wg.Go(func() {
 			for i := range todo {
-				rs, err := t.one(tasks[i], &mu)
+				rs, err := t.runTask(tasks[i], &mu)
 				results[i] = rs
 				if err != nil {
 					errs <- err
@@ -112,9 +113,9 @@
 	return t.sorted(tasks, results), ctx.Err()
 }
 
-// one plays a case and seed with each policy, on the same arrivals.
-func (t *Trial) one(k task, mu *sync.Mutex) ([]Result, error) {
-	l := t.load(k.scene, k.seed)
+// runTask runs a case and seed with each policy on the same arrivals.
+func (t *Trial) runTask(k task, mu *sync.Mutex) ([]Result, error) {
+	l := t.workload(k.scene, k.seed)
 	arrivals := l.Arrivals()
 	results := make([]Result, 0, len(t.Policies))
 	for _, p := range t.Policies {
@@ -138,7 +139,7 @@
 	return results, nil
 }
 
-func (t *Trial) load(scene string, seed uint64) *load.Workload {
+func (t *Trial) workload(scene string, seed uint64) *load.Workload {
 	return &load.Workload{
 		Deployment: t.Deployment, Case: scene, Seed: seed, Duration: t.Duration, WarmUp: t.WarmUp, ZipfExponent: t.ZipfExponent, StallWeight: t.StallWeight,
 		Rate: t.Capacity * load.CaseLoad(scene, t.Load),
@@ -159,28 +160,28 @@
 	return out
 }
 
-// MeasureCapacity returns the capacity in requests a second over all pools: the engine
-// tokens a second that the deployment's engines complete when they are
-// overloaded, every request needs no adapter and the least-loaded engine gets
-// it, over the mean tokens of a request. It is the engines' own limit; the
-// weight store's limit comes on top and shows in the results.
+// MeasureCapacity returns the capacity in requests per second over all pools: the token
+// throughput of the deployment's engines when they are overloaded, no request needs an
+// adapter and each goes to the least-loaded engine, divided by the mean tokens of a
+// request. It is the limit of the engines alone; the limit of the weight store shows in the
+// results.
 func (t *Trial) MeasureCapacity() (float64, error) {
-	half, err := t.saturate(probe / 2)
+	half, err := t.saturate(measureDuration / 2)
 	if err != nil {
 		return 0, err
 	}
-	whole, err := t.saturate(probe)
+	whole, err := t.saturate(measureDuration)
 	if err != nil {
 		return 0, err
 	}
-	return (whole - half) / (float64(probe/2) / float64(magno.Second)), nil
+	return (whole - half) / (float64(measureDuration/2) / float64(magno.Second)), nil
 }
 
-// saturate returns how many mean requests of all pools are served in a run of
-// that length.
+// saturate returns how many requests of mean size, over all pools, are served in an
+// overloaded run of that length.
 func (t *Trial) saturate(length magno.Millis) (float64, error) {
-	l := &load.Workload{Deployment: t.Deployment, Case: load.Steady, Seed: probeSeed, Duration: length, ZipfExponent: t.ZipfExponent, StallWeight: t.StallWeight}
-	l.Rate = probeLoad * estimate(&t.Deployment)
+	l := &load.Workload{Deployment: t.Deployment, Case: load.Steady, Seed: measureSeed, Duration: length, ZipfExponent: t.ZipfExponent, StallWeight: t.StallWeight}
+	l.Rate = measureLoad * estimateCapacity(&t.Deployment)
 	arrivals := l.Arrivals()
 	total := 0
 	for i := range arrivals {
@@ -194,8 +195,8 @@
 	return float64(tl.All().ServedTokens) / (float64(total) / float64(len(arrivals))), nil
 }
 
-// estimate is the rate at which the engines' steps are full of tokens.
-func estimate(d *load.Deployment) float64 {
+// estimateCapacity returns the request rate at which the engines' steps are full.
+func estimateCapacity(d *load.Deployment) float64 {
 	work := 0.0
 	for i := range d.Classes {
 		if c := &d.Classes[i]; c.Pool == load.PoolReading {
