--- a/drive/soak/proxy.go
+++ b/drive/soak/proxy.go
@@ -9,23 +9,23 @@
 	"time"
 )
 
-// mode is what a proxy does to its connections.
+// mode is what a proxy does with its connections.
 type mode int
 
 const (
-	modePass  mode = iota
-	modeDelay      // both ways are slow
-	modeMute       // nothing passes, connections stay open
-	modeNoWay      // nothing passes from the far side: a cut one way
-	modeReset      // connections are reset, new ones too
+	modePass        mode = iota
+	modeDelay            // adds a delay in both directions
+	modeBlackhole        // forwards nothing, connections stay open
+	modeDropReplies      // forwards requests but no replies
+	modeReset            // resets open and new connections
 )
 
 var modeNames = []string{"pass", "delay", "mute", "oneway", "reset"}
 
-// delayTime is what modeDelay adds to each piece.
+// delayTime is the delay that modeDelay adds to each read.
 const delayTime = 60 * time.Millisecond
 
-// proxy forwards TCP connections and harms them.
+// proxy forwards TCP connections and injects network faults.
 type proxy struct {
 	listen, target string
 
@@ -34,7 +34,7 @@
 	conns map[net.Conn]bool
 }
 
-// run forwards until ctx ends.
+// run forwards connections until ctx ends.
 func (p *proxy) run(ctx context.Context) error {
 	var lc net.ListenConfig
 	l, err := lc.Listen(ctx, "tcp", p.listen)
@@ -78,14 +78,14 @@
 	_ = c.Close()
 }
 
-func (p *proxy) now() mode {
+func (p *proxy) currentMode() mode {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.mode
 }
 
 func (p *proxy) serve(near net.Conn) {
-	if p.now() == modeReset {
+	if p.currentMode() == modeReset {
 		reset(near)
 		return
 	}
@@ -111,16 +111,16 @@
 	_ = far.Close()
 }
 
-// copy moves bytes until either side ends, as the mode lets it.
+// copy forwards bytes until either side ends, as the current mode permits.
 func (p *proxy) copy(to, from net.Conn, answers bool, done chan struct{}) {
 	defer func() { done <- struct{}{} }()
 	buf := make([]byte, 16<<10)
 	for {
 		n, err := from.Read(buf)
-		for p.holds(answers) {
+		for p.blocked(answers) {
 			time.Sleep(5 * time.Millisecond)
 		}
-		if p.now() == modeDelay {
+		if p.currentMode() == modeDelay {
 			time.Sleep(delayTime)
 		}
 		if n > 0 {
@@ -136,12 +136,12 @@
 	}
 }
 
-func (p *proxy) holds(answers bool) bool {
-	m := p.now()
-	return m == modeMute || (m == modeNoWay && answers)
+func (p *proxy) blocked(answers bool) bool {
+	m := p.currentMode()
+	return m == modeBlackhole || (m == modeDropReplies && answers)
 }
 
-// close passes the end of one side on as what it was.
+// close ends the other side like the first: half-closed at EOF, reset otherwise.
 func (p *proxy) close(to net.Conn, err error) {
 	if errors.Is(err, io.EOF) {
 		if t, ok := to.(*net.TCPConn); ok {
--- a/drive/soak/soak.go
+++ b/drive/soak/soak.go
@@ -17,61 +17,61 @@
 
 const (
 	callers = 12
-	// turning is how many of them use keys that are withdrawn from time to time.
-	turning = 4
-	// adapters is how many are asked for: more than one engine holds.
+	// rotatingCallers is how many callers use keys that are withdrawn from time to time.
+	rotatingCallers = 4
+	// adapters is the number of adapters requested, more than one engine can hold.
 	adapters = 9
-	// pauseMost bounds the pause between two faults, faultMost how long one
-	// lasts; they overlap.
-	pauseMost = 500 * time.Millisecond
-	faultMost = 1500 * time.Millisecond
-	// calm is how long after the last fault the fleet must serve everything,
-	// recovery how long after a loss of all power: half of what the platform
-	// allows.
-	calm     = 12 * time.Second
-	recovery = 6 * time.Second
-	// afterwards is how many requests must then be served in a row.
-	afterwards = 30
-	// outage is how long the list stays down after a loss of power.
-	outage = 2 * time.Second
-	// look is how often the upstreams are asked what they saw.
-	look = 250 * time.Millisecond
+	// maxFaultInterval limits the pause between the starts of two faults, maxFaultDuration
+	// the duration of one. Faults overlap.
+	maxFaultInterval = 500 * time.Millisecond
+	maxFaultDuration = 1500 * time.Millisecond
+	// recoveryLimit is the time after the last fault within which the fleet must serve all
+	// requests again, powerLossLimit the same after a power loss of all machines. They are
+	// half of what the platform allows.
+	recoveryLimit  = 12 * time.Second
+	powerLossLimit = 6 * time.Second
+	// requiredInRow is the number of consecutive requests that must then be served.
+	requiredInRow = 30
+	// listOutage is how long the instance list stays unavailable after a power loss.
+	listOutage = 2 * time.Second
+	// pollInterval is how often the upstreams are asked for violations.
+	pollInterval = 250 * time.Millisecond
 )
 
-// Soak is one run. Fields are set before Run.
+// Soak is one soak test. Its fields are set before Run.
 type Soak struct {
 	Seed     uint64
 	Duration time.Duration
-	// Dir takes settings and logs, Bin holds the programs.
+	// Dir receives settings and logs, Bin holds the programs.
 	Dir, Bin string
 	Out      io.Writer
 
 	fleet *fleet
 	mu    sync.Mutex
-	// sent are requests by id, with what their callers got.
-	sent   map[string]*request
-	kinds  map[string]int
-	faults map[string]int
-	broken []string
-	// known are the promises in broken, from began on.
-	known map[string]bool
-	began time.Time
+	// sent holds the requests by id, with what their callers received.
+	sent       map[string]*request
+	kinds      map[string]int
+	faults     map[string]int
+	violations []string
+	// reported holds the violations already in violations. Their times count from started.
+	reported map[string]bool
+	started  time.Time
 }
 
-// request is one attempt.
+// request is one request of a caller.
 type request struct {
 	path    string
 	outcome fake.Outcome
-	// key is what its caller sent at a time.
+	// key is the credential that the caller sent, at is when.
 	key string
 	at  time.Time
 }
 
-// Run plays and returns the promises that were broken.
+// Run runs the test and returns the guarantees that were violated.
 func (s *Soak) Run(ctx context.Context) ([]string, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	s.sent, s.kinds, s.faults, s.known = map[string]*request{}, map[string]int{}, map[string]int{}, map[string]bool{}
+	s.sent, s.kinds, s.faults, s.reported = map[string]*request{}, map[string]int{}, map[string]int{}, map[string]bool{}
 	s.fleet = newFleet(s.Dir, s.Bin)
 	if err := s.fleet.start(ctx); err != nil {
 		return nil, err
@@ -79,12 +79,12 @@
 	if err := s.fleet.ready(ctx); err != nil {
 		return nil, err
 	}
-	s.began = time.Now()
+	s.started = time.Now()
 	watched := make(chan struct{})
 	watching, unwatch := context.WithCancel(ctx)
 	go func() {
 		defer close(watched)
-		s.watch(watching)
+		s.pollUpstreams(watching)
 	}()
 	playing, stop := context.WithTimeout(ctx, s.Duration)
 	defer stop()
@@ -93,38 +93,38 @@
 		working.Add(1)
 		go func() {
 			defer working.Done()
-			s.call(ctx, playing, i)
+			s.sendRequests(ctx, playing, i)
 		}()
 	}
-	s.harm(playing)
+	s.injectFaults(playing)
 	working.Wait()
-	s.heal()
-	s.after(ctx, "the last fault", calm)
-	s.blackout()
-	s.after(ctx, "a loss of all power", recovery)
+	s.clearFaults()
+	s.checkRecovery(ctx, "the last fault", recoveryLimit)
+	s.losePower()
+	s.checkRecovery(ctx, "a loss of all power", powerLossLimit)
 	unwatch()
 	<-watched
-	s.check()
-	s.print()
-	return s.broken, nil
+	s.checkAll()
+	s.printSummary()
+	return s.violations, nil
 }
 
-// call sends requests one after the other until playing ends.
-func (s *Soak) call(ctx, playing context.Context, n int) {
-	rnd := rand.New(rand.NewPCG(s.Seed, uint64(n)+1)) //nolint:gosec // no secret
+// sendRequests sends one request after another until playing ends.
+func (s *Soak) sendRequests(ctx, playing context.Context, n int) {
+	rnd := rand.New(rand.NewPCG(s.Seed, uint64(n)+1)) //nolint:gosec // not used as a secret
 	caller := &fake.Caller{HTTP: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 2}}, Key: fake.Key}
 	for i := 0; playing.Err() == nil; i++ {
-		if n < turning {
+		if n < rotatingCallers {
 			caller.Key = s.fleet.key(rnd)
 		}
-		address := s.fleet.entries[rnd.IntN(entries)]
-		s.once(ctx, caller, address, fmt.Sprintf("s%d-%d-%d", s.Seed, n, i), rnd)
+		address := s.fleet.entries[rnd.IntN(entryCount)]
+		s.sendOne(ctx, caller, address, fmt.Sprintf("s%d-%d-%d", s.Seed, n, i), rnd)
 		time.Sleep(time.Duration(rnd.IntN(40)) * time.Millisecond)
 	}
 }
 
-// once sends one request and notes what came of it.
-func (s *Soak) once(ctx context.Context, caller *fake.Caller, address, id string, rnd *rand.Rand) fake.Outcome {
+// sendOne sends one request and records its outcome.
+func (s *Soak) sendOne(ctx context.Context, caller *fake.Caller, address, id string, rnd *rand.Rand) fake.Outcome {
 	path := []string{fake.PathOnce, fake.PathRepeat, fake.PathStream, fake.PathResume, fake.PathResume}[rnd.IntN(5)]
 	adapter := ""
 	if path == fake.PathStream || path == fake.PathResume {
@@ -132,7 +132,7 @@
 	}
 	limit := 6 * time.Second
 	if rnd.IntN(20) == 0 {
-		limit = time.Duration(rnd.IntN(60)) * time.Millisecond // it leaves early
+		limit = time.Duration(rnd.IntN(60)) * time.Millisecond // the caller disconnects early
 	}
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
@@ -141,7 +141,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.sent[id] = &request{path: path, outcome: o, key: caller.Key, at: at}
-	s.one(id, s.sent[id])
+	s.checkRequest(id, s.sent[id])
 	s.kinds[fmt.Sprintf("%s %s", strings.Trim(path, "/"), outcomeName(o))]++
 	return o
 }
@@ -160,15 +160,15 @@
 	return "failed"
 }
 
-// harm injects faults until ctx ends. The seed decides all of them.
-func (s *Soak) harm(ctx context.Context) {
-	rnd := rand.New(rand.NewPCG(s.Seed, 0)) //nolint:gosec // no secret
+// injectFaults injects faults until ctx ends. The seed determines all of them.
+func (s *Soak) injectFaults(ctx context.Context) {
+	rnd := rand.New(rand.NewPCG(s.Seed, 0)) //nolint:gosec // not used as a secret
 	var ending sync.WaitGroup
 	defer ending.Wait()
 	for ctx.Err() == nil {
-		pause := time.Duration(rnd.Int64N(int64(pauseMost)))
-		last := time.Duration(rnd.Int64N(int64(faultMost)))
-		name, undo := s.fault(rnd)
+		pause := time.Duration(rnd.Int64N(int64(maxFaultInterval)))
+		last := time.Duration(rnd.Int64N(int64(maxFaultDuration)))
+		name, undo := s.startFault(rnd)
 		s.faults[name]++
 		ending.Add(1)
 		go func() {
@@ -180,12 +180,12 @@
 	}
 }
 
-// fault begins one fault and returns what ends it.
-func (s *Soak) fault(rnd *rand.Rand) (string, func()) {
+// startFault starts a random fault and returns its name and the function that ends it.
+func (s *Soak) startFault(rnd *rand.Rand) (string, func()) {
 	f := s.fleet
 	p := f.procs[rnd.IntN(len(f.procs))]
 	x := f.proxies[rnd.IntN(len(f.proxies))]
-	u := append(f.engines[:len(f.engines):len(f.engines)], f.plains...)[rnd.IntN(engines+plains)]
+	u := append(f.engines[:len(f.engines):len(f.engines)], f.plains...)[rnd.IntN(engineCount+plainCount)]
 	none := func() {}
 	switch n := rnd.IntN(16); n {
 	case 0, 1:
@@ -214,7 +214,7 @@
 		f.publish()
 		return "configuration", none
 	case 13:
-		f.renew(u)
+		f.replace(u)
 		return "upstream replaced", none
 	case 14:
 		f.restart(u)
@@ -225,8 +225,8 @@
 	}
 }
 
-// heal ends what faults may be left.
-func (s *Soak) heal() {
+// clearFaults ends all faults that may remain.
+func (s *Soak) clearFaults() {
 	for _, x := range s.fleet.proxies {
 		x.set(modePass)
 	}
@@ -239,61 +239,61 @@
 	}
 }
 
-// blackout ends all processes and empties all upstreams at once; with every
-// other seed the list comes back later than they do.
-func (s *Soak) blackout() {
-	late := s.Seed%2 == 1
-	s.fleet.store.Down.Store(late)
+// losePower kills all processes and empties all upstreams at once. With every other seed
+// the instance list also becomes unavailable and returns later than the processes.
+func (s *Soak) losePower() {
+	listDown := s.Seed%2 == 1
+	s.fleet.store.Down.Store(listDown)
 	for _, p := range s.fleet.procs {
 		p.signal(syscall.SIGKILL)
 	}
 	for _, u := range append(s.fleet.engines, s.fleet.plains...) {
 		s.fleet.restart(u)
 	}
-	if late {
-		time.Sleep(outage)
+	if listDown {
+		time.Sleep(listOutage)
 		s.fleet.store.Down.Store(false)
 	}
 }
 
-// after sends requests once the faults are over; all must be served.
-func (s *Soak) after(ctx context.Context, what string, within time.Duration) {
+// checkRecovery sends requests after the faults have ended; all of them must be served.
+func (s *Soak) checkRecovery(ctx context.Context, what string, within time.Duration) {
 	caller := &fake.Caller{HTTP: &http.Client{Transport: &http.Transport{}}, Key: fake.Key}
-	rnd := rand.New(rand.NewPCG(s.Seed, 1<<32)) //nolint:gosec // no secret
-	row, last := 0, fake.Outcome{}
-	for i, end := 0, time.Now().Add(within); row < afterwards && time.Now().Before(end); i++ {
-		o := s.once(ctx, caller, s.fleet.entries[i%entries], fmt.Sprintf("s%d-after %s-%d", s.Seed, what, i), rnd)
+	rnd := rand.New(rand.NewPCG(s.Seed, 1<<32)) //nolint:gosec // not used as a secret
+	inRow, last := 0, fake.Outcome{}
+	for i, end := 0, time.Now().Add(within); inRow < requiredInRow && time.Now().Before(end); i++ {
+		o := s.sendOne(ctx, caller, s.fleet.entries[i%entryCount], fmt.Sprintf("s%d-after %s-%d", s.Seed, what, i), rnd)
 		if o.Status == http.StatusOK && o.Complete {
-			row++
+			inRow++
 			continue
 		}
-		// A caller that left early by itself proves nothing.
+		// A caller that disconnected early says nothing about the fleet.
 		if o.Status != 0 {
-			row, last = 0, o
+			inRow, last = 0, o
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
-	if row < afterwards {
+	if inRow < requiredInRow {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		s.fail("only %d requests in a row were served within %s of %s; last status %d", row, within, what, last.Status)
+		s.violation("only %d requests in a row were served within %s of %s; last status %d", inRow, within, what, last.Status)
 	}
 }
 
-// fail notes a broken promise once, and says so at once. The caller holds mu.
-func (s *Soak) fail(format string, args ...any) {
+// violation records and prints a violated guarantee, once per text. The caller holds mu.
+func (s *Soak) violation(format string, args ...any) {
 	what := fmt.Sprintf(format, args...)
-	if s.known[what] {
+	if s.reported[what] {
 		return
 	}
-	s.known[what] = true
-	s.broken = append(s.broken, what)
-	fmt.Fprintf(s.Out, "seed %d: BROKEN after %d ms: %s\n", s.Seed, time.Since(s.began).Milliseconds(), what)
+	s.reported[what] = true
+	s.violations = append(s.violations, what)
+	fmt.Fprintf(s.Out, "seed %d: BROKEN after %d ms: %s\n", s.Seed, time.Since(s.started).Milliseconds(), what)
 }
 
-// watch asks the upstreams, until ctx ends, for what they saw that must not be.
-func (s *Soak) watch(ctx context.Context) {
-	ticks := time.NewTicker(look)
+// pollUpstreams collects the violations that the upstreams observe, until ctx ends.
+func (s *Soak) pollUpstreams(ctx context.Context) {
+	ticks := time.NewTicker(pollInterval)
 	defer ticks.Stop()
 	for {
 		select {
@@ -301,24 +301,24 @@
 			return
 		case <-ticks.C:
 			s.mu.Lock()
-			s.upstreams()
+			s.checkUpstreams()
 			s.mu.Unlock()
 		}
 	}
 }
 
-// upstreams takes what the upstreams noted. The caller holds mu.
-func (s *Soak) upstreams() {
+// checkUpstreams collects the violations that upstreams recorded. The caller holds mu.
+func (s *Soak) checkUpstreams() {
 	for _, w := range s.fleet.workers() {
 		for _, what := range w.Violations() {
-			s.fail("upstream %s: %s", w.ID, what)
+			s.violation("upstream %s: %s", w.ID, what)
 		}
 	}
 }
 
-// check compares once more what callers got with what ran, for what ran only
-// after its caller had its answer.
-func (s *Soak) check() {
+// checkAll checks all requests again, because some may have run only after their callers
+// received a response.
+func (s *Soak) checkAll() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	ids := make([]string, 0, len(s.sent))
@@ -327,22 +327,22 @@
 	}
 	sort.Strings(ids)
 	for _, id := range ids {
-		s.one(id, s.sent[id])
+		s.checkRequest(id, s.sent[id])
 	}
-	s.upstreams()
+	s.checkUpstreams()
 }
 
-// one holds what a caller got against what ran. The caller holds mu.
-func (s *Soak) one(id string, r *request) {
+// checkRequest compares what a caller received with what ran. The caller holds mu.
+func (s *Soak) checkRequest(id string, r *request) {
 	runs, o := s.fleet.runs(id), r.outcome
 	if (r.path == fake.PathOnce || r.path == fake.PathStream) && runs > 1 {
-		s.fail("%s %s ran %d times", r.path, id, runs)
+		s.violation("%s %s ran %d times", r.path, id, runs)
 	}
 	if runs > 0 && s.fleet.expired(r.key, r.at) {
-		s.fail("%s %s ran with a key that had been withdrawn for over %s", r.path, id, fake.RevokeDelay)
+		s.violation("%s %s ran with a key that had been withdrawn for over %s", r.path, id, fake.RevokeDelay)
 	}
 	if o.NotRun && runs > 0 && r.path != fake.PathRepeat {
-		s.fail("%s %s was told %d and ran %d times", r.path, id, o.Status, runs)
+		s.violation("%s %s was told %d and ran %d times", r.path, id, o.Status, runs)
 	}
 	if o.Status != http.StatusOK {
 		return
@@ -350,24 +350,24 @@
 	want := "done " + id
 	if r.path == fake.PathStream || r.path == fake.PathResume {
 		want = ""
-		for n := 1; n <= events; n++ {
+		for n := 1; n <= eventsPerStream; n++ {
 			want += fake.Event(id, n)
 		}
 	}
 	if o.Complete && o.Body != want {
-		s.fail("%s %s looks whole and is %q", r.path, id, o.Body)
+		s.violation("%s %s looks whole and is %q", r.path, id, o.Body)
 	}
 	if !strings.HasPrefix(want, o.Body) {
-		s.fail("%s %s has other bytes than its own: %q", r.path, id, o.Body)
+		s.violation("%s %s has other bytes than its own: %q", r.path, id, o.Body)
 	}
 }
 
-// print writes the table of one run.
-func (s *Soak) print() {
-	fmt.Fprintf(s.Out, "seed %d: %d requests, %d broken promises\n", s.Seed, len(s.sent), len(s.broken))
+// printSummary writes the summary of the run.
+func (s *Soak) printSummary() {
+	fmt.Fprintf(s.Out, "seed %d: %d requests, %d broken promises\n", s.Seed, len(s.sent), len(s.violations))
 	printCounts(s.Out, "  requests:", s.kinds)
 	printCounts(s.Out, "  faults:", s.faults)
-	for _, what := range s.broken {
+	for _, what := range s.violations {
 		fmt.Fprintln(s.Out, "  BROKEN:", what)
 	}
 }
