--- a/drive/proof/caller_test.go
+++ b/drive/proof/caller_test.go
@@ -13,7 +13,7 @@
 	"magnoliastall.example/magno"
 )
 
-// reply is what a caller received.
+// reply is the response that a caller received.
 type reply struct {
 	status int
 	header http.Header
@@ -30,7 +30,7 @@
 
 // post sends a caller's request through entry n.
 func (f *fleet) post(n int, path, key, body string) reply {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, f.url(80+n)+path, strings.NewReader(body))
 	if err != nil {
@@ -52,8 +52,8 @@
 	return reply{status: resp.StatusCode, header: resp.Header, body: string(data), err: err}
 }
 
-// ask sends a completion and returns its text.
-func (f *fleet) ask(n int, profile, prompt string, tokens int) (reply, string) {
+// complete sends a completion request and returns its text.
+func (f *fleet) complete(n int, profile, prompt string, tokens int) (reply, string) {
 	body, _ := json.Marshal(map[string]any{"model": profile, "prompt": prompt, "max_tokens": tokens})
 	r := f.post(n, "/v1/completions", newKey(), string(body))
 	var answer struct {
--- a/drive/proof/config_test.go
+++ b/drive/proof/config_test.go
@@ -12,19 +12,18 @@
 	"magnoliastall.example/stand/engine"
 )
 
-// Offsets of operators' ports.
+// Offsets of the stand-ins' admin ports from the first port of a fleet.
 const (
-	confAdmin = 11
-	listAdmin = 21
+	configAdminOffset = 11
+	listAdminOffset   = 21
 )
 
-// The configuration service goes down and comes back stale: it answers with
-// what was published a while ago. A process that is replaced then must not
-// serve the older version that the service shows, or a profile that was moved
-// on reads receipts with the adapter version it was moved away from.
+// The configuration service returns after an outage with an outdated version. A process
+// started then must not serve that version, or requests for a profile whose adapter version
+// was changed run on the old one.
 func TestNewProcessBesideStaleService(t *testing.T) {
-	f := newFleet(t, quick(2))
-	time.Sleep(time.Second) // so that the stale service shows version 1
+	f := newFleet(t, fastLayout(2))
+	time.Sleep(time.Second) // lets version 1 become old enough for the stale service to return it
 	f.config.Version = 2
 	for i := range f.config.Profiles {
 		if f.config.Profiles[i].Name == "read-001" {
@@ -32,8 +31,8 @@
 		}
 	}
 	f.publish()
-	f.inForce(2)
-	f.fault(confAdmin, `{"kind":"stale","value":600000}`)
+	f.waitVersion(2)
+	f.fault(configAdminOffset, `{"kind":"stale","value":600000}`)
 	for _, name := range []string{"e1", "r0", "s0"} {
 		f.kill(name)
 		f.start(name)
@@ -43,33 +42,33 @@
 		}
 	}
 	for i := range 10 {
-		r, text := f.ask(1, "read-001", "stale", 3)
+		r, text := f.complete(1, "read-001", "stale", 3)
 		if r.status != 200 || text != engine.Expect("a001@v2", "stale", 3) {
 			t.Errorf("request %d: %v", i, r)
 		}
 	}
 	for _, in := range f.instances {
 		if v := f.version(in.Name); v != 2 {
-			t.Errorf("%s went back to version %d", in.Name, v)
+			t.Errorf("%s reverted to version %d", in.Name, v)
 		}
 	}
 }
 
-// The platform's services are down for long, and everything is restarted one
-// after the other meanwhile. Callers must be served all the time: what the
-// system knows is in its processes.
+// The platform's services are down while all processes are restarted one after another.
+// Callers must be served throughout, because the running processes hold all state that a
+// restarted one needs.
 func TestRollingRestartDuringOutage(t *testing.T) {
-	f := newFleet(t, quick(2))
-	if r, _ := f.ask(0, "read-000", "before", 3); r.status != 200 {
+	f := newFleet(t, fastLayout(2))
+	if r, _ := f.complete(0, "read-000", "before", 3); r.status != 200 {
 		t.Fatal(r)
 	}
-	f.fault(confAdmin, `{"kind":"outage"}`)
+	f.fault(configAdminOffset, `{"kind":"outage"}`)
 	for i, name := range []string{"e1", "r0", "r1", "s0", "s1"} {
 		f.kill(name)
 		f.start(name)
 		f.eventually(name+" is ready", func() bool { return f.isReady(name) })
 		prompt := fmt.Sprintf("during %d", i)
-		r, text := f.ask(1, "read-000", prompt, 3)
+		r, text := f.complete(1, "read-000", prompt, 3)
 		if text != engine.Expect("a000@v1", prompt, 3) {
 			t.Errorf("after %s: %v", name, r)
 		}
@@ -83,16 +82,15 @@
 	}
 }
 
-// An operator publishes a configuration with a mistake: a profile names an
-// adapter that isn't there. The last good one must stay in force, and the
-// operator must be told why.
+// An operator publishes an invalid configuration: a profile names an adapter that doesn't
+// exist. The last valid one must stay active, and the processes must report the reason.
 func TestBadConfigurationIsRefused(t *testing.T) {
-	f := newFleet(t, quick(1))
+	f := newFleet(t, fastLayout(1))
 	good := f.config.Profiles[0]
 	f.config.Version = 2
 	f.config.Profiles[0].Adapter = "missing"
 	f.publish()
-	f.eventually("a process tells that it refused version 2", func() bool {
+	f.eventually("a process reports that it rejected version 2", func() bool {
 		for _, in := range f.instances {
 			var s struct {
 				Config struct {
@@ -109,17 +107,17 @@
 		}
 		return false
 	})
-	if r, _ := f.ask(0, good.Name, "still served", 3); r.status != 200 {
+	if r, _ := f.complete(0, good.Name, "still served", 3); r.status != 200 {
 		t.Errorf("got %v", r)
 	}
 	f.config.Version = 3
 	f.config.Profiles[0] = good
 	f.publish()
-	f.inForce(3)
+	f.waitVersion(3)
 }
 
-// cable stands between processes and one agent, and can be cut.
-type cable struct {
+// link is a TCP proxy between processes and one agent that can be cut.
+type link struct {
 	listener net.Listener
 	to       string
 	mu       sync.Mutex
@@ -127,23 +125,23 @@
 	conns    []net.Conn
 }
 
-// newCable listens and passes connections on to an address.
-func newCable(t *testing.T, to string) *cable {
+// newLink forwards connections to an address.
+func newLink(t *testing.T, to string) *link {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := &cable{listener: l, to: to}
+	c := &link{listener: l, to: to}
 	t.Cleanup(func() {
 		_ = l.Close()
-		c.set(true)
+		c.setCut(true)
 	})
 	go c.serve()
 	return c
 }
 
-func (c *cable) serve() {
+func (c *link) serve() {
 	for {
 		in, err := c.listener.Accept()
 		if err != nil {
@@ -182,8 +180,8 @@
 	_ = to.Close()
 }
 
-// set cuts the cable, with every connection through it, or mends it.
-func (c *cable) set(cut bool) {
+// setCut cuts the link, closing all its connections, or restores it.
+func (c *link) setCut(cut bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.cut = cut
@@ -195,30 +193,30 @@
 	}
 }
 
-// The network between an agent and all others breaks while it runs a receipt.
-// It goes on by itself. The caller sends the receipt again through both
-// entries, during the cut and after it; the receipt must be recorded once, and
-// nobody may be told that it was not.
+// The network between an agent and all other processes breaks while the agent runs a call
+// that must not be repeated. The call continues. The caller sends it again through both
+// entries, during the cut and after it; it must run once, and no reply may say that it did
+// not run.
 func TestAgentCutOffWhileItRuns(t *testing.T) {
-	l := quick(1)
-	l.PlainCallMs = slowWork
+	l := fastLayout(1)
+	l.PlainCallMs = slowCallMillis
 	f := newFleet(t, l)
-	cables := map[string]*cable{}
+	links := map[string]*link{}
 	for i, in := range f.instances {
 		if in.Pool == "status" {
-			cables[in.Name] = newCable(t, in.Address)
-			f.instances[i].Address = cables[in.Name].listener.Addr().String()
+			links[in.Name] = newLink(t, in.Address)
+			f.instances[i].Address = links[in.Name].listener.Addr().String()
 		}
 	}
-	f.list()
-	f.eventually("the entries see the new addresses", func() bool {
+	f.publishList()
+	f.eventually("the entries know the new addresses", func() bool {
 		for _, e := range []string{"e0", "e1"} {
 			var s struct {
 				Instances []magno.Instance `json:"instances"`
 			}
 			f.status(e, &s)
 			for _, in := range s.Instances {
-				if c := cables[in.Name]; c != nil && in.Address != c.listener.Addr().String() {
+				if c := links[in.Name]; c != nil && in.Address != c.listener.Addr().String() {
 					return false
 				}
 			}
@@ -232,36 +230,35 @@
 		key, body := newKey(), fmt.Sprintf(`{"receipt":"cut %d"}`, i)
 		first := make(chan reply, 1)
 		go func() { first <- f.post(0, recordPath, key, body) }()
-		home := f.busyHome()
-		cables[home].set(true)
+		home := f.busyAgent()
+		links[home].setCut(true)
 		replies := []reply{<-first, f.post(1, recordPath, key, body), f.post(0, recordPath, key, body)}
-		cables[home].set(false)
+		links[home].setCut(false)
 		f.eventually("the run has ended", func() bool { return f.runsOf(body) == 1 })
 		replies = append(replies, f.post(1, recordPath, key, body))
 		for n, r := range replies {
 			if r.status != 200 && r.run() == magno.RunNo {
-				t.Errorf("answer %d says not run, and it was: %v", n, r)
+				t.Errorf("reply %d says not run, but the call ran: %v", n, r)
 			}
 		}
-		time.Sleep(2 * slowWork * time.Millisecond)
+		time.Sleep(2 * slowCallMillis * time.Millisecond)
 		if n := f.runsOf(body); n != 1 {
 			t.Errorf("the receipt was recorded %d times", n)
 		}
 	}
 }
 
-// An instance leaves, and the platform's list says so only much later. The
-// agent itself knows first; entries must hear of it from peers and stop sending
-// work there within seconds.
-func TestLeavingIsHeardBeforeTheList(t *testing.T) {
-	f := newFleet(t, quick(3))
-	f.fault(listAdmin, `{"kind":"lag","value":600000}`)
+// An instance leaves, but the platform's list reports it much later. Entries must learn of
+// it from the agent by gossip and stop sending requests there within seconds.
+func TestLeavingSpreadsBeforeTheList(t *testing.T) {
+	f := newFleet(t, fastLayout(3))
+	f.fault(listAdminOffset, `{"kind":"lag","value":600000}`)
 	begun := make(chan struct{})
 	go f.stream(0, "read-000", "keeps it busy", 1500, begun)
 	<-begun
-	home := f.streaming()
+	home := f.streamingAgent()
 	f.signal(home, 15)
-	f.eventually("both entries know that it leaves", func() bool {
+	f.eventually("both entries know that the instance is leaving", func() bool {
 		for _, e := range []string{"e0", "e1"} {
 			var s struct {
 				Instances []magno.Instance `json:"instances"`
@@ -279,18 +276,18 @@
 	})
 }
 
-// The platform lists an instance as leaving, and takes that back later. The
-// agent itself must refuse new work meanwhile, whatever entries believe, or
-// work is cut off when the instance is taken away.
+// The platform lists an instance as leaving and later withdraws that. Meanwhile the agent
+// itself must refuse new requests, whatever entries assume, or requests are cut off when
+// the instance is removed.
 func TestListedAsLeaving(t *testing.T) {
-	f := newFleet(t, quick(2))
+	f := newFleet(t, fastLayout(2))
 	for _, state := range []magno.InstanceState{magno.InstanceLeaving, magno.InstanceLive, magno.InstanceLeaving} {
 		for i := range f.instances {
 			if f.instances[i].Name == "r0" {
 				f.instances[i].State = state
 			}
 		}
-		f.list()
+		f.publishList()
 		f.eventually("r0 follows the list", func() bool {
 			var s struct {
 				Leaving bool `json:"leaving"`
@@ -300,7 +297,7 @@
 	}
 	before := len(f.engineRuns()["r0"])
 	for i := range 10 {
-		if r, _ := f.ask(i%2, "read-000", fmt.Sprintf("listed %d", i), 3); r.status != 200 {
+		if r, _ := f.complete(i%2, "read-000", fmt.Sprintf("listed %d", i), 3); r.status != 200 {
 			t.Errorf("%v", r)
 		}
 	}
--- a/drive/proof/fleet_test.go
+++ b/drive/proof/fleet_test.go
@@ -19,34 +19,34 @@
 	"magnoliastall.example/magno"
 )
 
-// patience is how long a test waits for something that is bound to come; a
-// busy machine is slow, not wrong.
-const patience = 60 * time.Second
+// waitTimeout is how long a test waits for a condition. It is generous, because a busy
+// machine is slow but not faulty.
+const waitTimeout = 60 * time.Second
 
-// programs is the folder of the built programs.
-var programs string
+// programDir is the folder of the built programs.
+var programDir string
 
-// Ports of fleets lie below the range that the kernel hands out. Test
-// processes that run at the same time begin at different places.
+// Ports of fleets lie below the kernel's ephemeral range. Test processes that run at the
+// same time begin at different ports.
 const (
-	firstPort = 12000
-	lastPort  = 31400
-	perFleet  = 600
+	firstPort     = 12000
+	lastPort      = 31400
+	portsPerFleet = 600
 )
 
-// nextPort is the lowest port of the next fleet. Fleets of one run never
-// share ports.
+// nextPort is the lowest port of the next fleet. Fleets of one test process never share
+// ports.
 var nextPort = struct {
 	sync.Mutex
 	port int
-}{port: firstPort + os.Getpid()%((lastPort-firstPort)/perFleet)*perFleet}
+}{port: firstPort + os.Getpid()%((lastPort-firstPort)/portsPerFleet)*portsPerFleet}
 
 func TestMain(m *testing.M) {
 	dir, err := os.MkdirTemp("", "proof")
 	if err != nil {
 		panic(err)
 	}
-	programs = dir
+	programDir = dir
 	for _, name := range []string{"stand", "agent", "entry", "magctl"} {
 		build := exec.Command("go", "build", "-o", filepath.Join(dir, name), "magnoliastall.example/"+name)
 		if out, err := build.CombinedOutput(); err != nil {
@@ -61,7 +61,7 @@
 
 // fleet is a deployment of real processes.
 type fleet struct {
-	// bearer is the key that callers send, empty for none.
+	// bearer is the API key that callers send, empty for none.
 	bearer    string
 	t         *testing.T
 	layout    layout.Layout
@@ -72,8 +72,7 @@
 	starts    int
 }
 
-// newFleet writes a deployment, starts every process and waits until all are
-// ready.
+// newFleet writes a deployment, starts all processes and waits until they are ready.
 func newFleet(t *testing.T, l layout.Layout) *fleet {
 	t.Helper()
 	l.Dir, l.Deployment = t.TempDir(), "delta"
@@ -87,13 +86,13 @@
 	}
 	f.config = l.Config(1)
 	var list struct{ Instances []magno.Instance }
-	f.read("instances.json", &list)
+	f.readFile("instances.json", &list)
 	f.instances = list.Instances
-	t.Cleanup(f.end)
+	t.Cleanup(f.killAll)
 	f.start("stands")
 	f.eventually("the stand-ins listen", func() bool { return f.put(11, "/v1/value/none", []byte("{}")) == nil })
 	f.publish()
-	f.list()
+	f.publishList()
 	for _, in := range f.instances {
 		f.start(in.Name)
 	}
@@ -105,13 +104,13 @@
 	t.Helper()
 	nextPort.Lock()
 	defer nextPort.Unlock()
-	for range (lastPort - firstPort) / perFleet {
+	for range (lastPort - firstPort) / portsPerFleet {
 		port := nextPort.port
-		nextPort.port += perFleet
+		nextPort.port += portsPerFleet
 		if nextPort.port > lastPort {
 			nextPort.port = firstPort
 		}
-		if free(port) {
+		if portsFree(port) {
 			return port
 		}
 	}
@@ -119,8 +118,8 @@
 	return 0
 }
 
-// free tells whether nobody listens where a fleet would.
-func free(port int) bool {
+// portsFree returns whether nothing listens on the ports of a fleet.
+func portsFree(port int) bool {
 	for _, offset := range []int{10, 80, 200, 300, 400, 500} {
 		l, err := net.Listen("tcp", fmt.Sprintf("127.0.0.1:%d", port+offset))
 		if err != nil {
@@ -131,7 +130,7 @@
 	return true
 }
 
-// start starts a process of the layout; its log is in the layout's folder.
+// start starts a process of the layout. Its log is written to the layout's folder.
 func (f *fleet) start(name string) {
 	f.t.Helper()
 	program := "agent"
@@ -146,7 +145,7 @@
 	if err != nil {
 		f.t.Fatal(err)
 	}
-	cmd := exec.Command(filepath.Join(programs, program), "-config", filepath.Join(f.layout.Dir, name+".json"))
+	cmd := exec.Command(filepath.Join(programDir, program), "-config", filepath.Join(f.layout.Dir, name+".json"))
 	cmd.Stdout, cmd.Stderr = log, log
 	if err := cmd.Start(); err != nil {
 		f.t.Fatal(err)
@@ -167,16 +166,16 @@
 	}
 }
 
-// kill ends a process at once and waits until it is gone.
+// kill kills a process and waits until it has exited.
 func (f *fleet) kill(name string) {
 	f.signal(name, syscall.SIGKILL)
 	f.wait(name)
 }
 
-func (f *fleet) freeze(name string) { f.signal(name, syscall.SIGSTOP) }
-func (f *fleet) wake(name string)   { f.signal(name, syscall.SIGCONT) }
+func (f *fleet) pause(name string)  { f.signal(name, syscall.SIGSTOP) }
+func (f *fleet) resume(name string) { f.signal(name, syscall.SIGCONT) }
 
-// wait waits for a process's end and returns its exit code.
+// wait waits until a process exits and returns its exit code.
 func (f *fleet) wait(name string) int {
 	f.mu.Lock()
 	cmd := f.processes[name]
@@ -186,10 +185,10 @@
 	return cmd.ProcessState.ExitCode()
 }
 
-// end ends every process that is left.
-func (f *fleet) end() {
+// killAll kills all remaining processes.
+func (f *fleet) killAll() {
 	if f.t.Failed() {
-		f.logs()
+		f.dumpLogs()
 	}
 	for name, cmd := range f.processes {
 		_ = cmd.Process.Signal(syscall.SIGCONT)
@@ -199,8 +198,8 @@
 	}
 }
 
-// logs shows warnings of a failed test's processes.
-func (f *fleet) logs() {
+// dumpLogs logs the warnings of the processes of a failed test.
+func (f *fleet) dumpLogs() {
 	files, _ := filepath.Glob(filepath.Join(f.layout.Dir, "*.log"))
 	for _, file := range files {
 		data, _ := os.ReadFile(file)
@@ -210,12 +209,12 @@
 			}
 		}
 	}
-	out, _ := exec.Command(filepath.Join(programs, "magctl"), "trace", "-last", "60",
+	out, _ := exec.Command(filepath.Join(programDir, "magctl"), "trace", "-last", "60",
 		"-fleet", filepath.Join(f.layout.Dir, "fleet.json")).CombinedOutput()
-	f.t.Logf("time line:\n%s", out)
+	f.t.Logf("timeline:\n%s", out)
 }
 
-func (f *fleet) read(name string, into any) {
+func (f *fleet) readFile(name string, into any) {
 	f.t.Helper()
 	data, err := os.ReadFile(filepath.Join(f.layout.Dir, name))
 	if err != nil {
@@ -226,13 +225,13 @@
 	}
 }
 
-// eventually waits until happens returns true.
+// eventually polls until happens returns true, and fails the test after waitTimeout.
 func (f *fleet) eventually(what string, happens func() bool) {
 	f.t.Helper()
-	limit := time.Now().Add(patience)
+	limit := time.Now().Add(waitTimeout)
 	for !happens() {
 		if time.Now().After(limit) {
-			f.t.Fatalf("never came about: %s", what)
+			f.t.Fatalf("timed out waiting for: %s", what)
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
@@ -242,7 +241,7 @@
 	return fmt.Sprintf("http://127.0.0.1:%d", f.layout.Port+offset)
 }
 
-// index returns the place of a name among the instances of its role.
+// index returns the position of a name among the instances of its role.
 func (f *fleet) index(name string) int {
 	f.t.Helper()
 	n := 0
@@ -285,7 +284,7 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// status reads a process's state.
+// status reads the status of a process.
 func (f *fleet) status(name string, into any) bool {
 	return get(f.admin(name)+"/v1/status", into) == nil
 }
@@ -299,7 +298,7 @@
 	return json.NewDecoder(resp.Body).Decode(into)
 }
 
-// put publishes on an operators' port.
+// put sends a PUT request to an admin port.
 func (f *fleet) put(offset int, path string, data []byte) error {
 	req, err := http.NewRequest(http.MethodPut, f.url(offset)+path, bytes.NewReader(data))
 	if err != nil {
@@ -311,7 +310,7 @@
 	}
 	_ = resp.Body.Close()
 	if resp.StatusCode >= 300 {
-		return fmt.Errorf("status %d", resp.StatusCode)
+		return fmt.Errorf("unexpected status %d", resp.StatusCode)
 	}
 	return nil
 }
--- a/drive/proof/keyed_test.go
+++ b/drive/proof/keyed_test.go
@@ -8,10 +8,11 @@
 	"magnoliastall.example/magno"
 )
 
-// Guards against requests that run without their customer's key, with another one's, or
-// after it was withdrawn, and against a limit that each entry counts for itself.
+// Guards against requests that run without their customer's key, with the key of another
+// customer or with a withdrawn key, and against a limit that each entry applies on its own
+// instead of across all entries.
 func TestCallersNeedTheirCustomersKey(t *testing.T) {
-	f := newFleet(t, quick(2))
+	f := newFleet(t, fastLayout(2))
 	owner := f.config.Profiles[0].Customer
 	for i := range f.config.Customers {
 		f.config.Customers[i].Keys = []magno.Digest{magno.Digested("key of " + f.config.Customers[i].Name)}
@@ -21,7 +22,7 @@
 	})
 	f.config.Version = 2
 	f.publish()
-	f.inForce(2)
+	f.waitVersion(2)
 	profile := f.config.Profiles[0].Name
 	for _, c := range []struct {
 		bearer, kind string
@@ -33,24 +34,24 @@
 		{"key of " + owner, "", http.StatusOK},
 	} {
 		f.bearer = c.bearer
-		if r, _ := f.ask(0, profile, "keyed", 3); r.status != c.status || r.header.Get("X-Kind") != c.kind {
+		if r, _ := f.complete(0, profile, "keyed", 3); r.status != c.status || r.header.Get("X-Kind") != c.kind {
 			t.Errorf("with %q: %v, want %d %s", c.bearer, r, c.status, c.kind)
 		}
 	}
 	began := time.Now()
-	served, refused := f.limited(t, owner, profile)
+	served, refused := f.sendLimited(t, owner, profile)
 	if most := 12 + 1.5*time.Since(began).Seconds(); served == 0 || float64(served) > most || refused == 0 {
-		t.Errorf("%d served and %d refused of 40, the limit lets %.0f run", served, refused, most)
+		t.Errorf("%d served and %d refused of 40, the limit allows %.0f", served, refused, most)
 	}
-	f.withdraw(owner)
-	if r, _ := f.ask(1, profile, "withdrawn", 3); r.status != http.StatusUnauthorized {
+	f.withdrawKeys(owner)
+	if r, _ := f.complete(1, profile, "withdrawn", 3); r.status != http.StatusUnauthorized {
 		t.Errorf("with a withdrawn key: %v", r)
 	}
 }
 
-// limited gives a customer one request a second and four at once, and tells how many of
-// 40 at once are served through both entries.
-func (f *fleet) limited(t *testing.T, customer, profile string) (served, refused int) {
+// sendLimited limits a customer to one request per second with a burst of four, and returns
+// how many of 40 concurrent requests through both entries are served and refused.
+func (f *fleet) sendLimited(t *testing.T, customer, profile string) (served, refused int) {
 	t.Helper()
 	for i := range f.config.Customers {
 		if f.config.Customers[i].Name == customer {
@@ -59,11 +60,11 @@
 	}
 	f.config.Version = 3
 	f.publish()
-	f.inForce(3)
+	f.waitVersion(3)
 	replies := make(chan reply, 40)
 	for i := range cap(replies) {
 		go func() {
-			r, _ := f.ask(i%2, profile, "limited", 1)
+			r, _ := f.complete(i%2, profile, "limited", 1)
 			replies <- r
 		}()
 	}
@@ -80,8 +81,8 @@
 	return served, refused
 }
 
-// withdraw takes a customer's keys away.
-func (f *fleet) withdraw(customer string) {
+// withdrawKeys removes a customer's keys.
+func (f *fleet) withdrawKeys(customer string) {
 	for i := range f.config.Customers {
 		if f.config.Customers[i].Name == customer {
 			f.config.Customers[i].Keys = nil
@@ -89,5 +90,5 @@
 	}
 	f.config.Version = 4
 	f.publish()
-	f.inForce(4)
+	f.waitVersion(4)
 }
--- a/drive/proof/once_test.go
+++ b/drive/proof/once_test.go
@@ -12,12 +12,12 @@
 )
 
 const (
-	recordPath = "/v1/call/receipt-record"
-	slowWork   = 400 // milliseconds of a plain call: time enough to fail in its middle
+	recordPath     = "/v1/call/receipt-record"
+	slowCallMillis = 400 // duration of a plain call, long enough to inject a fault while it runs
 )
 
-// busyHome returns the agent that runs something now.
-func (f *fleet) busyHome() string {
+// busyAgent returns the agent that is running a call.
+func (f *fleet) busyAgent() string {
 	home := ""
 	f.eventually("an agent runs the call", func() bool {
 		for _, in := range f.instances {
@@ -34,11 +34,10 @@
 	return home
 }
 
-// An extension agent's browser sends a receipt twice through two entries,
-// because the first answer was slow. The receipt must be recorded once, and
-// both answers must be the same.
+// A caller sends the same request through two entries because the first response is slow.
+// The call must run once, and all responses must be the same.
 func TestSentTwiceRunsOnce(t *testing.T) {
-	f := newFleet(t, layout.Layout{Engines: 1, PlainServices: 4, Adapters: 4, PlainCallMs: slowWork})
+	f := newFleet(t, layout.Layout{Engines: 1, PlainServices: 4, Adapters: 4, PlainCallMs: slowCallMillis})
 	key, body := newKey(), `{"receipt":"twice"}`
 	replies := make([]reply, 4)
 	var wg sync.WaitGroup
@@ -60,16 +59,15 @@
 	}
 }
 
-// The agent that took a receipt is killed while the service records it. The
-// caller sends it again through another entry. Whoever answers knows no more
-// than that it may have been recorded: "not run" would make the caller record
-// it a second time, and running it again would double it.
-func TestHomeKilledWhileItRuns(t *testing.T) {
-	f := newFleet(t, layout.Layout{Engines: 1, PlainServices: 4, Adapters: 4, PlainCallMs: slowWork})
+// The agent is killed while the service runs its call, and the caller retries through
+// another entry. Every reply must report an unknown result: "not run" would make the caller
+// issue the call anew, and running it again would duplicate it.
+func TestAgentKilledWhileItRuns(t *testing.T) {
+	f := newFleet(t, layout.Layout{Engines: 1, PlainServices: 4, Adapters: 4, PlainCallMs: slowCallMillis})
 	key, body := newKey(), `{"receipt":"killed"}`
 	first := make(chan reply, 1)
 	go func() { first <- f.post(0, recordPath, key, body) }()
-	f.kill(f.busyHome())
+	f.kill(f.busyAgent())
 	for i, r := range []reply{<-first, f.post(1, recordPath, key, body), f.post(0, recordPath, key, body)} {
 		if r.status == 200 || r.run() != magno.RunUnknown {
 			t.Errorf("answer %d: %v", i, r)
@@ -80,34 +78,33 @@
 	}
 }
 
-// The agent that took a receipt freezes before it sends it on, and wakes up
-// after the caller has given up and sent the receipt again. The late agent
-// still acts on what it knew; the receipt must be recorded once at most.
-func TestHomeFrozenThenWoken(t *testing.T) {
-	f := newFleet(t, layout.Layout{Engines: 1, PlainServices: 4, Adapters: 4, PlainCallMs: slowWork})
+// The agent is suspended before it forwards a call and resumes after the caller has timed
+// out and retried. It then acts on outdated state; the call must run at most once.
+func TestAgentPausedThenResumed(t *testing.T) {
+	f := newFleet(t, layout.Layout{Engines: 1, PlainServices: 4, Adapters: 4, PlainCallMs: slowCallMillis})
 	for i := range 4 {
 		body := fmt.Sprintf(`{"receipt":"frozen %d"}`, i)
 		key := newKey()
 		frozen := fmt.Sprintf("s%d", i)
-		f.freeze(frozen)
+		f.pause(frozen)
 		first := make(chan reply, 1)
 		go func() { first <- f.post(0, recordPath, key, body) }()
 		again := f.post(1, recordPath, key, body)
-		f.wake(frozen)
+		f.resume(frozen)
 		one := <-first
 		for _, r := range []reply{one, again} {
 			if r.status != 200 && r.run() == magno.RunNo && f.runsOf(body) > 0 {
-				t.Errorf("told not run, and it was: %v", r)
+				t.Errorf("reported as not run, but the call ran: %v", r)
 			}
 		}
 		if n := f.runsOf(body); n > 1 {
-			t.Errorf("recorded %d times: %v, %v", n, one, again)
+			t.Errorf("ran %d times: %v, %v", n, one, again)
 		}
 	}
 }
 
-// An agent is gone while nothing runs. New receipts must still be recorded:
-// none may be refused because one witness of seven is missing.
+// One agent is gone while nothing runs. New calls must still run: none may be refused
+// because one of the seven witnesses is missing.
 func TestOneAgentLostRefusesNothing(t *testing.T) {
 	f := newFleet(t, layout.Layout{Engines: 4, PlainServices: 4, Adapters: 4})
 	f.kill("s2")
@@ -123,9 +120,8 @@
 	}
 }
 
-// The service records a receipt and its answer gets lost on the way back. The
-// caller must hear that it is unknown, each time it asks, and never get a
-// second run.
+// The service runs a call, but its response is lost. The caller must be told that the
+// result is unknown on every attempt, and the call must not run again.
 func TestAnswerLost(t *testing.T) {
 	f := newFleet(t, layout.Layout{Engines: 1, PlainServices: 4, Adapters: 4})
 	for _, in := range f.instances {
@@ -144,8 +140,8 @@
 	}
 }
 
-// A caller uses one key for two different receipts. The second must not get
-// the first one's answer, nor be recorded under its key.
+// A caller uses one key for two different requests. The second must neither get the
+// response of the first nor run.
 func TestKeyUsedForAnotherBody(t *testing.T) {
 	f := newFleet(t, layout.Layout{Engines: 1, PlainServices: 4, Adapters: 4})
 	key := newKey()
@@ -161,11 +157,11 @@
 	}
 }
 
-// A caller fetched a ticket before it sent its receipt. The agent that the
-// ticket names dies. Nobody else may run it: the caller hears that it is
-// unknown, however often it asks, and a receipt that did run is not doubled.
+// A caller fetches a ticket before it sends its request, and the agent named in the ticket
+// is restarted. No other agent may run the request: each attempt must report an unknown
+// result, and the call must not run twice.
 func TestTicketOfDeadAgent(t *testing.T) {
-	f := newFleet(t, quick(1))
+	f := newFleet(t, fastLayout(1))
 	r := f.post(0, "/v1/tickets/receipt-record", "", "")
 	var got struct {
 		Ticket string `json:"ticket"`
@@ -177,7 +173,7 @@
 	first := f.post(0, recordPath, got.Ticket, body)
 	again := f.post(1, recordPath, got.Ticket, body)
 	if first.status != 200 || again.body != first.body {
-		t.Fatalf("%v, then %v", first, again)
+		t.Fatalf("replies %v and %v differ or failed", first, again)
 	}
 	agent := got.Ticket[strings.LastIndex(got.Ticket, ".")+1:]
 	f.kill(agent)
--- a/drive/proof/path_test.go
+++ b/drive/proof/path_test.go
@@ -17,20 +17,20 @@
 	"magnoliastall.example/stand/engine"
 )
 
-// quick is a fleet whose weight store is in nobody's way.
-func quick(engines int) layout.Layout {
+// fastLayout is a layout whose weight store does not limit the engines.
+func fastLayout(engines int) layout.Layout {
 	return layout.Layout{Engines: engines, PlainServices: 4, Adapters: 4, LoadRate: 50, ParallelLoads: 8}
 }
 
-// stream sends a streamed completion and returns its text, and whether it
-// ended as whole.
+// stream sends a streamed completion. It returns the text, whether the stream ended with
+// [DONE], and otherwise the reason.
 func (f *fleet) stream(n int, profile, prompt string, tokens int, begun chan<- struct{}) (text string, whole bool, fault string) {
 	begin := sync.OnceFunc(func() {
 		if begun != nil {
 			close(begun)
 		}
 	})
-	defer begin() // also for a request that is refused, or its test would hang
+	defer begin() // also after a refusal, or the test would block on begun
 	body, _ := json.Marshal(map[string]any{"model": profile, "prompt": prompt, "max_tokens": tokens, "stream": true})
 	resp, err := http.Post(f.url(80+n)+"/v1/completions", "application/json", strings.NewReader(string(body)))
 	if err != nil {
@@ -67,11 +67,11 @@
 	return all.String(), false, "silent"
 }
 
-// An operator moves a profile to a new version and retires the old one while
-// requests for it run. A reading on the old version after that, or one of a
-// version that no configuration named, misreads a receipt and nobody sees it.
+// A profile moves to a new version and the old one is retired while requests run. A request
+// must not run on the retired version afterwards, nor on a version that no configuration
+// named: callers can't detect the wrong output.
 func TestVersionChangesUnderLoad(t *testing.T) {
-	f := newFleet(t, quick(3))
+	f := newFleet(t, fastLayout(3))
 	var stop atomic.Bool
 	var wg sync.WaitGroup
 	var served [2]atomic.Int64
@@ -81,14 +81,14 @@
 			defer wg.Done()
 			for i := 0; !stop.Load(); i++ {
 				prompt := fmt.Sprintf("receipt %d of caller %d", i, n)
-				r, text := f.ask(n%2, "read-001", prompt, 8)
+				r, text := f.complete(n%2, "read-001", prompt, 8)
 				if r.status != 200 {
 					t.Errorf("refused: %v", r)
 					return
 				}
 				version := r.header.Get("X-Version")
 				if text != engine.Expect("a001@"+version, prompt, 8) {
-					t.Errorf("told %s, got %q", version, text)
+					t.Errorf("version %s in the header, but text %q", version, text)
 				}
 				served[map[string]int{"v1": 0, "v2": 1}[version]].Add(1)
 			}
@@ -103,22 +103,22 @@
 	}
 	f.config.Adapters[1] = magno.Adapter{Name: "a001", Base: f.config.Adapters[1].Base, Versions: []string{"v2"}, Retired: []string{"v1"}}
 	f.publish()
-	f.inForce(2)
+	f.waitVersion(2)
 	before := served[1].Load()
 	f.eventually("requests run on v2", func() bool { return served[1].Load() > before+20 })
 	stop.Store(true)
 	wg.Wait()
 	for n := range 2 {
-		if r, _ := f.ask(n, "read-001", "after", 4); r.header.Get("X-Version") != "v2" {
+		if r, _ := f.complete(n, "read-001", "after", 4); r.header.Get("X-Version") != "v2" {
 			t.Errorf("entry %d still serves %v", n, r)
 		}
 	}
 }
 
-// Many callers stream at once through both entries. Each must get its own
-// whole answer, word for word, however the pieces crossed on the way.
+// Many callers stream concurrently through both entries. Each must get exactly its own
+// complete response, however the events interleave.
 func TestEachCallerItsOwnAnswer(t *testing.T) {
-	f := newFleet(t, quick(3))
+	f := newFleet(t, fastLayout(3))
 	var wg sync.WaitGroup
 	for n := range 40 {
 		wg.Add(1)
@@ -135,11 +135,10 @@
 	wg.Wait()
 }
 
-// An agent gets the signal of a planned stop while a long answer streams
-// through it. The answer must arrive whole, the agent must take nothing new,
-// and it must end by itself with status 0.
+// An agent receives SIGTERM while a long response is streamed through it. The response must
+// arrive completely, the agent must accept no new requests, and it must exit with status 0.
 func TestAgentStopsAsPlanned(t *testing.T) {
-	f := newFleet(t, quick(2))
+	f := newFleet(t, fastLayout(2))
 	const tokens = 300
 	begun := make(chan struct{})
 	got := make(chan string, 1)
@@ -148,11 +147,11 @@
 		got <- text
 	}()
 	<-begun
-	home := f.streaming()
+	home := f.streamingAgent()
 	f.signal(home, syscall.SIGTERM)
 	for i := range 20 {
 		prompt := fmt.Sprintf("during the stop %d", i)
-		if r, text := f.ask(i%2, "read-000", prompt, 4); text != engine.Expect("a000@v1", prompt, 4) {
+		if r, text := f.complete(i%2, "read-000", prompt, 4); text != engine.Expect("a000@v1", prompt, 4) {
 			t.Errorf("request %d: %v", i, r)
 		}
 	}
@@ -160,12 +159,12 @@
 		t.Errorf("the long answer was cut at %d bytes", len(text))
 	}
 	if code := f.wait(home); code != 0 {
-		t.Errorf("%s ended with %d", home, code)
+		t.Errorf("%s exited with status %d", home, code)
 	}
 }
 
-// streaming returns the agent whose upstream runs a request.
-func (f *fleet) streaming() string {
+// streamingAgent returns the agent whose engine is running a request.
+func (f *fleet) streamingAgent() string {
 	home := ""
 	f.eventually("an agent streams", func() bool {
 		for _, in := range f.instances {
@@ -182,11 +181,11 @@
 	return home
 }
 
-// An entry is stopped as planned while answers stream through it. The balancer
-// needs a moment to notice, so it must serve what still comes; and no caller's
-// answer may be cut.
+// An entry receives SIGTERM while a response is streamed through it. The load balancer
+// needs time to notice, so the entry must serve requests that still arrive, and no response
+// may be cut.
 func TestEntryStopsAsPlanned(t *testing.T) {
-	f := newFleet(t, quick(2))
+	f := newFleet(t, fastLayout(2))
 	const tokens = 300
 	begun := make(chan struct{})
 	got := make(chan string, 1)
@@ -201,23 +200,22 @@
 		t.Errorf("the long answer was cut at %d bytes", len(text))
 	}
 	if code := f.wait("e0"); code != 0 {
-		t.Errorf("e0 ended with %d", code)
+		t.Errorf("e0 exited with status %d", code)
 	}
 }
 
-// Operators drain an instance and return it again, twice in quick succession.
-// While it is drained it gets nothing new; after its return it serves again;
-// no request fails meanwhile.
+// An instance is drained and returned twice in quick succession. It must get no new
+// requests while drained and must serve again afterwards; no request may fail meanwhile.
 func TestDrainAndReturn(t *testing.T) {
-	f := newFleet(t, quick(2))
+	f := newFleet(t, fastLayout(2))
 	for round := range 2 {
 		f.config.Version++
 		f.config.Drained = []string{"r0"}
 		f.publish()
-		f.inForce(f.config.Version)
+		f.waitVersion(f.config.Version)
 		before := len(f.engineRuns()["r0"])
 		for i := range 10 {
-			if r, _ := f.ask(i%2, fmt.Sprintf("read-%03d", i%4), fmt.Sprintf("drained %d %d", round, i), 4); r.status != 200 {
+			if r, _ := f.complete(i%2, fmt.Sprintf("read-%03d", i%4), fmt.Sprintf("drained %d %d", round, i), 4); r.status != 200 {
 				t.Errorf("while drained: %v", r)
 			}
 		}
@@ -227,19 +225,20 @@
 		f.config.Version++
 		f.config.Drained = nil
 		f.publish()
-		f.inForce(f.config.Version)
+		f.waitVersion(f.config.Version)
 	}
 	f.kill("r1")
-	if r, _ := f.ask(0, "read-000", "returned", 4); r.status != 200 {
+	if r, _ := f.complete(0, "read-000", "returned", 4); r.status != 200 {
 		t.Errorf("after its return: %v", r)
 	}
 }
 
-// A caller hangs up in the middle of a long answer. The engine must stop
-// making words that nobody reads, and the place must be free for others.
-func TestCallerHangsUp(t *testing.T) {
-	f := newFleet(t, quick(1))
-	// Its deadline must not end it; its length would, and then it shows as ended.
+// A caller disconnects in the middle of a long response. The engine must stop generating,
+// and its slot must become free.
+func TestCallerDisconnects(t *testing.T) {
+	f := newFleet(t, fastLayout(1))
+	// The deadline must not end the request. Only its length would, and then the engine
+	// records it as ended.
 	body := `{"model":"read-000","prompt":"unread","max_tokens":8000,"stream":true}`
 	req, err := http.NewRequest(http.MethodPost, f.url(80)+"/v1/completions", strings.NewReader(body))
 	if err != nil {
@@ -256,7 +255,7 @@
 		t.Fatalf("%d %s %v", resp.StatusCode, line, err)
 	}
 	_ = resp.Body.Close()
-	f.eventually("the run is gone", func() bool {
+	f.eventually("the request has been cancelled", func() bool {
 		var s struct {
 			Backlog magno.Backlog `json:"backlog"`
 			Pinned  []string      `json:"pinned"`
@@ -266,7 +265,7 @@
 	time.Sleep(100 * time.Millisecond)
 	for _, r := range f.engineRuns()["r0"] {
 		if r.Ended {
-			t.Errorf("the engine went on to the end: %+v", r)
+			t.Errorf("the engine ran the request to completion: %+v", r)
 		}
 	}
 }
--- a/drive/proof/platform_test.go
+++ b/drive/proof/platform_test.go
@@ -14,8 +14,7 @@
 	"magnoliastall.example/stand/plain"
 )
 
-// fault switches a fault on at a stand-in, by the offset of its operators'
-// port.
+// fault injects a fault at a stand-in, given the offset of its admin port.
 func (f *fleet) fault(offset int, order string) {
 	f.t.Helper()
 	resp, err := http.Post(f.url(offset)+"/fault", "application/json", strings.NewReader(order))
@@ -29,10 +28,10 @@
 	}
 }
 
-// upstreamFault switches a fault on at an agent's upstream.
+// upstreamFault injects a fault at an agent's upstream.
 func (f *fleet) upstreamFault(name, order string) { f.fault(500+f.index(name), order) }
 
-// runsOf counts how often plain services ran a body, over all of them.
+// runsOf returns how often a body was run, over all plain services.
 func (f *fleet) runsOf(body string) int {
 	f.t.Helper()
 	sum := plain.Expect("", []byte(body)).Sum
@@ -54,7 +53,7 @@
 	return n
 }
 
-// engineRuns lists what every engine ran.
+// engineRuns returns the requests that each engine ran.
 func (f *fleet) engineRuns() map[string][]engine.Run {
 	f.t.Helper()
 	runs := map[string][]engine.Run{}
@@ -73,26 +72,26 @@
 // publish publishes the configuration.
 func (f *fleet) publish() {
 	f.t.Helper()
-	f.write("config.json", f.config)
-	f.stand("-config", filepath.Join(f.layout.Dir, "config.json"))
+	f.writeJSON("config.json", f.config)
+	f.runStand("-config", filepath.Join(f.layout.Dir, "config.json"))
 }
 
-// list publishes the instance list.
-func (f *fleet) list() {
+// publishList publishes the instance list.
+func (f *fleet) publishList() {
 	f.t.Helper()
-	f.write("instances.json", map[string]any{"revision": 1, "instances": f.instances})
-	f.stand("-instances", filepath.Join(f.layout.Dir, "instances.json"))
+	f.writeJSON("instances.json", map[string]any{"revision": 1, "instances": f.instances})
+	f.runStand("-instances", filepath.Join(f.layout.Dir, "instances.json"))
 }
 
-func (f *fleet) stand(args ...string) {
+func (f *fleet) runStand(args ...string) {
 	f.t.Helper()
 	args = append([]string{"publish", "-conf", f.url(11), "-list", f.url(21)}, args...)
-	if out, err := exec.Command(filepath.Join(programs, "stand"), args...).CombinedOutput(); err != nil {
+	if out, err := exec.Command(filepath.Join(programDir, "stand"), args...).CombinedOutput(); err != nil {
 		f.t.Fatalf("%s", out)
 	}
 }
 
-func (f *fleet) write(name string, value any) {
+func (f *fleet) writeJSON(name string, value any) {
 	f.t.Helper()
 	data, err := json.Marshal(value)
 	if err != nil {
@@ -103,8 +102,8 @@
 	}
 }
 
-// inForce waits until every running process has version in force.
-func (f *fleet) inForce(version int64) {
+// waitVersion waits until the version is active in every running process.
+func (f *fleet) waitVersion(version int64) {
 	f.t.Helper()
 	for _, in := range f.instances {
 		if f.processes[in.Name] == nil {
@@ -114,7 +113,7 @@
 	}
 }
 
-// version returns the configuration version in force at a process.
+// version returns the active configuration version of a process.
 func (f *fleet) version(name string) int64 {
 	var s struct {
 		Config struct {
--- a/drive/proof/script_test.go
+++ b/drive/proof/script_test.go
@@ -10,14 +10,14 @@
 	"github.com/rogpeppe/go-internal/testscript"
 )
 
-// TestScripts runs the scripts of testdata against a fleet of real processes:
-// what an operator or a caller would type, with what is printed.
+// TestScripts runs the scripts in testdata against a fleet of real processes: operators'
+// and callers' commands with their expected output.
 func TestScripts(t *testing.T) {
-	f := newFleet(t, quick(2))
+	f := newFleet(t, fastLayout(2))
 	testscript.Run(t, testscript.Params{
 		Dir: "testdata",
 		Setup: func(e *testscript.Env) error {
-			e.Setenv("PATH", programs+string(filepath.ListSeparator)+e.Getenv("PATH"))
+			e.Setenv("PATH", programDir+string(filepath.ListSeparator)+e.Getenv("PATH"))
 			e.Setenv("MAGNO_FLEET", filepath.Join(f.layout.Dir, "fleet.json"))
 			e.Setenv("LAYOUT", f.layout.Dir)
 			e.Setenv("CONF", f.url(11))
@@ -35,8 +35,8 @@
 	})
 }
 
-// scriptPost sends a request: post ENTRY PATH KEY BODY. The answer, with
-// status and headers first, is written to the file reply.
+// scriptPost sends a request: post ENTRY PATH KEY BODY. It writes the response, preceded by
+// status and headers, to the file reply.
 func scriptPost(ts *testscript.TestScript, f *fleet, args []string) {
 	if len(args) != 4 {
 		ts.Fatalf("usage: post ENTRY PATH KEY BODY")
@@ -53,7 +53,7 @@
 
 // scriptRuns checks how often plain services ran a body: runs N BODY.
 func scriptRuns(ts *testscript.TestScript, f *fleet, args []string) {
-	limit := time.Now().Add(patience)
+	limit := time.Now().Add(waitTimeout)
 	for fmt.Sprint(f.runsOf(args[1])) != args[0] {
 		if time.Now().After(limit) {
 			ts.Fatalf("ran %d times, want %s", f.runsOf(args[1]), args[0])
