--- a/drive/curvecmd.go
+++ b/drive/curvecmd.go
@@ -11,19 +11,19 @@
 	"magnoliastall.example/drive/tally"
 )
 
-// curvePoints are the Stall settings of the curve.
-var curvePoints = []float64{0, 0.1, 0.25, 0.5, 0.75, 1}
+// curveStallWeights are the Stall settings that the curve covers.
+var curveStallWeights = []float64{0, 0.1, 0.25, 0.5, 0.75, 1}
 
-// curve measures ours with every profile at one Stall setting after another.
-func curve(ctx context.Context, cfg *simConfig) error {
+// runCurve measures our policy at each Stall setting, applied to every profile.
+func runCurve(ctx context.Context, cfg *simConfig) error {
 	one := *cfg
 	one.Policy, one.Case, one.Wide = sim.PolicyOurs, "steady", false
 	var lines []tally.Line
 	batch := plot.Series{Name: "batch efficiency (%)"}
 	mean := plot.Series{Name: "mean load stall (s)"}
-	late := plot.Series{Name: "p95 load stall (s)"}
+	p95 := plot.Series{Name: "p95 load stall (s)"}
 	capacity := 0.0
-	for _, stall := range curvePoints {
+	for _, stall := range curveStallWeights {
 		one.Stall = stall
 		t, err := newTrial(&one)
 		if err != nil {
@@ -35,29 +35,29 @@
 			return err
 		}
 		capacity = t.Capacity
-		l := merged(&one, t, results)[0]
+		l := mergeSeeds(&one, t, results)[0]
 		l.Policy = fmt.Sprintf("stall=%g", stall)
 		lines = append(lines, l)
 		batch.X, batch.Y = append(batch.X, stall), append(batch.Y, 100*l.BatchEfficiency)
 		mean.X, mean.Y = append(mean.X, stall), append(mean.Y, l.Stall.Mean/1000)
-		late.X, late.Y = append(late.X, stall), append(late.Y, float64(l.Stall.P95)/1000)
+		p95.X, p95.Y = append(p95.X, stall), append(p95.Y, float64(l.Stall.P95)/1000)
 	}
-	show := tally.PrintTable
+	printLines := tally.PrintTable
 	if cfg.Page {
-		show = tally.PrintMarkdown
+		printLines = tally.PrintMarkdown
 	}
-	if err := show(os.Stdout, lines); err != nil || cfg.Out == "" {
+	if err := printLines(os.Stdout, lines); err != nil || cfg.Out == "" {
 		return err
 	}
 	if err := os.MkdirAll(cfg.Out, 0o755); err != nil {
 		return err
 	}
-	p := plot.Plot{Title: cfg.Deploy + ": Stall setting of every profile", XLabel: "Stall setting", Series: []plot.Series{batch, mean, late}}
+	p := plot.Plot{Title: cfg.Deploy + ": Stall setting of every profile", XLabel: "Stall setting", Series: []plot.Series{batch, mean, p95}}
 	return p.Curve(filepath.Join(cfg.Out, cfg.Deploy+"-curve.svg"))
 }
 
-// pictures draws the results of several cases, one bar a policy.
-func pictures(cfg *simConfig, lines []tally.Line) error {
+// writeCharts draws the results of several cases, with one bar per policy.
+func writeCharts(cfg *simConfig, lines []tally.Line) error {
 	kinds := []struct {
 		file, label string
 		value       func(l *tally.Line) float64
--- a/drive/layoutcmd.go
+++ b/drive/layoutcmd.go
@@ -9,7 +9,7 @@
 	"magnoliastall.example/magno/setup"
 )
 
-// runLayout serves `drive layout`.
+// runLayout implements `drive layout`.
 func runLayout(args []string) int {
 	set := flag.NewFlagSet("drive layout", flag.ContinueOnError)
 	l := &layout.Layout{}
--- a/drive/livecmd.go
+++ b/drive/livecmd.go
@@ -13,7 +13,7 @@
 	"magnoliastall.example/magno/setup"
 )
 
-// liveConfig are the settings of drive live.
+// liveConfig holds the settings of drive live.
 type liveConfig struct {
 	Layout string       `json:"layout" help:"folder that drive layout wrote"`
 	For    string       `json:"for" help:"how long to send, such as 20s"`
@@ -24,10 +24,10 @@
 	Client magno.Millis `json:"client" help:"ms between caller and entry, one way"`
 }
 
-// Check names the first setting that is out of its range.
+// Check returns an error for the first setting that is out of range.
 func (c *liveConfig) Check() error {
 	if d, err := time.ParseDuration(c.For); err != nil || d < time.Second || d > 24*time.Hour {
-		return &setup.Fault{Key: "for", What: fmt.Sprintf("%q is no duration of 1s to 24h", c.For)}
+		return &setup.Fault{Key: "for", What: fmt.Sprintf("%q is not a duration from 1s to 24h", c.For)}
 	}
 	for _, err := range []error{
 		setup.Range("rate", c.Rate, 0.1, 10000), setup.Range("zipf", c.Zipf, 0.1, 5),
@@ -40,8 +40,8 @@
 	return nil
 }
 
-// runLive serves `drive live`. Its status is 0 only if nothing was doubled,
-// lost or wrong.
+// runLive implements `drive live`. It returns 0 only if no request was run twice, lost or
+// answered wrongly.
 func runLive(ctx context.Context, args []string) int {
 	cfg := &liveConfig{
 		Layout: "out/demo", For: "20s", Seed: 1, Rate: live.DefaultRate, Zipf: live.DefaultZipfExponent,
@@ -66,12 +66,12 @@
 }
 
 func sendLive(ctx context.Context, cfg *liveConfig) (*live.Report, error) {
-	span, err := time.ParseDuration(cfg.For)
+	duration, err := time.ParseDuration(cfg.For)
 	if err != nil {
 		return nil, err
 	}
 	l := &live.LoadTest{
-		Seed: cfg.Seed, Rate: cfg.Rate, Duration: span, ZipfExponent: cfg.Zipf, ResendShare: cfg.Resend, ClientDelay: cfg.Client,
+		Seed: cfg.Seed, Rate: cfg.Rate, Duration: duration, ZipfExponent: cfg.Zipf, ResendShare: cfg.Resend, ClientDelay: cfg.Client,
 		Out: os.Stdout,
 	}
 	if err := l.ReadLayout(cfg.Layout); err != nil {
--- a/drive/main.go
+++ b/drive/main.go
@@ -1,9 +1,9 @@
-// Command drive loads the system and measures it.
+// Command drive load-tests and simulates the system.
 //
-//	drive sim     decision modules between fakes, driven clock
-//	drive live    live processes over HTTP
-//	drive layout  writes the settings of a deployment on this machine
-//	drive soak    real programs on a platform's stand-ins, with faults from outside
+//	drive sim     simulates routing and scheduling policies on a virtual clock
+//	drive live    sends load to running processes over HTTP and verifies the results
+//	drive layout  writes the settings of a local deployment
+//	drive soak    runs the real programs on a simulated platform and injects faults
 package main
 
 import (
--- a/drive/simcmd.go
+++ b/drive/simcmd.go
@@ -24,7 +24,7 @@
 	"magnoliastall.example/magno/setup"
 )
 
-// simConfig are the settings of drive sim.
+// simConfig holds the settings of drive sim.
 type simConfig struct {
 	Deploy string  `json:"deploy" help:"deployment: delta or cursada"`
 	Case   string  `json:"case" help:"cases, separated by commas, or all"`
@@ -42,7 +42,7 @@
 	Curve  bool    `json:"curve" help:"instead, ours over the Stall setting"`
 }
 
-// Check names the first setting that is out of its range.
+// Check returns an error for the first setting that is out of range.
 func (c *simConfig) Check() error {
 	if _, err := load.FindDeployment(c.Deploy); err != nil {
 		return &setup.Fault{Key: "deploy", What: err.Error()}
@@ -59,10 +59,10 @@
 	}
 	d, err := time.ParseDuration(c.For)
 	if err != nil || d < time.Minute || d > 24*time.Hour {
-		return &setup.Fault{Key: "for", What: fmt.Sprintf("%q is no duration of 1m to 24h", c.For)}
+		return &setup.Fault{Key: "for", What: fmt.Sprintf("%q is not a duration from 1m to 24h", c.For)}
 	}
 	if w, err := time.ParseDuration(c.Warm); err != nil || w < 0 || w >= d {
-		return &setup.Fault{Key: "warm", What: fmt.Sprintf("%q is no duration under %s", c.Warm, c.For)}
+		return &setup.Fault{Key: "warm", What: fmt.Sprintf("%q is not a duration below %s", c.Warm, c.For)}
 	}
 	for _, err := range []error{
 		setup.Range("seeds", c.Seeds, 1, 1000), setup.Range("load", c.Load, 0.01, 10),
@@ -94,11 +94,11 @@
 		fmt.Fprintln(os.Stderr, "drive sim:", err)
 		return setup.ExitUsage
 	}
-	do := simulate
+	command := simulate
 	if cfg.Curve {
-		do = curve
+		command = runCurve
 	}
-	if err := do(ctx, cfg); err != nil {
+	if err := command(ctx, cfg); err != nil {
 		fmt.Fprintln(os.Stderr, "drive sim:", err)
 		return 1
 	}
@@ -117,12 +117,12 @@
 	}
 	fmt.Printf("%s: capacity %.1f requests/s, %d runs of %s in %.1f s\n",
 		cfg.Deploy, t.Capacity, len(results), cfg.For, time.Since(began).Seconds())
-	lines := merged(cfg, t, results)
-	show := tally.PrintTable
+	lines := mergeSeeds(cfg, t, results)
+	printLines := tally.PrintTable
 	if cfg.Page {
-		show = tally.PrintMarkdown
+		printLines = tally.PrintMarkdown
 	}
-	if err := show(os.Stdout, lines); err != nil {
+	if err := printLines(os.Stdout, lines); err != nil {
 		return err
 	}
 	if err := aims.Print(os.Stdout, aims.Evaluate(cfg.Deploy, lines)); err != nil || cfg.Out == "" {
@@ -131,7 +131,7 @@
 	if err := writeLines(filepath.Join(cfg.Out, cfg.Deploy+".jsonl"), cfg, t, results); err != nil {
 		return err
 	}
-	return pictures(cfg, lines)
+	return writeCharts(cfg, lines)
 }
 
 func newTrial(cfg *simConfig) (*trial.Trial, error) {
@@ -160,17 +160,17 @@
 	return t, nil
 }
 
-// merged returns the lines of each case and policy over all seeds.
-func merged(cfg *simConfig, t *trial.Trial, results []trial.Result) []tally.Line {
+// mergeSeeds returns the lines of each case and policy, summed over all seeds.
+func mergeSeeds(cfg *simConfig, t *trial.Trial, results []trial.Result) []tally.Line {
 	var lines []tally.Line
 	for i := 0; i < len(results); i += t.Seeds {
-		lines = append(lines, label(cfg, t, results[i:i+t.Seeds])...)
+		lines = append(lines, summarize(cfg, t, results[i:i+t.Seeds])...)
 	}
 	return lines
 }
 
-// label sums runs of one case and policy up and names their lines.
-func label(cfg *simConfig, t *trial.Trial, runs []trial.Result) []tally.Line {
+// summarize sums up runs of one case and policy and labels their lines.
+func summarize(cfg *simConfig, t *trial.Trial, runs []trial.Result) []tally.Line {
 	var lines []tally.Line
 	if runs[0].Bound != nil {
 		bounds := make([]*bound.Bound, 0, len(runs))
@@ -206,7 +206,7 @@
 	wide := *cfg
 	wide.Wide = true
 	for i := range results {
-		if err := tally.WriteJSON(f, label(&wide, t, results[i:i+1])); err != nil {
+		if err := tally.WriteJSON(f, summarize(&wide, t, results[i:i+1])); err != nil {
 			return errors.Join(err, f.Close())
 		}
 	}
--- a/drive/soakcmd.go
+++ b/drive/soakcmd.go
@@ -11,13 +11,12 @@
 	"magnoliastall.example/drive/soak"
 )
 
-// runSoak plays seeds one after the other; the exit code is 1 when a promise
-// was broken.
+// runSoak runs one seed after another. It returns 1 if a guarantee was violated.
 func runSoak(args []string) int {
 	flags := flag.NewFlagSet("soak", flag.ContinueOnError)
 	seed := flags.Uint64("seed", 1, "first seed")
 	count := flags.Uint64("seeds", 1, "how many seeds")
-	span := flags.Duration("for", 8*time.Second, "how long faults come with each seed")
+	duration := flags.Duration("for", 8*time.Second, "how long faults come with each seed")
 	bin := flags.String("bin", "bin", "where the programs are")
 	out := flags.String("out", "out/soak", "where settings and logs go")
 	if err := flags.Parse(args); err != nil {
@@ -30,7 +29,7 @@
 			fmt.Fprintln(os.Stderr, "soak:", err)
 			return 2
 		}
-		one := &soak.Soak{Seed: s, Duration: *span, Dir: dir, Bin: *bin, Out: os.Stdout}
+		one := &soak.Soak{Seed: s, Duration: *duration, Dir: dir, Bin: *bin, Out: os.Stdout}
 		broken, err := one.Run(context.Background())
 		if err != nil {
 			fmt.Fprintf(os.Stderr, "soak: seed %d: %v\n", s, err)
@@ -39,7 +38,7 @@
 		if len(broken) > 0 {
 			code = 1
 		}
-		time.Sleep(time.Second) // the processes of this seed end
+		time.Sleep(time.Second) // lets the processes of this seed exit
 	}
 	return code
 }
