--- a/drive/live/layout.go
+++ b/drive/live/layout.go
@@ -10,9 +10,9 @@
 	"magnoliastall.example/magno"
 )
 
-// Read fills Entries, Stands and Config from the folder of a layout.
-func (l *Live) Read(dir string) error {
-	if err := parse(filepath.Join(dir, "config.json"), &l.Config); err != nil {
+// ReadLayout fills Entries, Upstreams and Config from the folder of a layout.
+func (l *LoadTest) ReadLayout(dir string) error {
+	if err := readJSON(filepath.Join(dir, "config.json"), &l.Config); err != nil {
 		return err
 	}
 	var stands struct {
@@ -22,12 +22,12 @@
 			Listen string `json:"listen"`
 		} `json:"stands"`
 	}
-	if err := parse(filepath.Join(dir, "stands.json"), &stands); err != nil {
+	if err := readJSON(filepath.Join(dir, "stands.json"), &stands); err != nil {
 		return err
 	}
 	for _, s := range stands.Stands {
 		if s.Kind == "engine" || s.Kind == "plain" {
-			l.Stands = append(l.Stands, Stand{Name: s.Name, URL: "http://" + s.Listen, Plain: s.Kind == "plain"})
+			l.Upstreams = append(l.Upstreams, Upstream{Name: s.Name, URL: "http://" + s.Listen, Plain: s.Kind == "plain"})
 		}
 	}
 	data, err := os.ReadFile(filepath.Join(dir, "processes"))
@@ -42,7 +42,7 @@
 		var entry struct {
 			Listen string `json:"listen"`
 		}
-		if err := parse(filepath.Join(dir, file), &entry); err != nil {
+		if err := readJSON(filepath.Join(dir, file), &entry); err != nil {
 			return err
 		}
 		l.Entries = append(l.Entries, "http://"+entry.Listen)
@@ -50,7 +50,7 @@
 	return nil
 }
 
-func parse(path string, into any) error {
+func readJSON(path string, into any) error {
 	data, err := os.ReadFile(path)
 	if err != nil {
 		return err
