--- a/agent/ask/ask.go
+++ b/agent/ask/ask.go
@@ -14,7 +14,7 @@
 	"magnoliastall.example/magno/witns"
 )
 
-// Asker implements magno.Asker and serves the witness of this process.
+// Asker implements magno.WitnessClient and serves the witness of this process.
 type Asker struct {
 	Mesh    *wire.Mesh
 	Fleet   *fleet.Fleet
@@ -32,7 +32,7 @@
 	})
 }
 
-// Ask implements magno.Asker. It calls the witness of this process directly.
+// Ask implements magno.WitnessClient. It calls the witness of this process directly.
 func (a *Asker) Ask(ctx context.Context, member string, call magno.GrantCall) (magno.GrantReply, error) {
 	if member == a.Witness.Self {
 		return a.Witness.Grant(call), nil
--- a/agent/daemon/daemon.go
+++ b/agent/daemon/daemon.go
@@ -75,7 +75,7 @@
 	}
 	log.Info("listening", "addr", a.Mesh.Addr(), "pool", opts.Pool, "dc", opts.DataCentre)
 	d := start.Daemon{
-		Duties: a.duties(), Log: log, Leave: a.leave, Busy: a.server.Busy, Drain: magno.Millis(opts.Drain),
+		Tasks: a.duties(), Log: log, Leave: a.leave, Busy: a.server.Busy, Drain: magno.Millis(opts.Drain),
 	}
 	return d.Run()
 }
@@ -130,7 +130,7 @@
 
 // openUpstream creates the loop and the probe of the upstream.
 func (a *agent) openUpstream(fence int64) error {
-	plugin, err := magno.Plugin(magno.SortUpstream, a.opts.Kind)
+	plugin, err := magno.NewPlugin(magno.PluginUpstream, a.opts.Kind)
 	if err != nil {
 		return err
 	}
@@ -138,17 +138,17 @@
 	if !ok {
 		return errors.Newf("plug-in %q does not implement magno.Upstream", a.opts.Kind)
 	}
-	if addressed, ok := plugin.(magno.Addressed); ok {
+	if addressed, ok := plugin.(magno.AddressSetter); ok {
 		addressed.SetAddress(a.opts.Upstream, fence)
 	}
-	if plugin, err = magno.Plugin(magno.SortScheduler, a.opts.Scheduler); err != nil {
+	if plugin, err = magno.NewPlugin(magno.PluginScheduler, a.opts.Scheduler); err != nil {
 		return err
 	}
 	sched, ok := plugin.(magno.Scheduler)
 	if !ok {
 		return errors.Newf("plug-in %q does not implement magno.Scheduler", a.opts.Scheduler)
 	}
-	if tuner, ok := plugin.(magno.Tuner); ok {
+	if tuner, ok := plugin.(magno.Configurable); ok {
 		tuner.SetClock(a.Clock)
 		tuner.SetTurns(a.opts.Kind == string(magno.PoolEngine))
 	}
@@ -190,7 +190,7 @@
 func (a *agent) loadLimits() (rate float64, width int) {
 	if now := a.Store.Current(); now != nil {
 		if p, ok := now.Pool(a.opts.Pool); ok && p.LoadRate > 0 {
-			return p.LoadRate, max(p.LoadWidth, 1)
+			return p.LoadRate, max(p.MaxLoads, 1)
 		}
 	}
 	return defaultLoadRate, defaultMaxLoads
@@ -230,8 +230,8 @@
 	return a.Clock.Now() > a.witnessStart+2*magno.Millis(a.opts.Skew)
 }
 
-func (a *agent) duties() []magno.Duty {
-	return append(a.Duties(), a.probe, a.loop, a.turns, &admin.Server{
+func (a *agent) duties() []magno.Task {
+	return append(a.Tasks(), a.probe, a.loop, a.turns, &admin.Server{
 		Listen: a.opts.Admin, Allow: a.opts.Allow, Events: a.Events, Status: a.status,
 		Ready: func() bool { return a.ready() && a.witnessReady() && !a.server.Leaving() },
 		Bound: func(addr string) { a.Log.Info("listening", "admin", addr) },
--- a/agent/gather/gather.go
+++ b/agent/gather/gather.go
@@ -47,7 +47,7 @@
 		return
 	}
 	if c.timer == nil {
-		c.timer = time.AfterFunc(wait.Span(), c.onTimer)
+		c.timer = time.AfterFunc(wait.Duration(), c.onTimer)
 	}
 }
 
--- a/agent/keep/engine.go
+++ b/agent/keep/engine.go
@@ -55,14 +55,14 @@
 		if s.hasWaiting.Load() {
 			wait = waitingReportInterval
 		}
-		timer.Reset(wait.Span())
+		timer.Reset(wait.Duration())
 	}
 }
 
 // report fetches a report from the engine and passes it to the gate.
 func (s *engineClient) report(ctx context.Context) {
 	requestedAt := s.Clock.Now()
-	call, cancel := context.WithTimeout(ctx, engineTimeout.Span())
+	call, cancel := context.WithTimeout(ctx, engineTimeout.Duration())
 	defer cancel()
 	r, err := s.Engine.Report(call)
 	if ctx.Err() != nil {
@@ -79,17 +79,17 @@
 	back := s.misses >= downAfter
 	s.misses = 0
 	if back {
-		s.Log.Info("engine back", "born", r.Born)
+		s.Log.Info("engine back", "born", r.StartedAt)
 	}
 	s.post(ctx, func() { s.applyReport(r, requestedAt) })
 }
 
 // applyReport passes a report to the gate. It runs on the gate's goroutine.
 func (k *Controller) applyReport(r *magno.Report, requestedAt magno.Millis) {
-	if k.engineStart != r.Born {
-		k.Log.Info("engine", "born", r.Born, "before", k.engineStart, "models", len(r.Held))
+	if k.engineStart != r.StartedAt {
+		k.Log.Info("engine", "born", r.StartedAt, "before", k.engineStart, "models", len(r.Loaded))
 	}
-	k.engineStart, k.reportAskedAt, k.down = r.Born, requestedAt, false
+	k.engineStart, k.reportAskedAt, k.down = r.StartedAt, requestedAt, false
 	k.gate.ApplyReport(r, requestedAt)
 }
 
@@ -97,7 +97,7 @@
 func (s *engineClient) order(ctx context.Context, c magno.Command) {
 	b := s.basis(ctx)
 	c.Replica, c.Holder, c.Fence = b.id, s.Self, s.fence
-	call, cancel := context.WithTimeout(ctx, engineTimeout.Span())
+	call, cancel := context.WithTimeout(ctx, engineTimeout.Duration())
 	defer cancel()
 	o, err := s.Engine.Order(call, c)
 	level := slog.LevelInfo
--- a/agent/keep/keep.go
+++ b/agent/keep/keep.go
@@ -32,11 +32,11 @@
 	inboxSize = 1024
 )
 
-// Controller owns the gate. It implements magno.Duty. Its exported fields must be set before Open.
+// Controller owns the gate. It implements magno.Task. Its exported fields must be set before Open.
 type Controller struct {
 	// Self is the name of this instance. Orders state it as their holder.
 	Self   string
-	Engine magno.Engineer
+	Engine magno.EngineClient
 	Mesh   *wire.Mesh
 	Clock  *magno.Clock
 	Log    *slog.Logger
@@ -77,7 +77,7 @@
 	k.Mesh.Handle(gate.MethodStatus, k.status)
 }
 
-// Name implements magno.Duty.
+// Name implements magno.Task.
 func (k *Controller) Name() string { return "keep" }
 
 // Run runs the gate until ctx is done.
@@ -88,7 +88,7 @@
 		k.serveEngine(ctx)
 	}()
 	defer func() { <-engineDone }()
-	timer := time.NewTimer(idleInterval.Span())
+	timer := time.NewTimer(idleInterval.Duration())
 	defer timer.Stop()
 	for {
 		select {
@@ -104,7 +104,7 @@
 		if len(k.waiting) > 0 {
 			wait = busyInterval
 		}
-		timer.Reset(wait.Span())
+		timer.Reset(wait.Duration())
 	}
 }
 
--- a/agent/keep/keep_test.go
+++ b/agent/keep/keep_test.go
@@ -32,11 +32,11 @@
 	if e.fail {
 		return nil, errors.New("no answer")
 	}
-	r := &magno.Report{Born: e.born, Orders: e.orders, Held: map[string]map[string]int64{}}
+	r := &magno.Report{StartedAt: e.born, Orders: e.orders, Loaded: map[string]map[string]int64{}}
 	if e.model {
-		r.Held["m"] = map[string]int64{}
+		r.Loaded["m"] = map[string]int64{}
 		for name := range e.held {
-			r.Held["m"][name] = 1
+			r.Loaded["m"][name] = 1
 		}
 	}
 	return r, nil
@@ -77,7 +77,7 @@
 
 func start(t *testing.T, e *engine) *agent {
 	t.Helper()
-	clock := magno.NewSteady()
+	clock := magno.NewMonotonic()
 	a := &agent{caller: &wire.Mesh{Clock: clock}}
 	mesh := &wire.Mesh{Listen: "127.0.0.1:0", Clock: clock}
 	if err := mesh.Open(); err != nil {
--- a/agent/loop/loop.go
+++ b/agent/loop/loop.go
@@ -40,7 +40,7 @@
 	maxOffers = 3
 )
 
-// Loop runs jobs on one upstream. It implements magno.Duty.
+// Loop runs jobs on one upstream. It implements magno.Task.
 type Loop struct {
 	// These fields must be set before Run.
 	Clock     *magno.Clock
@@ -128,18 +128,18 @@
 	}
 }
 
-// Name implements magno.Duty.
+// Name implements magno.Task.
 func (l *Loop) Name() string { return "loop" }
 
 // Run runs the event loop until ctx is done, then waits for the orders under way.
 func (l *Loop) Run(ctx context.Context) error {
 	defer close(l.ended)
-	timer := time.NewTimer(tickInterval.Span())
+	timer := time.NewTimer(tickInterval.Duration())
 	defer timer.Stop()
 	for {
 		var due <-chan time.Time
 		if len(l.waiting) > 0 || len(l.interrupted) > 0 {
-			timer.Reset(tickInterval.Span())
+			timer.Reset(tickInterval.Duration())
 			due = timer.C
 		}
 		select {
@@ -181,7 +181,7 @@
 }
 
 func endedRefusal() *magno.Refusal {
-	return magno.Refuse(magno.KindLeaving, "the agent has ended").Later(magno.Second)
+	return magno.Refuse(magno.KindLeaving, "the agent has ended").WithRetryAfter(magno.Second)
 }
 
 // applyOrders carries out the scheduler's orders.
@@ -255,7 +255,7 @@
 	result.Queue = d.queueTime
 	result.Stall = d.stallTime
 	if err == nil && result.Ref != w.Job.Ref {
-		err = magno.Refuse(magno.KindInternal, "the upstream ran %s instead of %s", result.Ref, w.Job.Ref).Ran(magno.RunYes)
+		err = magno.Refuse(magno.KindInternal, "the upstream ran %s instead of %s", result.Ref, w.Job.Ref).WithRun(magno.RunYes)
 	}
 	l.post(func() { l.done(w.Job, err) })
 	l.Events.Add("ended", w.Job.ID, fmt.Sprintf("ok=%t tokens=%d", err == nil, result.Output))
@@ -266,13 +266,13 @@
 func (l *Loop) done(job magno.Job, err error) {
 	l.Scheduler.Done(job.ID, err == nil)
 	refusal, ok := err.(*magno.Refusal) //nolint:errorlint // execute returns it unwrapped
-	if !ok || refusal.Kind != magno.KindInterrupted || job.Print == 0 {
+	if !ok || refusal.Kind != magno.KindInterrupted || job.Fingerprint == 0 {
 		return
 	}
 	if len(l.interrupted) == 0 {
 		l.firstInterruptedAt = l.Clock.Now()
 	}
-	l.interrupted = append(l.interrupted, job.Print)
+	l.interrupted = append(l.interrupted, job.Fingerprint)
 }
 
 // reportSuspects records all streams that were interrupted within crashWindow as suspects of the
@@ -305,7 +305,7 @@
 	l.post(func() {
 		if l.waiting[job.ID] == p {
 			l.Scheduler.Cancel(job.ID)
-			l.resolve(job.ID, magno.Refuse(magno.KindCancelled, "the caller went away").Ran(magno.RunNo))
+			l.resolve(job.ID, magno.Refuse(magno.KindCancelled, "the caller went away").WithRun(magno.RunNo))
 		}
 	})
 	select {
@@ -333,7 +333,7 @@
 		// If a peer sends an attempt twice, the second must not replace the first, which would then
 		// wait until the loop ends.
 		refusal := magno.Refuse(magno.KindInternal, "the attempt %s waits here already", job.ID)
-		p.decision <- decision{refusal: refusal.Ran(magno.RunNo)}
+		p.decision <- decision{refusal: refusal.WithRun(magno.RunNo)}
 		return
 	}
 	p.offeredAt = l.Clock.Now()
--- a/agent/loop/loop_test.go
+++ b/agent/loop/loop_test.go
@@ -153,7 +153,7 @@
 func (b *fixture) do(ctx context.Context, id string) chan *magno.Refusal {
 	got := make(chan *magno.Refusal, 1)
 	go func() {
-		_, err := b.Do(ctx, magno.Work{Job: magno.Job{ID: id, Print: uint64(len(id))}}, func(magno.Piece) {})
+		_, err := b.Do(ctx, magno.Work{Job: magno.Job{ID: id, Fingerprint: uint64(len(id))}}, func(magno.Piece) {})
 		refusal, _ := err.(*magno.Refusal) //nolint:errorlint // Do returns it unwrapped
 		got <- refusal
 	}()
@@ -212,7 +212,7 @@
 // itself is final.
 func TestOfferedAgain(t *testing.T) {
 	unloaded := magno.Refuse(magno.KindLoading, "not loaded")
-	begun := magno.Refuse(magno.KindLoading, "lost").Ran(magno.RunUnknown)
+	begun := magno.Refuse(magno.KindLoading, "lost").WithRun(magno.RunUnknown)
 	tests := []struct {
 		name string
 		// answers are the engine's, of which the last one repeats; refuse is the scheduler's.
--- a/agent/loop/state.go
+++ b/agent/loop/state.go
@@ -10,7 +10,7 @@
 func (l *Loop) Reset(probe magno.Probe) {
 	l.post(func() {
 		ran := l.Scheduler.Reset()
-		if tuner, ok := l.Scheduler.(magno.Tuner); ok {
+		if tuner, ok := l.Scheduler.(magno.Configurable); ok {
 			tuner.SetLimits(probe.Limits)
 			tuner.Adopt(probe.Loaded)
 		}
@@ -28,7 +28,7 @@
 		if l.ordersInFlight > 0 || l.Clock.Now() < l.lastOrderAt+reportLag || l.holdsExactly(probe.Loaded) {
 			return
 		}
-		if tuner, ok := l.Scheduler.(magno.Tuner); ok {
+		if tuner, ok := l.Scheduler.(magno.Configurable); ok {
 			l.Events.Add("adopt", "", fmt.Sprintf("held=%d", len(probe.Loaded)))
 			tuner.Adopt(probe.Loaded)
 			l.needsDecision = true
@@ -50,7 +50,7 @@
 // SetWeights sets the customers' weights.
 func (l *Loop) SetWeights(weights map[string]float64) {
 	l.post(func() {
-		if tuner, ok := l.Scheduler.(magno.Tuner); ok {
+		if tuner, ok := l.Scheduler.(magno.Configurable); ok {
 			tuner.SetWeights(weights)
 		}
 	})
--- a/agent/loop/turn.go
+++ b/agent/loop/turn.go
@@ -11,7 +11,7 @@
 // longer wait, and other agents need the turn.
 const turnUseTimeout magno.Millis = 300
 
-// wantedLoad is the result of magno.Turner.Want.
+// wantedLoad is the result of magno.TurnTaker.Want.
 type wantedLoad struct {
 	ref  magno.Ref
 	cost float64
@@ -24,7 +24,7 @@
 // Want returns the load that the scheduler needs most and the cost of its delay. It returns false
 // if the scheduler needs no load or no turn for it.
 func (l *Loop) Want(ctx context.Context) (ref magno.Ref, cost float64, ok bool) {
-	turner, is := l.Scheduler.(magno.Turner)
+	turner, is := l.Scheduler.(magno.TurnTaker)
 	if !is {
 		return magno.Ref{}, 0, false
 	}
@@ -49,7 +49,7 @@
 // Load gives the scheduler a turn for one load. It returns when the load has ended, when left has
 // passed, or when the scheduler has not used the turn within turnUseTimeout.
 func (l *Loop) Load(ctx context.Context, left magno.Millis) {
-	turner, is := l.Scheduler.(magno.Turner)
+	turner, is := l.Scheduler.(magno.TurnTaker)
 	if !is {
 		return
 	}
@@ -58,9 +58,9 @@
 		l.turnEnded = done
 		turner.Turn(l.Clock.Now() + min(left, turnUseTimeout))
 	})
-	unused := time.NewTimer(turnUseTimeout.Span())
+	unused := time.NewTimer(turnUseTimeout.Duration())
 	defer unused.Stop()
-	limit := time.NewTimer(left.Span())
+	limit := time.NewTimer(left.Duration())
 	defer limit.Stop()
 	for {
 		select {
--- a/agent/probe/probe.go
+++ b/agent/probe/probe.go
@@ -14,7 +14,7 @@
 // probeTimeout bounds one probe. An upstream that takes longer counts as down.
 const probeTimeout = time.Second
 
-// Probe polls the upstream at a fixed interval. It implements magno.Duty.
+// Probe polls the upstream at a fixed interval. It implements magno.Task.
 type Probe struct {
 	Upstream magno.Upstream
 	Interval magno.Millis
@@ -29,7 +29,7 @@
 	up   atomic.Bool
 }
 
-// Name implements magno.Duty.
+// Name implements magno.Task.
 func (p *Probe) Name() string { return "probe" }
 
 // Up reports whether the upstream answered the latest probe.
@@ -40,7 +40,7 @@
 
 // Run polls the upstream until ctx is done.
 func (p *Probe) Run(ctx context.Context) error {
-	ticker := time.NewTicker(p.Interval.Span())
+	ticker := time.NewTicker(p.Interval.Duration())
 	defer ticker.Stop()
 	for {
 		p.poll(ctx)
--- a/agent/serve/serve.go
+++ b/agent/serve/serve.go
@@ -118,7 +118,7 @@
 	}
 	s.setLocalTimes(call)
 	s.mergeCrashes(call)
-	ctx, cancel := context.WithTimeout(ctx, call.Left.Span())
+	ctx, cancel := context.WithTimeout(ctx, call.Left.Duration())
 	defer cancel()
 	defer s.registerCancel(call.Call, cancel)()
 	return s.execute(ctx, peer, call)
@@ -128,11 +128,11 @@
 func (s *Server) refusal(call *magno.RunCall) *magno.Refusal {
 	switch {
 	case s.Leaving():
-		return magno.Refuse(magno.KindLeaving, "the instance takes no new work").Later(leavingRetryDelay)
+		return magno.Refuse(magno.KindLeaving, "the instance takes no new work").WithRetryAfter(leavingRetryDelay)
 	case !s.Ready():
 		return magno.Refuse(magno.KindStarting, "the agent has no upstream or configuration yet")
 	case s.Retired(call.Work.Job.Ref, call.Config):
-		return magno.Refuse(magno.KindRetired, "%s is retired", call.Work.Job.Ref).At("model")
+		return magno.Refuse(magno.KindRetired, "%s is retired", call.Work.Job.Ref).WithField("model")
 	case call.Left <= 0:
 		return magno.Refuse(magno.KindPast, "the deadline has passed")
 	}
@@ -147,7 +147,7 @@
 
 // mergeCrashes merges the number of crashes that the entry has counted for the request.
 func (s *Server) mergeCrashes(call *magno.RunCall) {
-	print := call.Work.Job.Print
+	print := call.Work.Job.Fingerprint
 	if call.Crashes == 0 || print == 0 {
 		return
 	}
@@ -166,7 +166,7 @@
 		BodyHash: xxhash.Sum64String(call.Work.Job.Profile + "\x00" + call.Work.Path + "\x00" + call.Work.Body),
 	}
 	if refusal := s.refusal(call); refusal != nil && !s.Ledger.Has(keyed) {
-		return refusalReply(refusal.Ran(magno.RunUnknown))
+		return refusalReply(refusal.WithRun(magno.RunUnknown))
 	}
 	s.setLocalTimes(call)
 	s.mergeCrashes(call)
@@ -175,7 +175,7 @@
 		defer s.busy.Add(-1)
 		// A run that has started may finish after the deadline: a retry of the caller can then
 		// be answered, which is worth more than the capacity that the run occupies.
-		run, cancel := context.WithTimeout(run, (call.Left + keyedGrace).Span())
+		run, cancel := context.WithTimeout(run, (call.Left + keyedGrace).Duration())
 		defer cancel()
 		return s.execute(run, peer, call)
 	})
@@ -210,7 +210,7 @@
 // ticket issues a key for calls that only this process runs.
 func (s *Server) ticket(context.Context, *wire.Peer, json.RawMessage) (any, error) {
 	if s.Leaving() || !s.Ready() {
-		return nil, magno.Refuse(magno.KindLeaving, "the instance takes no new work").Later(leavingRetryDelay)
+		return nil, magno.Refuse(magno.KindLeaving, "the instance takes no new work").WithRetryAfter(leavingRetryDelay)
 	}
 	key, err := ticket.NewKey()
 	if err != nil {
--- a/agent/site/site.go
+++ b/agent/site/site.go
@@ -28,19 +28,19 @@
 
 func run(site magno.Site, set *magno.SiteSettings, out *lines.Writer) int {
 	log := start.Log(out, set.Name)
-	clock := magno.NewSteady()
-	mesh := &wire.Mesh{Listen: net.JoinHostPort(set.IP, strconv.Itoa(set.Inner)), Allow: []string{start.Anyone}, Clock: clock, Log: log}
+	clock := magno.NewMonotonic()
+	mesh := &wire.Mesh{Listen: net.JoinHostPort(set.IP, strconv.Itoa(set.InternalPort)), Allow: []string{start.Anyone}, Clock: clock, Log: log}
 	if err := mesh.Open(); err != nil {
 		log.Error("agent failed to start", "error", err)
 		return start.ExitFailed
 	}
 	k := &keep.Controller{
-		Self: set.Name, Engine: site.Engine(set.Upstream), Mesh: mesh, Clock: clock, Log: log, Fence: int64(clock.Now()),
+		Self: set.Name, Engine: site.Engine(set.UpstreamAddress), Mesh: mesh, Clock: clock, Log: log, Fence: int64(clock.Now()),
 	}
 	k.Open()
-	log.Info("start", "dc", set.DataCentre, "peers", mesh.Addr(), "upstream", set.Upstream, "service", set.Service)
+	log.Info("start", "dc", set.DataCentre, "peers", mesh.Addr(), "upstream", set.UpstreamAddress, "service", set.Service)
 	d := start.Daemon{
-		Duties: []magno.Duty{mesh, k, out, &admin.Server{
+		Tasks: []magno.Task{mesh, k, out, &admin.Server{
 			Listen: net.JoinHostPort(set.IP, strconv.Itoa(start.MetricsPort)), Allow: []string{start.Anyone},
 			Ready: func() bool { return true }, Status: func() any { return k.Self },
 			Events: &event.Ring{Process: set.Name, Size: 1},
--- a/agent/turns/coordinator.go
+++ b/agent/turns/coordinator.go
@@ -30,7 +30,7 @@
 // run grants turns until ctx is done.
 func (c *coordinator) run(ctx context.Context) {
 	for {
-		timer := time.NewTimer(c.sleepTime().Span())
+		timer := time.NewTimer(c.sleepTime().Duration())
 		select {
 		case <-ctx.Done():
 			timer.Stop()
@@ -77,7 +77,7 @@
 	if !c.post(ctx, func() { c.submit(r, got) }) {
 		return turn.Turn{}
 	}
-	timer := time.NewTimer(requestWait.Span())
+	timer := time.NewTimer(requestWait.Duration())
 	defer timer.Stop()
 	select {
 	case t := <-got:
@@ -116,7 +116,7 @@
 	if ok {
 		select {
 		case <-done:
-		case <-time.After(requestWait.Span()):
+		case <-time.After(requestWait.Duration()):
 		}
 	}
 }
--- a/agent/turns/turns.go
+++ b/agent/turns/turns.go
@@ -38,7 +38,7 @@
 	stepQueueSize = 256
 )
 
-// Turns requests and coordinates turns. It implements magno.Duty. Its fields must be set before
+// Turns requests and coordinates turns. It implements magno.Task. Its fields must be set before
 // Register and Run.
 type Turns struct {
 	Self  string
@@ -76,7 +76,7 @@
 	ID uint64 `json:"id"`
 }
 
-// Name implements magno.Duty.
+// Name implements magno.Task.
 func (t *Turns) Name() string { return "turns" }
 
 // Register creates the coordinator and registers the handlers on the mesh.
@@ -124,7 +124,7 @@
 		t.useTurn(ctx, turnRequest{Agent: t.Self, Ref: ref, DelayCost: cost})
 		return
 	}
-	magno.Pause(ctx, retryPause)
+	magno.Sleep(ctx, retryPause)
 }
 
 // useTurn obtains one turn, uses it for a load, and releases it when the load has ended. The
@@ -147,14 +147,14 @@
 
 func (t *Turns) requestTurn(ctx context.Context, name, address string, r turnRequest) (turn.Turn, error) {
 	if name == t.Self {
-		ctx, cancel := context.WithTimeout(ctx, requestWait.Span())
+		ctx, cancel := context.WithTimeout(ctx, requestWait.Duration())
 		defer cancel()
 		return t.coordinator.wait(ctx, r), nil
 	}
 	if address == "" {
 		return turn.Turn{}, errors.New("instance list has no agent of the pool")
 	}
-	ctx, cancel := context.WithTimeout(ctx, (requestWait + callMargin).Span())
+	ctx, cancel := context.WithTimeout(ctx, (requestWait + callMargin).Duration())
 	defer cancel()
 	var reply turnReply
 	err := t.Mesh.Call(ctx, address, magno.MethodTurn, r, &reply)
--- a/agent/turns/turns_test.go
+++ b/agent/turns/turns_test.go
@@ -68,13 +68,13 @@
 
 // agent returns the Turns of an agent with a running loop. Others maps the names of the other
 // agents of the pool to their addresses.
-func agent(t *testing.T, clock *magno.Clock, others map[string]string) (*Turns, *engine, func(magno.Duty)) {
+func agent(t *testing.T, clock *magno.Clock, others map[string]string) (*Turns, *engine, func(magno.Task)) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
 	t.Cleanup(wg.Wait)
 	t.Cleanup(cancel)
-	run := func(d magno.Duty) {
+	run := func(d magno.Task) {
 		wg.Add(1)
 		go func() { defer wg.Done(); _ = d.Run(ctx) }()
 	}
@@ -115,7 +115,7 @@
 func (k coordinatorDuty) Run(ctx context.Context) error { k.run(ctx); return nil }
 
 // passQuietTime starts the coordinator and advances the clock past its initial quiet time.
-func passQuietTime(t *testing.T, tr *Turns, run func(magno.Duty)) {
+func passQuietTime(t *testing.T, tr *Turns, run func(magno.Task)) {
 	t.Helper()
 	run(coordinatorDuty{tr.coordinator})
 	begun := make(chan struct{})
--- a/drive/basel/basel.go
+++ b/drive/basel/basel.go
@@ -26,9 +26,9 @@
 const maxNames = 2
 
 func init() {
-	magno.Register(magno.SortRouter, Random, func() any { return &Router{} })
-	magno.Register(magno.SortRouter, Least, func() any { return &Router{LeastWork: true} })
-	magno.Register(magno.SortRouter, Hash, func() any { return &Router{HashAffinity: true, LeastWork: true} })
+	magno.Register(magno.PluginRouter, Random, func() any { return &Router{} })
+	magno.Register(magno.PluginRouter, Least, func() any { return &Router{LeastWork: true} })
+	magno.Register(magno.PluginRouter, Hash, func() any { return &Router{HashAffinity: true, LeastWork: true} })
 }
 
 // Router implements magno.Router. Its exported fields are set before use.
--- a/drive/fifo/fifo.go
+++ b/drive/fifo/fifo.go
@@ -25,7 +25,7 @@
 const retryAfter = magno.Second
 
 func init() {
-	magno.Register(magno.SortScheduler, Plugin, func() any { return &Queue{} })
+	magno.Register(magno.PluginScheduler, Plugin, func() any { return &Queue{} })
 }
 
 // Queue implements magno.Scheduler. Its exported fields are set before use.
--- a/drive/layout/config.go
+++ b/drive/layout/config.go
@@ -20,7 +20,7 @@
 			{Name: "cursada", Weight: 1},
 		},
 		Pools: []magno.Pool{
-			{Name: "reading", Kind: magno.PoolEngine, Base: baseModel, LoadRate: rate, LoadWidth: parallelLoads},
+			{Name: "reading", Kind: magno.PoolEngine, Base: baseModel, LoadRate: rate, MaxLoads: parallelLoads},
 			{Name: "status", Kind: magno.PoolPlain},
 		},
 		Rosters: []magno.Roster{l.roster()},
@@ -30,7 +30,7 @@
 		cfg.Adapters = append(cfg.Adapters, magno.Adapter{Name: name, Base: baseModel, Versions: []string{"v1", "v2"}})
 		cfg.Profiles = append(cfg.Profiles, magno.Profile{
 			Name: fmt.Sprintf("read-%03d", n), Customer: []string{"delta", "cursada"}[n%2], Pool: "reading",
-			Adapter: name, Version: "v1", Urgency: 5, Repeat: true, Deadline: 20 * magno.Second, Stall: 0.5,
+			Adapter: name, Version: "v1", Urgency: 5, Idempotent: true, Deadline: 20 * magno.Second, Stall: 0.5,
 		})
 	}
 	cfg.Profiles = append(cfg.Profiles,
@@ -47,11 +47,11 @@
 
 func engineProfile(name, customer, adapter string, urgency int, repeat bool, stall float64) magno.Profile {
 	return magno.Profile{Name: name, Customer: customer, Pool: "reading", Adapter: adapter, Version: "v1",
-		Urgency: urgency, Repeat: repeat, Deadline: 20 * magno.Second, Stall: stall}
+		Urgency: urgency, Idempotent: repeat, Deadline: 20 * magno.Second, Stall: stall}
 }
 
 func plainProfile(name, customer string, urgency int, repeat bool) magno.Profile {
-	return magno.Profile{Name: name, Customer: customer, Pool: "status", Urgency: urgency, Repeat: repeat,
+	return magno.Profile{Name: name, Customer: customer, Pool: "status", Urgency: urgency, Idempotent: repeat,
 		Deadline: 5 * magno.Second}
 }
 
@@ -62,11 +62,11 @@
 // roster lists the agents, whose instances are the witnesses of idempotency keys.
 func (l *Layout) roster() magno.Roster {
 	var clock magno.Clock
-	r := magno.Roster{Since: 0, Until: clock.Now() + rosterValidity, Places: map[string]string{}}
+	r := magno.Roster{Since: 0, Until: clock.Now() + rosterValidity, DataCentres: map[string]string{}}
 	for _, in := range l.instances() {
 		if in.Role == magno.RoleAgent {
 			r.Members = append(r.Members, in.Name)
-			r.Places[in.Name] = in.DataCentre
+			r.DataCentres[in.Name] = in.DataCentre
 		}
 	}
 	return r
--- a/drive/live/call.go
+++ b/drive/live/call.go
@@ -68,7 +68,7 @@
 
 // send makes all calls of one request.
 func (l *LoadTest) send(ctx context.Context, r request) outcome {
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), r.timeout.Span()+answerGrace)
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), r.timeout.Duration()+answerGrace)
 	defer cancel()
 	second := make(chan result, 1)
 	if r.resendAfter >= 0 {
@@ -105,14 +105,14 @@
 	if err != nil {
 		return result{state: lost, reason: err.Error()}
 	}
-	sleep(ctx, l.ClientDelay.Span())
+	sleep(ctx, l.ClientDelay.Duration())
 	resp, err := l.client.Do(req)
 	if err != nil {
 		return result{state: lost, reason: err.Error()}
 	}
 	defer resp.Body.Close()
 	res := l.readAnswer(r, resp, begun)
-	sleep(ctx, l.ClientDelay.Span())
+	sleep(ctx, l.ClientDelay.Duration())
 	res.latency = time.Since(begun)
 	return res
 }
@@ -227,7 +227,7 @@
 		}
 		if len(c.Choices) == 1 && c.Choices[0].Text != "" {
 			if pieces == 0 {
-				res.firstToken = time.Since(begun) + l.ClientDelay.Span()
+				res.firstToken = time.Since(begun) + l.ClientDelay.Duration()
 			}
 			pieces++
 			text.WriteString(c.Choices[0].Text)
--- a/drive/live/judge.go
+++ b/drive/live/judge.go
@@ -84,7 +84,7 @@
 			r.Wrong++
 			r.addNote("wrong: " + why)
 		}
-		if hash := o.hash(); !o.request.Repeat && after.runs[hash] > 1 {
+		if hash := o.hash(); !o.request.Idempotent && after.runs[hash] > 1 {
 			r.DoubleRuns++
 			r.addNote(fmt.Sprintf("doubled: %s ran %d times", o.request.key, after.runs[hash]))
 		}
@@ -100,7 +100,7 @@
 	calls := append([]result{o.result}, o.duplicates...)
 	complete := false
 	for _, c := range calls {
-		if c.state == refused && c.run == magno.RunNo && ran > 0 && !o.request.Repeat {
+		if c.state == refused && c.run == magno.RunNo && ran > 0 && !o.request.Idempotent {
 			return fmt.Sprintf("%s was told not run (%s) and ran", o.request.key, c.kind)
 		}
 		complete = complete || c.state == served
--- a/drive/live/live_test.go
+++ b/drive/live/live_test.go
@@ -154,7 +154,7 @@
 		Config: magno.Config{
 			Pools: []magno.Pool{{Name: "e", Kind: magno.PoolEngine}, {Name: "p", Kind: magno.PoolPlain}},
 			Profiles: []magno.Profile{
-				{Name: "read", Customer: "x", Pool: "e", Adapter: "a", Version: "1", Repeat: true},
+				{Name: "read", Customer: "x", Pool: "e", Adapter: "a", Version: "1", Idempotent: true},
 				{Name: "once", Customer: "x", Pool: "e", Adapter: "a", Version: "1"},
 				{Name: "record", Customer: "y", Pool: "p"},
 				{Name: "old", Customer: "y", Pool: "p", Retired: true},
--- a/drive/live/report.go
+++ b/drive/live/report.go
@@ -120,7 +120,7 @@
 		return
 	}
 	r.served++
-	if o.latency > o.request.timeout.Span() {
+	if o.latency > o.request.timeout.Duration() {
 		r.late++
 	}
 	record(r.latency, o.latency)
@@ -130,7 +130,7 @@
 	}
 	if o.stall >= 0 && !o.request.plain {
 		r.stallKnown++
-		record(r.stall, o.stall.Span())
+		record(r.stall, o.stall.Duration())
 		if o.stall > 0 {
 			r.stalled++
 		}
--- a/drive/live/request.go
+++ b/drive/live/request.go
@@ -74,7 +74,7 @@
 	wantKey := !wantPlain && x < plainShare+(1-plainShare)*keyedShare
 	var candidates []target
 	for _, k := range l.targets {
-		if k.plain == wantPlain && (wantPlain || k.Repeat != wantKey) {
+		if k.plain == wantPlain && (wantPlain || k.Idempotent != wantKey) {
 			candidates = append(candidates, k)
 		}
 	}
@@ -115,7 +115,7 @@
 		r.payload = fmt.Sprintf(`{"run": %q, "number": %d}`, l.runID, n)
 	}
 	r.stream = !r.plain && l.rand.Float64() < streamShare
-	if !r.Repeat {
+	if !r.Idempotent {
 		r.key = uuid.Must(uuid.NewV7()).String()
 		if l.rand.Float64() < l.ResendShare {
 			r.resendAfter = time.Duration(l.rand.Float64() * float64(maxResendDelay))
--- a/drive/load/load.go
+++ b/drive/load/load.go
@@ -174,7 +174,7 @@
 	g.count++
 	j := magno.Job{
 		ID: fmt.Sprintf("r%07d", g.count), Customer: c.Customer, Caller: caller, Profile: c.Name,
-		Urgency: c.Urgency, Stall: c.StallWeight, Repeat: c.Idempotent, Print: g.rand.Uint64(),
+		Urgency: c.Urgency, Stall: c.StallWeight, Idempotent: c.Idempotent, Fingerprint: g.rand.Uint64(),
 		Prompt: g.tokens(c.Prompt, c.Spread), Output: int(outputLimitFactor * float64(c.Output)),
 		Arrived: now, Deadline: now + c.Deadline,
 	}
--- a/drive/proof/keyed_test.go
+++ b/drive/proof/keyed_test.go
@@ -15,10 +15,10 @@
 	f := newFleet(t, fastLayout(2))
 	owner := f.config.Profiles[0].Customer
 	for i := range f.config.Customers {
-		f.config.Customers[i].Keys = []magno.Digest{magno.Digested("key of " + f.config.Customers[i].Name)}
+		f.config.Customers[i].Keys = []magno.Digest{magno.DigestOf("key of " + f.config.Customers[i].Name)}
 	}
 	f.config.Customers = append(f.config.Customers, magno.Customer{
-		Name: "stranger", Weight: 1, Keys: []magno.Digest{magno.Digested("key of stranger")},
+		Name: "stranger", Weight: 1, Keys: []magno.Digest{magno.DigestOf("key of stranger")},
 	})
 	f.config.Version = 2
 	f.publish()
--- a/drive/scene/engine.go
+++ b/drive/scene/engine.go
@@ -113,17 +113,17 @@
 }
 
 func (e *engine) report(now magno.Millis) *magno.Report {
-	r := &magno.Report{Born: e.born, Orders: e.orders, Running: len(e.runs), Busy: e.readyAt > now, Held: map[string]map[string]int64{}}
+	r := &magno.Report{StartedAt: e.born, Orders: e.orders, Running: len(e.runs), Busy: e.readyAt > now, Loaded: map[string]map[string]int64{}}
 	if e.readyAt > 0 && now >= e.readyAt {
-		r.Held[model] = maps.Clone(e.held)
+		r.Loaded[model] = maps.Clone(e.held)
 	}
 	for id, run := range e.runs {
 		if now >= run.firstToken {
-			r.Runs = append(r.Runs, magno.Stream{ID: id, Events: 1 + int(float64(now-run.firstToken)/tokenTime/tokensPerEvent)})
+			r.Streams = append(r.Streams, magno.Stream{ID: id, Events: 1 + int(float64(now-run.firstToken)/tokenTime/tokensPerEvent)})
 		}
 	}
 	for name := range e.loading {
-		r.Coming = append(r.Coming, magno.Pin{Model: model, Adapter: name, Number: 1})
+		r.Loading = append(r.Loading, magno.Pin{Model: model, Adapter: name, Number: 1})
 	}
 	return r
 }
--- a/drive/scene/scene.go
+++ b/drive/scene/scene.go
@@ -314,7 +314,7 @@
 	}
 	e := s.engine(choice.Names[0])
 	request := s.gateRequest(p)
-	request.DeclineAbove = choice.Most
+	request.DeclineAbove = choice.MaxWait
 	if e.down || !e.gate.Declines(&request) {
 		return false
 	}
--- a/drive/sim/policy.go
+++ b/drive/sim/policy.go
@@ -60,7 +60,7 @@
 }
 
 func newRouter(name string, e env) (magno.Router, error) {
-	p, err := magno.Plugin(magno.SortRouter, name)
+	p, err := magno.NewPlugin(magno.PluginRouter, name)
 	if err != nil {
 		return nil, err
 	}
@@ -73,7 +73,7 @@
 }
 
 func newScheduler(name string, e env) (magno.Scheduler, error) {
-	p, err := magno.Plugin(magno.SortScheduler, name)
+	p, err := magno.NewPlugin(magno.PluginScheduler, name)
 	if err != nil {
 		return nil, err
 	}
--- a/drive/sim/request.go
+++ b/drive/sim/request.go
@@ -65,19 +65,19 @@
 	r.sentAt = r.sim.clock.Now()
 	r.router.Sent(r.up.name, r.work())
 	delay := r.sim.Workload.Deployment.HopDelay
-	if !r.job.Repeat {
+	if !r.job.Idempotent {
 		delay += grantHops * r.sim.Workload.Deployment.HopDelay
 	}
 	r.sim.after(delay, func() { r.up.offer(r) })
 }
 
-// homer returns the router as a magno.Homer, which knows the homes of the request's key;
+// homer returns the router as a magno.HomeRouter, which knows the homes of the request's key;
 // ok is false when any upstream may serve the request.
-func (r *request) homer() (homer magno.Homer, ok bool) {
-	if r.job.Repeat || r.sim.Policy.IgnoreHomes {
+func (r *request) homer() (homer magno.HomeRouter, ok bool) {
+	if r.job.Idempotent || r.sim.Policy.IgnoreHomes {
 		return nil, false
 	}
-	homer, ok = r.router.(magno.Homer)
+	homer, ok = r.router.(magno.HomeRouter)
 	return homer, ok
 }
 
@@ -112,14 +112,14 @@
 	}
 	switch refusal.Kind {
 	case magno.KindUnknown, magno.KindBusy, magno.KindLoading:
-		if !r.job.Repeat {
+		if !r.job.Idempotent {
 			return 0, false
 		}
 	default:
 		return 0, false
 	}
 	left := r.job.Deadline - r.sim.clock.Now()
-	wait, ok := r.budget.Allow(refusal, len(r.avoid)+1, left, 0, r.job.Repeat)
+	wait, ok := r.budget.Allow(refusal, len(r.avoid)+1, left, 0, r.job.Idempotent)
 	if ok {
 		r.firstToken, r.tokens = 0, 0
 	}
--- a/drive/sim/sim.go
+++ b/drive/sim/sim.go
@@ -148,7 +148,7 @@
 			}
 			up := &upstream{sim: s, name: name, dc: dc, pool: p.name, sched: sched,
 				engine: &fake.Engine{Limits: p.limits, PrefixCacheSize: d.PrefixCacheSize}, jobs: map[string]*request{}}
-			up.turnClient.turner, _ = sched.(magno.Turner)
+			up.turnClient.turner, _ = sched.(magno.TurnTaker)
 			s.upstreamsByName[name] = up
 			s.upstreams = append(s.upstreams, up)
 			targets = append(targets, magno.Target{Name: name, DataCentre: dc})
--- a/drive/sim/turns.go
+++ b/drive/sim/turns.go
@@ -24,7 +24,7 @@
 
 // turnClient is the turn state of one upstream.
 type turnClient struct {
-	turner magno.Turner
+	turner magno.TurnTaker
 	// requested is the adapter of the last turn request, sent at requestedAt.
 	requested   magno.Ref
 	requestedAt magno.Millis
--- a/drive/trial/bound_test.go
+++ b/drive/trial/bound_test.go
@@ -30,7 +30,7 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				got := tl.Lines(l.Duration.Span().Seconds())[0]
+				got := tl.Lines(l.Duration.Duration().Seconds())[0]
 				if got.BatchEfficiency > b.BatchEfficiency || got.Goodput > b.Goodput {
 					t.Errorf("seed %d %s %s: batch efficiency %.3f, bound %.3f; %.0f tokens/s, bound %.0f",
 						seed, scene, name, got.BatchEfficiency, b.BatchEfficiency, got.Goodput, b.Goodput)
--- a/entry/daemon/daemon.go
+++ b/entry/daemon/daemon.go
@@ -46,7 +46,7 @@
 		return start.ExitFailed
 	}
 	d := start.Daemon{
-		Duties: e.duties(), Log: log, Leave: e.leave,
+		Tasks: e.duties(), Log: log, Leave: e.leave,
 		Busy: e.front.Busy, Drain: magno.Millis(opts.Drain),
 	}
 	return d.Run()
@@ -83,8 +83,8 @@
 	return e, nil
 }
 
-func (e *entry) duties() []magno.Duty {
-	return append(e.Duties(), e.front, e.lease, &admin.Server{
+func (e *entry) duties() []magno.Task {
+	return append(e.Tasks(), e.front, e.lease, &admin.Server{
 		Listen: e.opts.Admin, Allow: e.opts.Allow, Events: e.Events, Status: e.status, Explain: e.explain,
 		Ready: e.front.Ready,
 		Bound: func(addr string) { e.Log.Info("listening", "admin", addr) },
--- a/entry/daemon/routers.go
+++ b/entry/daemon/routers.go
@@ -26,7 +26,7 @@
 
 // check creates a router once, so that an invalid setting ends the process at start.
 func (r *routers) check() error {
-	plugin, err := magno.Plugin(magno.SortRouter, r.plugin)
+	plugin, err := magno.NewPlugin(magno.PluginRouter, r.plugin)
 	if err != nil {
 		return err
 	}
@@ -43,7 +43,7 @@
 	if router := r.pools[name]; router != nil {
 		return router
 	}
-	plugin, _ := magno.Plugin(magno.SortRouter, r.plugin)
+	plugin, _ := magno.NewPlugin(magno.PluginRouter, r.plugin)
 	router, _ := plugin.(magno.Router) // checked at start
 	if r.pools == nil {
 		r.pools = map[string]magno.Router{}
--- a/entry/daemon/status.go
+++ b/entry/daemon/status.go
@@ -44,7 +44,7 @@
 func (e *entry) explain(name string) (any, error) {
 	p, ok := (&catalogue{store: e.Store}).Profile(name)
 	if !ok {
-		return nil, magno.Refuse(magno.KindNoProfile, "there is no profile %q", name).At("profile")
+		return nil, magno.Refuse(magno.KindNoProfile, "there is no profile %q", name).WithField("profile")
 	}
 	ref := magno.Ref{Adapter: p.Adapter, Version: p.Version}
 	out := Explanation{
--- a/entry/desk/desk.go
+++ b/entry/desk/desk.go
@@ -102,7 +102,7 @@
 	fails *metrics.Counter
 }
 
-// Name implements magno.Duty.
+// Name implements magno.Task.
 func (c *Client) Name() string { return "desk" }
 
 // Open registers the methods on the mesh. It must be called before either runs.
@@ -115,9 +115,9 @@
 func (c *Client) Run(ctx context.Context) error {
 	c.polls = metrics.GetOrCreateCounter("agent_polls_total")
 	c.fails = metrics.GetOrCreateCounter("agent_poll_failures_total")
-	ticks := time.NewTicker(pollInterval.Span())
+	ticks := time.NewTicker(pollInterval.Duration())
 	defer ticks.Stop()
-	forwardTimer := time.NewTimer(forwardDelay.Span())
+	forwardTimer := time.NewTimer(forwardDelay.Duration())
 	defer forwardTimer.Stop()
 	var wg sync.WaitGroup
 	defer wg.Wait()
@@ -135,7 +135,7 @@
 			c.pollDue(ctx, &wg)
 		case a := <-c.forwardQueue:
 			if len(batch) == 0 {
-				forwardTimer.Reset(forwardDelay.Span())
+				forwardTimer.Reset(forwardDelay.Duration())
 			}
 			batch = append(batch, a)
 		case <-forwardTimer.C:
@@ -252,7 +252,7 @@
 
 // poll polls one agent, and sends the spec if the agent doesn't have it.
 func (c *Client) poll(ctx context.Context, s *agentState) {
-	ctx, cancel := context.WithTimeout(ctx, callTimeout.Span())
+	ctx, cancel := context.WithTimeout(ctx, callTimeout.Duration())
 	defer cancel()
 	c.mu.Lock()
 	spec, revision, listsHash := s.spec, s.specRevision, s.status.ListsHash
--- a/entry/desk/desk_test.go
+++ b/entry/desk/desk_test.go
@@ -77,7 +77,7 @@
 
 func startClient(t *testing.T, a *fakeAgent) (*Client, context.CancelFunc) {
 	t.Helper()
-	clock := magno.NewSteady()
+	clock := magno.NewMonotonic()
 	served := &wire.Mesh{Listen: "127.0.0.1:0", Clock: clock}
 	a.open(served)
 	if err := served.Open(); err != nil {
--- a/entry/desk/permit.go
+++ b/entry/desk/permit.go
@@ -55,7 +55,7 @@
 // longer than callTimeout, to find out whether the agent is lost.
 func (c *Client) watchAgent(s *agentState, lostCh, stop chan struct{}, cancel context.CancelFunc) {
 	sentAt := c.Clock.Now()
-	timer := time.NewTimer(callTimeout.Span())
+	timer := time.NewTimer(callTimeout.Duration())
 	defer timer.Stop()
 	for {
 		select {
@@ -79,7 +79,7 @@
 	if s == nil {
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), releaseTimeout.Span())
+	ctx, cancel := context.WithTimeout(context.Background(), releaseTimeout.Duration())
 	defer cancel()
 	if err := c.Mesh.Notify(ctx, s.addr, gate.MethodEnd, call); err != nil {
 		c.Log.Debug("cannot release permit", "replica", key, "request", call.ID, "error", err)
--- a/entry/desk/seat.go
+++ b/entry/desk/seat.go
@@ -38,14 +38,14 @@
 // down reports whether the engine is known to be down, or to have restarted since the list
 // named this incarnation.
 func (s *agentState) down() bool {
-	return !s.lost && (s.status.Down || (s.status.EngineStart != 0 && s.status.EngineStart != s.replica.Born))
+	return !s.lost && (s.status.Down || (s.status.EngineStart != 0 && s.status.EngineStart != s.replica.StartedAt))
 }
 
 // isCalm reports whether two states of an agent are equivalent for routing: nothing waits at
 // the engine, and it holds the same models and adapters as before.
 func isCalm(before, after *gate.StatusReply) bool {
 	return before.Replica == after.Replica && before.ListsHash == after.ListsHash && before.Down == after.Down && before.Leaving == after.Leaving &&
-		after.Backlog.Wait <= maxCalmWait && after.Backlog.BaseWait == 0 && len(after.Backlog.Coming) == 0
+		after.Backlog.Wait <= maxCalmWait && after.Backlog.BaseWait == 0 && len(after.Backlog.Loading) == 0
 }
 
 // interval returns the time until the next poll. An agent that missed a poll is polled again
--- a/entry/front/answer.go
+++ b/entry/front/answer.go
@@ -50,7 +50,7 @@
 	}
 	switch refusal.Kind {
 	case magno.KindNoProfile, magno.KindRetired, magno.KindStarting, magno.KindPast:
-		refusal.Ran(magno.RunUnknown)
+		refusal.WithRun(magno.RunUnknown)
 	}
 	return f.refuse(c, refusal)
 }
@@ -94,8 +94,8 @@
 	f.Log.Info("request", "id", id(c), "kind", "ok", "profile", r.Work.Job.Profile, "took", int64(took),
 		"stall", int64(result.Stall), "tokens", result.Output, "replay", replay)
 	metrics.GetOrCreateCounter(`magno_requests_total{outcome="ok"}`).Inc()
-	metrics.GetOrCreateHistogram(fmt.Sprintf(`magno_request_seconds{customer=%q}`, r.Work.Job.Customer)).Update(took.Span().Seconds())
-	metrics.GetOrCreateHistogram(fmt.Sprintf(`magno_stall_seconds{customer=%q}`, r.Work.Job.Customer)).Update(result.Stall.Span().Seconds())
+	metrics.GetOrCreateHistogram(fmt.Sprintf(`magno_request_seconds{customer=%q}`, r.Work.Job.Customer)).Update(took.Duration().Seconds())
+	metrics.GetOrCreateHistogram(fmt.Sprintf(`magno_stall_seconds{customer=%q}`, r.Work.Job.Customer)).Update(result.Stall.Duration().Seconds())
 }
 
 // answerWhole answers without streaming.
@@ -112,7 +112,7 @@
 	h.Set(headerStall, strconv.FormatInt(int64(result.Stall), 10))
 	h.Set(headerQueue, strconv.FormatInt(int64(result.Queue), 10))
 	if r.Work.Path != "" {
-		return c.Blob(http.StatusOK, result.Type, []byte(result.Text))
+		return c.Blob(http.StatusOK, result.ContentType, []byte(result.Text))
 	}
 	return c.JSON(http.StatusOK, form.full(r, result))
 }
--- a/entry/front/front.go
+++ b/entry/front/front.go
@@ -56,7 +56,7 @@
 }
 
 // Front is the HTTP server for callers. Its fields are set before Run; it implements
-// magno.Duty.
+// magno.Task.
 type Front struct {
 	Listen    string
 	Clock     *magno.Clock
@@ -86,7 +86,7 @@
 	busy atomic.Int64
 }
 
-// Name implements magno.Duty.
+// Name implements magno.Task.
 func (f *Front) Name() string { return "front" }
 
 // Ready reports whether the entry accepts new requests.
--- a/entry/front/keyed.go
+++ b/entry/front/keyed.go
@@ -27,7 +27,7 @@
 }
 
 func noProfile(name string) *magno.Refusal {
-	return magno.Refuse(magno.KindNoProfile, "there is no profile %q", name).At("model")
+	return magno.Refuse(magno.KindNoProfile, "there is no profile %q", name).WithField("model")
 }
 
 // sendWithinQuota sends a request within its customer's limit. The cost of work that has not
@@ -40,7 +40,7 @@
 	cost := customer.Limit.Cost(tokenCost(&r.Work))
 	if refusal := f.Quotas.Take(ctx, &customer, cost); refusal != nil {
 		if r.Key != "" {
-			refusal.Ran(magno.RunUnknown) // an earlier copy may have run
+			refusal.WithRun(magno.RunUnknown) // an earlier copy may have run
 		}
 		return magno.Result{}, false, refusal
 	}
--- a/entry/front/parse.go
+++ b/entry/front/parse.go
@@ -58,7 +58,7 @@
 	}
 	var list []string
 	if err := json.Unmarshal(data, &list); err != nil || len(list) != 1 {
-		return magno.Refuse(magno.KindMalformed, "wants one string").At("prompt")
+		return magno.Refuse(magno.KindMalformed, "wants one string").WithField("prompt")
 	}
 	*p = prompt(list[0])
 	return nil
@@ -79,12 +79,12 @@
 		Text string `json:"text"`
 	}
 	if err := json.Unmarshal(data, &parts); err != nil {
-		return magno.Refuse(magno.KindMalformed, "content wants a string or a list of text parts").At("messages")
+		return magno.Refuse(magno.KindMalformed, "content wants a string or a list of text parts").WithField("messages")
 	}
 	var text strings.Builder
 	for _, part := range parts {
 		if part.Type != "text" {
-			return magno.Refuse(magno.KindMalformed, "a part of type %q is not served", part.Type).At("messages")
+			return magno.Refuse(magno.KindMalformed, "a part of type %q is not served", part.Type).WithField("messages")
 		}
 		text.WriteString(part.Text)
 	}
@@ -121,15 +121,15 @@
 		refusal = magno.Refuse(magno.KindMalformed, "the body is not the JSON that is expected: %v", err)
 		var wrong *json.UnmarshalTypeError
 		if errors.As(err, &wrong) {
-			refusal.At(wrong.Field)
+			refusal.WithField(wrong.Field)
 		}
 		return nil, refusal
 	}
 	if b.Model == "" {
-		return nil, magno.Refuse(magno.KindMalformed, "names no profile").At("model")
+		return nil, magno.Refuse(magno.KindMalformed, "names no profile").WithField("model")
 	}
 	if b.N != nil && *b.N != 1 {
-		return nil, magno.Refuse(magno.KindMalformed, "only one answer a request is served").At("n")
+		return nil, magno.Refuse(magno.KindMalformed, "only one answer a request is served").WithField("n")
 	}
 	return b, nil
 }
@@ -145,7 +145,7 @@
 		n, field = *b.MaxCompletionTokens, "max_completion_tokens"
 	}
 	if n < 1 || n > maxTokens {
-		return 0, magno.Refuse(magno.KindMalformed, "%d is out of range 1 to %d", n, maxTokens).At(field)
+		return 0, magno.Refuse(magno.KindMalformed, "%d is out of range 1 to %d", n, maxTokens).WithField(field)
 	}
 	return n, nil
 }
@@ -155,10 +155,10 @@
 	data, err := io.ReadAll(http.MaxBytesReader(c.Response(), c.Request().Body, f.MaxBody))
 	var large *http.MaxBytesError
 	if errors.As(err, &large) {
-		return nil, magno.Refuse(magno.KindTooLarge, "the body is over %d bytes", f.MaxBody).At("body")
+		return nil, magno.Refuse(magno.KindTooLarge, "the body is over %d bytes", f.MaxBody).WithField("body")
 	}
 	if err != nil {
-		return nil, magno.Refuse(magno.KindMalformed, "the body can't be read: %v", err).At("body")
+		return nil, magno.Refuse(magno.KindMalformed, "the body can't be read: %v", err).WithField("body")
 	}
 	return data, nil
 }
@@ -177,7 +177,7 @@
 	}
 	ref := magno.Ref{Adapter: p.Adapter, Version: p.Version}
 	if p.Retired || f.Catalogue.Retired(ref) {
-		return p, magno.Refuse(magno.KindRetired, "profile %q is retired", name).At("model")
+		return p, magno.Refuse(magno.KindRetired, "profile %q is retired", name).WithField("model")
 	}
 	return p, nil
 }
@@ -189,7 +189,7 @@
 	if refusal != nil {
 		return r, refusal
 	}
-	if !p.Repeat {
+	if !p.Idempotent {
 		if r.Key, refusal = key(c, p); refusal != nil {
 			return r, refusal
 		}
@@ -197,20 +197,20 @@
 	now := f.Clock.Now()
 	r.Deadline = now + left
 	r.Work.Job = magno.Job{
-		ID:       id(c),
-		Customer: p.Customer,
-		Caller:   caller(c, user),
-		Profile:  p.Name,
-		Ref:      magno.Ref{Adapter: p.Adapter, Version: p.Version},
-		Urgency:  p.Urgency,
-		Stall:    p.Stall,
-		Prompt:   len(w.Body)/bytesPerToken + 1,
-		Output:   max(w.Max, 1),
-		Prefix:   xxhash.Sum64String(w.Body[:min(len(w.Body), prefixBytes)]),
-		Print:    xxhash.Sum64String(p.Name + "\x00" + w.Path + "\x00" + w.Body),
-		Arrived:  now,
-		Deadline: r.Deadline,
-		Repeat:   p.Repeat,
+		ID:          id(c),
+		Customer:    p.Customer,
+		Caller:      caller(c, user),
+		Profile:     p.Name,
+		Ref:         magno.Ref{Adapter: p.Adapter, Version: p.Version},
+		Urgency:     p.Urgency,
+		Stall:       p.Stall,
+		Prompt:      len(w.Body)/bytesPerToken + 1,
+		Output:      max(w.MaxTokens, 1),
+		Prefix:      xxhash.Sum64String(w.Body[:min(len(w.Body), prefixBytes)]),
+		Fingerprint: xxhash.Sum64String(p.Name + "\x00" + w.Path + "\x00" + w.Body),
+		Arrived:     now,
+		Deadline:    r.Deadline,
+		Idempotent:  p.Idempotent,
 	}
 	return r, nil
 }
@@ -226,10 +226,10 @@
 	}
 	n, err := strconv.ParseInt(text, 10, 64)
 	if err != nil {
-		return 0, magno.Refuse(magno.KindMalformed, "%q is no number of milliseconds", text).At(headerDeadline)
+		return 0, magno.Refuse(magno.KindMalformed, "%q is no number of milliseconds", text).WithField(headerDeadline)
 	}
 	if n <= 0 {
-		return 0, magno.Refuse(magno.KindPast, "the deadline has passed").At(headerDeadline)
+		return 0, magno.Refuse(magno.KindPast, "the deadline has passed").WithField(headerDeadline)
 	}
 	return min(magno.Millis(n), maxDeadline), nil
 }
@@ -239,10 +239,10 @@
 func key(c echo.Context, p magno.Profile) (string, *magno.Refusal) {
 	k := c.Request().Header.Get(headerKey)
 	if k == "" {
-		return "", magno.Refuse(magno.KindNoKey, "profile %q may not be repeated and needs a key", p.Name).At(headerKey)
+		return "", magno.Refuse(magno.KindNoKey, "profile %q may not be repeated and needs a key", p.Name).WithField(headerKey)
 	}
 	if len(k) > maxKeyBytes {
-		return "", magno.Refuse(magno.KindMalformed, "the key is over %d bytes", maxKeyBytes).At(headerKey)
+		return "", magno.Refuse(magno.KindMalformed, "the key is over %d bytes", maxKeyBytes).WithField(headerKey)
 	}
 	return k, nil
 }
--- a/entry/front/parse_test.go
+++ b/entry/front/parse_test.go
@@ -60,7 +60,7 @@
 		if err != nil || w.Code != tt.status || got.Error.Kind != tt.kind || got.Error.Run != magno.RunNo {
 			t.Errorf("%s: %d %s", tt.path, w.Code, w.Body)
 		}
-		if again := w.Header().Get("Retry-After") != ""; again != tt.kind.Answer().Again {
+		if again := w.Header().Get("Retry-After") != ""; again != tt.kind.Answer().Retryable {
 			t.Errorf("%s: Retry-After %v", tt.path, again)
 		}
 	}
--- a/entry/front/route.go
+++ b/entry/front/route.go
@@ -13,7 +13,7 @@
 func (f *Front) completion(c echo.Context) error {
 	return f.generate(c, form{}, defaultCompletionTokens, func(b *body) (string, *magno.Refusal) {
 		if b.Prompt == nil {
-			return "", magno.Refuse(magno.KindMalformed, "is missing").At("prompt")
+			return "", magno.Refuse(magno.KindMalformed, "is missing").WithField("prompt")
 		}
 		return string(*b.Prompt), nil
 	})
@@ -23,7 +23,7 @@
 func (f *Front) chat(c echo.Context) error {
 	return f.generate(c, form{chat: true}, defaultChatTokens, func(b *body) (string, *magno.Refusal) {
 		if len(b.Messages) == 0 {
-			return "", magno.Refuse(magno.KindMalformed, "is empty").At("messages")
+			return "", magno.Refuse(magno.KindMalformed, "is empty").WithField("messages")
 		}
 		return join(b.Messages), nil
 	})
@@ -51,7 +51,7 @@
 	if refusal != nil {
 		return f.refuseUnsent(c, refusal)
 	}
-	r, refusal := f.request(c, p, b.User, magno.Work{Body: prompt, Max: limit})
+	r, refusal := f.request(c, p, b.User, magno.Work{Body: prompt, MaxTokens: limit})
 	if refusal != nil {
 		return f.refuseUnsent(c, refusal)
 	}
@@ -77,7 +77,7 @@
 	if name == "" {
 		name = p.Name
 	}
-	w := magno.Work{Path: name, Body: string(data), Type: c.Request().Header.Get(echo.HeaderContentType)}
+	w := magno.Work{Path: name, Body: string(data), ContentType: c.Request().Header.Get(echo.HeaderContentType)}
 	r, refusal := f.request(c, p, "", w)
 	if refusal != nil {
 		return f.refuseUnsent(c, refusal)
@@ -110,7 +110,7 @@
 	}
 	pool, ok := f.Catalogue.Pool(p.Pool)
 	if !ok || pool.Kind != kind {
-		return p, magno.Refuse(magno.KindMalformed, "profile %q is served by another route", name).At("model")
+		return p, magno.Refuse(magno.KindMalformed, "profile %q is served by another route", name).WithField("model")
 	}
 	return p, nil
 }
--- a/entry/lease/lease.go
+++ b/entry/lease/lease.go
@@ -110,13 +110,13 @@
 	m.Mesh.Handle(MethodLease, m.handleLease)
 }
 
-// Name implements magno.Duty.
+// Name implements magno.Task.
 func (m *Manager) Name() string { return "lease" }
 
 // Run returns unused tokens to their homes until ctx ends, then waits for calls in flight.
 func (m *Manager) Run(ctx context.Context) error {
 	defer m.close()
-	for magno.Pause(ctx, returnInterval) {
+	for magno.Sleep(ctx, returnInterval) {
 		m.mu.Lock()
 		for customer, limit := range m.quota.Surplus() {
 			m.enqueue(customer, limit, 0)
@@ -150,7 +150,7 @@
 		select {
 		case <-pending.done:
 		case <-ctx.Done():
-			return magno.Refuse(magno.KindQuota, "its time was over before the allowance was known").Later(waitRetryAfter)
+			return magno.Refuse(magno.KindQuota, "its time was over before the allowance was known").WithRetryAfter(waitRetryAfter)
 		}
 		m.mu.Lock()
 		if pending.failed {
@@ -167,7 +167,7 @@
 	case quota.Pending:
 		after = waitRetryAfter
 	}
-	return magno.Refuse(magno.KindQuota, "%s is over its limit", c.Name).Later(after)
+	return magno.Refuse(magno.KindQuota, "%s is over its limit", c.Name).WithRetryAfter(after)
 }
 
 // Give returns the cost of a request that was not executed.
@@ -244,7 +244,7 @@
 		}
 		m.calls.Inc()
 		var reply grant.Reply
-		ctx, cancel := context.WithTimeout(context.Background(), callTimeout.Span())
+		ctx, cancel := context.WithTimeout(context.Background(), callTimeout.Duration())
 		err := m.Mesh.Call(ctx, addr, MethodLease, req, &reply)
 		cancel()
 		if err == nil {
--- a/entry/peers/news.go
+++ b/entry/peers/news.go
@@ -35,7 +35,7 @@
 // fetch requests the changes after a revision from a peer.
 func (p *Peers) fetch(addr string, since int64) {
 	timeout := p.fetchTimeout()
-	ctx, cancel := context.WithTimeout(context.Background(), timeout.Span())
+	ctx, cancel := context.WithTimeout(context.Background(), timeout.Duration())
 	defer cancel()
 	var u Update
 	err := p.Mesh.Call(ctx, addr, MethodItems, Since{Revision: since, Stamp: p.stamp()}, &u)
@@ -90,7 +90,7 @@
 // sendToAll sends what was read to all peers, unless another process did meanwhile.
 func (p *Peers) sendToAll(ctx context.Context, u view.Update) {
 	if delay := p.broadcastDelay(); delay > 0 {
-		if !magno.Pause(ctx, delay) || p.received(u.Revision) {
+		if !magno.Sleep(ctx, delay) || p.received(u.Revision) {
 			return
 		}
 	}
--- a/entry/peers/peers.go
+++ b/entry/peers/peers.go
@@ -158,7 +158,7 @@
 	p.Mesh.Handle(MethodItems, p.onItems)
 }
 
-// Name implements magno.Duty.
+// Name implements magno.Task.
 func (p *Peers) Name() string { return "peers" }
 
 // Run sends hellos and updates until ctx ends.
@@ -175,7 +175,7 @@
 				p.sendHello(ctx, addr, k)
 			}()
 		}
-		timer.Reset(p.pollInterval().Span())
+		timer.Reset(p.pollInterval().Duration())
 		select {
 		case <-ctx.Done():
 			return nil
@@ -298,7 +298,7 @@
 }
 
 func (p *Peers) sendHello(ctx context.Context, addr string, k *peer) {
-	ctx, cancel := context.WithTimeout(ctx, helloTimeout.Span())
+	ctx, cancel := context.WithTimeout(ctx, helloTimeout.Duration())
 	defer cancel()
 	p.mu.Lock()
 	memberHash, knownCount, last := k.hello.MemberHash, k.hello.KnownCount, k.lastStamp
--- a/entry/peers/peers_test.go
+++ b/entry/peers/peers_test.go
@@ -33,7 +33,7 @@
 	if err := mesh.Open(); err != nil {
 		t.Fatal(err)
 	}
-	clock := magno.NewSteady()
+	clock := magno.NewMonotonic()
 	n := &node{done: make(chan error, 2), Peers: &Peers{
 		Self: name, Addr: mesh.Addr(), LinkMbps: link, Seeds: seeds, Mesh: mesh, Book: &view.Store{Clock: clock},
 		Suspects: &crash.Suspects{Clock: &magno.Clock{}}, Clock: clock, Log: slog.New(slog.DiscardHandler),
--- a/entry/reads/reads.go
+++ b/entry/reads/reads.go
@@ -69,7 +69,7 @@
 	failureCount       *metrics.Counter
 }
 
-// Name implements magno.Duty.
+// Name implements magno.Task.
 func (r *Reader) Name() string { return "reads" }
 
 // Run reads the list until ctx ends.
@@ -80,14 +80,14 @@
 	for ctx.Err() == nil {
 		r.Book.Tick()
 		if !r.readAll && !r.ShouldRead() {
-			magno.Pause(ctx, checkInterval)
+			magno.Sleep(ctx, checkInterval)
 			continue
 		}
 		if r.readAll && !r.ShouldRead() && r.Book.Current().Plan != nil {
 			r.readAll = false // received from a peer
 			continue
 		}
-		magno.Pause(ctx, r.poll(ctx))
+		magno.Sleep(ctx, r.poll(ctx))
 	}
 	return nil
 }
--- a/entry/reads/reads_test.go
+++ b/entry/reads/reads_test.go
@@ -38,7 +38,7 @@
 }
 
 func (l *fakeList) Wait(ctx context.Context, after int64, _ magno.Millis) ([]magno.Change, int64, error) {
-	magno.Pause(ctx, 2)
+	magno.Sleep(ctx, 2)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.waits++
@@ -78,7 +78,7 @@
 	t.Helper()
 	reachable := &flag{value: true}
 	r := &Reader{
-		List: l, Book: &view.Store{Clock: magno.NewSteady()}, ShouldRead: func() bool { return true },
+		List: l, Book: &view.Store{Clock: magno.NewMonotonic()}, ShouldRead: func() bool { return true },
 		Broadcast: func(view.Update) {}, ReportReachable: reachable.set, Log: slog.New(slog.DiscardHandler),
 	}
 	ctx, cancel := context.WithCancel(context.Background())
--- a/entry/relay/bench_test.go
+++ b/entry/relay/bench_test.go
@@ -20,7 +20,7 @@
 		fmt.Fprint(c, "0\r\n\r\n")
 		return true
 	})
-	s := newTestProxy(b, magno.KindStream, true, u)
+	s := newTestProxy(b, magno.RouteStream, true, u)
 	for i := 0; b.Loop(); i++ {
 		if _, _, err := s.get(b, http.MethodPost, fmt.Sprint(i)); err != nil {
 			b.Fatal(err)
--- a/entry/relay/decline_test.go
+++ b/entry/relay/decline_test.go
@@ -14,7 +14,7 @@
 func TestDeclinedRequestGoesToTheBetterEngine(t *testing.T) {
 	u := startUpstream(t, func(int, *http.Request, net.Conn) bool { return false })
 	v := startUpstream(t, streamOneEvent)
-	s := newTestProxy(t, magno.KindStream, false, u, v)
+	s := newTestProxy(t, magno.RouteStream, false, u, v)
 	first := s.pools.replicas[0]
 	s.pools.maxWait = 50
 	s.permits.declines = func(key string) bool {
@@ -38,7 +38,7 @@
 // wait at one of them in the end.
 func TestRequestThatAllDeclineIsTaken(t *testing.T) {
 	u := startUpstream(t, streamOneEvent)
-	s := newTestProxy(t, magno.KindStream, false, u)
+	s := newTestProxy(t, magno.RouteStream, false, u)
 	s.pools.maxWait = 50
 	asked := 0
 	s.permits.declines = func(string) bool { asked++; return true }
@@ -55,7 +55,7 @@
 // response.
 func TestDecliningEngineThatLeaves(t *testing.T) {
 	u := startUpstream(t, streamOneEvent)
-	s := newTestProxy(t, magno.KindStream, false, u)
+	s := newTestProxy(t, magno.RouteStream, false, u)
 	s.pools.maxWait = 50
 	s.permits.declines = func(string) bool {
 		leaving := *s.changes[1].Replica
--- a/entry/relay/help_test.go
+++ b/entry/relay/help_test.go
@@ -32,7 +32,7 @@
 	return magno.Call{ID: h.Get("Id"), Left: 2000, Model: "m", Adapter: "a", Prompt: 100, Output: 50, Key: h.Get("Authorization")}
 }
 
-func (testDialect) Write(h http.Header, o magno.Onward) {
+func (testDialect) Write(h http.Header, o magno.ForwardInfo) {
 	h.Set("Only", o.Replica)
 	if o.Keyed {
 		h.Del("Authorization")
@@ -48,7 +48,7 @@
 func (testDialect) Reply(status int, h http.Header) magno.Reply {
 	return magno.Reply{
 		ID: h.Get("Id"), NotRun: h.Get("Not-Run") != "", Signed: h.Get("Signed") != "",
-		Elsewhere: status == http.StatusMisdirectedRequest,
+		Misrouted: status == http.StatusMisdirectedRequest,
 	}
 }
 
@@ -99,7 +99,7 @@
 		}
 		return -1
 	})
-	return magno.Choice{Names: names, Most: p.maxWait}
+	return magno.Choice{Names: names, MaxWait: p.maxWait}
 }
 func (p *fakePools) Report(string, magno.Backlog) {}
 func (p *fakePools) Sent(name string, work int) {
@@ -138,7 +138,7 @@
 		p.onAcquire(key)
 	}
 	if p.full[key] {
-		return &gate.PermitReply{Refusal: magno.Refuse(magno.KindBusy, "full").Later(100)}, nil
+		return &gate.PermitReply{Refusal: magno.Refuse(magno.KindBusy, "full").WithRetryAfter(100)}, nil
 	}
 	return &gate.PermitReply{}, nil
 }
@@ -225,13 +225,13 @@
 
 func newTestProxy(t testing.TB, kind magno.RouteKind, resume bool, ups ...*fakeUpstream) *testProxy {
 	t.Helper()
-	clock := magno.NewSteady()
+	clock := magno.NewMonotonic()
 	s := &testProxy{pools: &fakePools{retries: 10}, permits: &fakePermits{}}
 	plan := &magno.Plan{Version: 1, Routes: []magno.Route{{
 		Name: "r", Host: "h.example", Prefix: "/p/", Kind: kind, Parts: []magno.Part{{Service: "s", Weight: 1}},
 		Attempts: 2, Timeout: 1500, Aim: 200, Gap: 100, Resume: resume,
 	}}, Services: []magno.Service{{Name: "s"}}}
-	if kind == magno.KindStream {
+	if kind == magno.RouteStream {
 		plan.Services[0].Engine = &magno.Engine{Batch: 4}
 	}
 	s.changes = []magno.Change{{Key: "plan", Revision: 1, Plan: plan}}
--- a/entry/relay/job.go
+++ b/entry/relay/job.go
@@ -105,14 +105,14 @@
 func (j *job) run() {
 	j.service = j.snap.Plan.Service(paths.PickService(j.route, j.id))
 	if j.service == nil {
-		j.refuse(magno.Refuse(magno.KindNoUpstream, "the route's service isn't configured").Later(noReplicaRetryAfter))
+		j.refuse(magno.Refuse(magno.KindNoUpstream, "the route's service isn't configured").WithRetryAfter(noReplicaRetryAfter))
 		return
 	}
 	if j.Suspects.MustRefuse(j.fingerprint) {
 		j.refuse(magno.Refuse(magno.KindSuspect, "requests like it crashed upstreams"))
 		return
 	}
-	ctx, cancel := context.WithTimeout(j.r.Context(), (j.deadline - j.Clock.Now()).Span())
+	ctx, cancel := context.WithTimeout(j.r.Context(), (j.deadline - j.Clock.Now()).Duration())
 	defer cancel()
 	if refusal := j.takeQuota(ctx); refusal != nil {
 		j.refusal = refusal
@@ -163,7 +163,7 @@
 	case j.refusal != nil && !j.mayHaveRun:
 		j.refuse(j.refusal)
 	case !j.mayHaveRun:
-		j.refuse(magno.Refuse(magno.KindBusy, "no upstream took it").Later(busyRetryAfter))
+		j.refuse(magno.Refuse(magno.KindBusy, "no upstream took it").WithRetryAfter(busyRetryAfter))
 	default:
 		j.refuse(magno.Refuse(magno.KindUnknown, "the upstream's answer was lost"))
 	}
@@ -174,14 +174,14 @@
 	if j.mayHaveRun {
 		return magno.Refuse(magno.KindDeadline, "its time is over")
 	}
-	return magno.Refuse(magno.KindBusy, "its time was over before it could begin").Later(busyRetryAfter)
+	return magno.Refuse(magno.KindBusy, "its time was over before it could begin").WithRetryAfter(busyRetryAfter)
 }
 
 // attempt chooses a replica, acquires a permit and sends the request once.
 func (j *job) attempt(ctx context.Context) result {
 	choice := j.choose()
 	if len(choice.replicas) == 0 {
-		j.refusal = magno.Refuse(magno.KindNoUpstream, "no upstream of %s is there", j.service.Name).Later(noReplicaRetryAfter)
+		j.refusal = magno.Refuse(magno.KindNoUpstream, "no upstream of %s is there", j.service.Name).WithRetryAfter(noReplicaRetryAfter)
 		return resultRefused
 	}
 	if j.service.Engine == nil {
--- a/entry/relay/keyed.go
+++ b/entry/relay/keyed.go
@@ -39,7 +39,7 @@
 	j.configAge = j.Book.Staleness()
 	if !j.keysFreshAt(j.configAge) {
 		return magno.Refuse(magno.KindOutdated, "keys can't be checked, the configuration was confirmed %d ms ago", j.configAge).
-			Later(outdatedRetryAfter)
+			WithRetryAfter(outdatedRetryAfter)
 	}
 	now := j.Book.Current()
 	j.customer = j.tablesFor(now.Plan).keys.Find(j.call.Key)
@@ -47,7 +47,7 @@
 		return nil
 	}
 	if age := j.Book.Age(); age > staleConfigAge {
-		return magno.Refuse(magno.KindOutdated, "the key is unknown, and the configuration is %d ms old", age).Later(outdatedRetryAfter)
+		return magno.Refuse(magno.KindOutdated, "the key is unknown, and the configuration is %d ms old", age).WithRetryAfter(outdatedRetryAfter)
 	}
 	return magno.Refuse(magno.KindCredential, "the key belongs to no customer")
 }
--- a/entry/relay/keyed_test.go
+++ b/entry/relay/keyed_test.go
@@ -29,7 +29,7 @@
 		writeResponse(c, r.Header.Get("Id"), 200, "hello")
 		return true
 	})
-	s := newTestProxy(t, magno.KindOnce, false, u)
+	s := newTestProxy(t, magno.RouteOnce, false, u)
 	clock := magno.NewClock(magno.Hour)
 	plan := *s.changes[0].Plan
 	public := plan.Routes[0]
@@ -37,7 +37,7 @@
 	plan.Routes = append(plan.Routes, public)
 	rank := 3
 	plan.Customers = []magno.Customer{{
-		Name: "alpha", Rank: &rank, Keys: []magno.Digest{magno.Digested(strings.TrimPrefix(validKey, "Bearer "))},
+		Name: "alpha", Rank: &rank, Keys: []magno.Digest{magno.DigestOf(strings.TrimPrefix(validKey, "Bearer "))},
 		Limit: &magno.Limit{Rate: 100, Burst: 100, Tokens: true},
 	}}
 	s.changes[0].Plan = &plan
@@ -174,7 +174,7 @@
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if q.exhausted {
-		return magno.Refuse(magno.KindQuota, "over its limit").Later(700)
+		return magno.Refuse(magno.KindQuota, "over its limit").WithRetryAfter(700)
 	}
 	q.taken += cost
 	return nil
--- a/entry/relay/machine_test.go
+++ b/entry/relay/machine_test.go
@@ -102,7 +102,7 @@
 		resume := rapid.Bool().Draw(rt, "resume")
 		plan := drawScript(rt)
 		now.Store(plan)
-		s := newTestProxy(t, magno.KindStream, resume, u, v)
+		s := newTestProxy(t, magno.RouteStream, resume, u, v)
 		defer s.server.Close()
 		res, body, err := s.get(t, http.MethodPost, "1")
 		if err == nil && res.StatusCode != 200 {
@@ -139,7 +139,7 @@
 		list = append(list, startUpstream(t, streamOneEvent))
 	}
 	rapid.Check(t, func(rt *rapid.T) {
-		s := newTestProxy(t, magno.KindStream, true, list...)
+		s := newTestProxy(t, magno.RouteStream, true, list...)
 		defer s.server.Close()
 		left, revision := map[int]int{}, int64(1)
 		leave := func(i int) {
--- a/entry/relay/memory_test.go
+++ b/entry/relay/memory_test.go
@@ -28,7 +28,7 @@
 			}
 		}
 	})
-	s := newTestProxy(t, magno.KindStream, false, u)
+	s := newTestProxy(t, magno.RouteStream, false, u)
 	server := httptest.NewServer(listen.Timed(s.Handler, 100))
 	defer server.Close()
 	c, err := net.Dial("tcp", strings.TrimPrefix(server.URL, "http://"))
@@ -54,7 +54,7 @@
 		writeResponse(c, r.Header.Get("Id"), http.StatusOK, "yes")
 		return true
 	})
-	s := newTestProxy(t, magno.KindRepeat, false, u)
+	s := newTestProxy(t, magno.RouteIdempotent, false, u)
 	s.Book.Current().Plan.Routes[0].Aim = 10_000
 	s.BodyMemory = semaphore.NewWeighted(6) // one body of four bytes, not two
 	slow := make(chan int, 1)
--- a/entry/relay/permit.go
+++ b/entry/relay/permit.go
@@ -19,7 +19,7 @@
 // choose asks the router for replicas.
 func (j *job) choose() choice {
 	c := j.Pools.Router(j.service.Name).Choose(j.query())
-	return choice{replicas: j.findReplicas(c.Names), maxWait: c.Most}
+	return choice{replicas: j.findReplicas(c.Names), maxWait: c.MaxWait}
 }
 
 // sendToBest requests a permit for the best replica. Its agent may decline because another one
@@ -105,7 +105,7 @@
 		return "", resultDeclined
 	case reply.Refusal != nil:
 		if j.refusal == nil || reply.Refusal.After < j.refusal.After {
-			j.refusal = magno.Refuse(reply.Refusal.Kind, "%s", reply.Refusal.Detail).Later(max(reply.Refusal.After, busyRetryAfter))
+			j.refusal = magno.Refuse(reply.Refusal.Kind, "%s", reply.Refusal.Detail).WithRetryAfter(max(reply.Refusal.After, busyRetryAfter))
 		}
 		return "", resultRefused
 	}
@@ -122,7 +122,7 @@
 	left := j.deadline - now
 	due, until := j.eventDeadlines()
 	patience := left - minRunTime
-	if j.route.Kind == magno.KindStream {
+	if j.route.Kind == magno.RouteStream {
 		patience = min(patience, until-callerMargin-now)
 	}
 	return gate.Request{
--- a/entry/relay/relay.go
+++ b/entry/relay/relay.go
@@ -148,7 +148,7 @@
 // drained reports whether requests of a kind are no longer accepted.
 func (h *Handler) drained(kind magno.RouteKind) bool {
 	until := h.plainUntil.Load()
-	if kind == magno.KindStream {
+	if kind == magno.RouteStream {
 		until = h.streamsUntil.Load()
 	}
 	return until != 0 && int64(h.Clock.Now()) > until
@@ -189,12 +189,12 @@
 // prepare finds the route, reads the body and authorizes the caller.
 func (j *job) prepare() *magno.Refusal {
 	if j.snap.Plan == nil {
-		return magno.Refuse(magno.KindStarting, "no configuration yet").Later(j.startRetryAfter())
+		return magno.Refuse(magno.KindStarting, "no configuration yet").WithRetryAfter(j.startRetryAfter())
 	}
 	j.route = j.tablesFor(j.snap.Plan).paths.Find(j.r.Host, j.r.URL.Path)
 	if j.route == nil {
 		if age := j.Book.Age(); age > staleConfigAge {
-			return magno.Refuse(magno.KindStarting, "no route, and the configuration is %d ms old", age).Later(minStartRetry)
+			return magno.Refuse(magno.KindStarting, "no route, and the configuration is %d ms old", age).WithRetryAfter(minStartRetry)
 		}
 		return magno.Refuse(magno.KindNoProfile, "no route for %s%s", j.r.Host, j.r.URL.Path)
 	}
@@ -203,10 +203,10 @@
 	}
 	j.setDeadline()
 	if j.LoadLevel() == strain.Overloaded {
-		return magno.Refuse(magno.KindBusy, "this instance is far behind").Later(busyRetryAfter)
+		return magno.Refuse(magno.KindBusy, "this instance is far behind").WithRetryAfter(busyRetryAfter)
 	}
 	if j.drained(j.route.Kind) {
-		return magno.Refuse(magno.KindLeaving, "this instance stops").Later(0)
+		return magno.Refuse(magno.KindLeaving, "this instance stops").WithRetryAfter(0)
 	}
 	if refusal := j.readBody(); refusal != nil {
 		return refusal
@@ -245,7 +245,7 @@
 	}
 	body, err := j.bodyMem.readAll(j.r.Body, limit)
 	if errors.Is(err, errNoMemory) {
-		return magno.Refuse(magno.KindBusy, "this instance holds as many bodies as it can").Later(busyRetryAfter)
+		return magno.Refuse(magno.KindBusy, "this instance holds as many bodies as it can").WithRetryAfter(busyRetryAfter)
 	}
 	if err != nil {
 		return magno.Refuse(magno.KindMalformed, "the body ended early: %v", err)
@@ -274,7 +274,7 @@
 		status = statusMayHaveRun
 	}
 	h := j.w.Header()
-	if again := refusal.Kind.Answer().Again; again && !j.mayHaveRun {
+	if again := refusal.Kind.Answer().Retryable; again && !j.mayHaveRun {
 		h.Set("Retry-After", strconv.FormatFloat(float64(refusal.After)/1000, 'f', 3, 64))
 	}
 	j.setConnectionClose(h)
--- a/entry/relay/relay_test.go
+++ b/entry/relay/relay_test.go
@@ -21,7 +21,7 @@
 		writeResponse(c, r.Header.Get("Id"), 201, "hello")
 		return true
 	})
-	s := newTestProxy(t, magno.KindOnce, false, u)
+	s := newTestProxy(t, magno.RouteOnce, false, u)
 	res, body, err := s.get(t, http.MethodPost, "1")
 	if err != nil || res.StatusCode != 201 || body != "hello" || res.Header.Get("Signed") == "" {
 		t.Fatalf("got %v %q %v", res, body, err)
@@ -39,7 +39,7 @@
 		writeResponse(c, r.Header.Get("Id"), 200, "again")
 		return true
 	})
-	s := newTestProxy(t, magno.KindOnce, false, u, v)
+	s := newTestProxy(t, magno.RouteOnce, false, u, v)
 	res, _, err := s.get(t, http.MethodPost, "1")
 	if err != nil || res.StatusCode != http.StatusBadGateway {
 		t.Fatalf("got %v %v, want 502", res, err)
@@ -59,7 +59,7 @@
 		}
 		return false
 	})
-	s := newTestProxy(t, magno.KindOnce, false, u)
+	s := newTestProxy(t, magno.RouteOnce, false, u)
 	if _, _, err := s.get(t, http.MethodPost, "1"); err != nil {
 		t.Fatal(err)
 	}
@@ -79,7 +79,7 @@
 		writeResponse(c, r.Header.Get("Id"), 200, "again")
 		return true
 	})
-	s := newTestProxy(t, magno.KindRepeat, false, u, v)
+	s := newTestProxy(t, magno.RouteIdempotent, false, u, v)
 	res, body, err := s.get(t, http.MethodGet, "1")
 	if err != nil || res.StatusCode != 200 || body != "again" {
 		t.Fatalf("got %v %q %v", res, body, err)
@@ -94,7 +94,7 @@
 		return true
 	}
 	u, v := startUpstream(t, fail), startUpstream(t, fail)
-	s := newTestProxy(t, magno.KindRepeat, false, u, v)
+	s := newTestProxy(t, magno.RouteIdempotent, false, u, v)
 	s.pools.retries = 0
 	res, body, err := s.get(t, http.MethodGet, "1")
 	if err != nil || res.StatusCode != 500 || body != "no" || u.requestCount()+v.requestCount() != 1 {
@@ -112,7 +112,7 @@
 		writeResponse(c, id, 200, "answer "+id)
 		return true
 	})
-	s := newTestProxy(t, magno.KindOnce, false, u)
+	s := newTestProxy(t, magno.RouteOnce, false, u)
 	for i := range 20 {
 		id := fmt.Sprint(i)
 		res, body, err := s.get(t, http.MethodPost, id)
@@ -132,7 +132,7 @@
 		writeResponse(c, r.Header.Get("Id"), 200, "answer "+r.Header.Get("Id"))
 		return true
 	})
-	s := newTestProxy(t, magno.KindOnce, false, u)
+	s := newTestProxy(t, magno.RouteOnce, false, u)
 	for _, id := range []string{"1", "2"} {
 		res, body, err := s.get(t, http.MethodPost, id)
 		if err != nil || res.StatusCode != 200 || body != "answer "+id {
@@ -148,7 +148,7 @@
 		writeResponse(c, r.Header.Get("Id"), 503, "")
 		return true
 	})
-	s := newTestProxy(t, magno.KindOnce, false, u)
+	s := newTestProxy(t, magno.RouteOnce, false, u)
 	res, _, err := s.get(t, http.MethodPost, "1")
 	if err != nil || res.StatusCode != http.StatusBadGateway || res.Header.Get("Signed") != "" {
 		t.Fatalf("got %v %v, want a 502 of our own", res, err)
@@ -163,7 +163,7 @@
 		return true
 	}
 	u, v := startUpstream(t, full), startUpstream(t, full)
-	s := newTestProxy(t, magno.KindOnce, false, u, v)
+	s := newTestProxy(t, magno.RouteOnce, false, u, v)
 	res, _, err := s.get(t, http.MethodPost, "1")
 	if err != nil || !promisesNotRun(res.StatusCode) || res.Header.Get("Retry-After") == "" {
 		t.Fatalf("got %v %v, want a refusal with Retry-After", res, err)
@@ -177,7 +177,7 @@
 // must go elsewhere, or it would be cut off.
 func TestUpstreamThatBeganToLeaveGetsNothing(t *testing.T) {
 	u, v := startUpstream(t, streamOneEvent), startUpstream(t, streamOneEvent)
-	s := newTestProxy(t, magno.KindStream, false, u, v)
+	s := newTestProxy(t, magno.RouteStream, false, u, v)
 	s.permits.onAcquire = func(string) {
 		left := *s.changes[1].Replica
 		left.Leaving = true
@@ -199,7 +199,7 @@
 func TestWaitingForAPermitCountsAsWork(t *testing.T) {
 	u := startUpstream(t, streamOneEvent)
 	v := startUpstream(t, func(int, *http.Request, net.Conn) bool { return false })
-	s := newTestProxy(t, magno.KindStream, false, v, u)
+	s := newTestProxy(t, magno.RouteStream, false, v, u)
 	full := s.pools.replicas[0]
 	s.permits.full = map[string]bool{full: true}
 	s.permits.onAcquire = func(key string) {
@@ -219,7 +219,7 @@
 // permit.
 func TestSilentAgentsDoNotStopRequests(t *testing.T) {
 	u := startUpstream(t, streamOneEvent)
-	s := newTestProxy(t, magno.KindStream, false, u)
+	s := newTestProxy(t, magno.RouteStream, false, u)
 	s.permits.agentLost = true
 	if res, _, err := s.get(t, http.MethodPost, "1"); err != nil || res.StatusCode != 200 {
 		t.Fatalf("got %v %v", res, err)
@@ -237,7 +237,7 @@
 		close(closed)
 		return false
 	})
-	s := newTestProxy(t, magno.KindStream, false, u)
+	s := newTestProxy(t, magno.RouteStream, false, u)
 	ctx, cancel := context.WithCancel(context.Background())
 	req, _ := http.NewRequestWithContext(ctx, http.MethodPost, s.server.URL+"/p/1", strings.NewReader("b"))
 	req.Host = "h.example"
@@ -258,7 +258,7 @@
 // A process without a configuration can't know that a path has no route. It must refuse with a
 // status which guarantees that the request has not run.
 func TestMissingConfigurationIsNotAMissingRoute(t *testing.T) {
-	s := newTestProxy(t, magno.KindOnce, false)
+	s := newTestProxy(t, magno.RouteOnce, false)
 	s.Book = &view.Store{Clock: s.Clock}
 	res, _, err := s.get(t, http.MethodPost, "1")
 	if err != nil || res.StatusCode != http.StatusServiceUnavailable || res.Header.Get("Retry-After") == "" {
@@ -290,7 +290,7 @@
 		writeResponse(c, r.Header.Get("Id"), 200, "x")
 		return true
 	})
-	plain, stream := newTestProxy(t, magno.KindOnce, false, u), newTestProxy(t, magno.KindStream, false, u)
+	plain, stream := newTestProxy(t, magno.RouteOnce, false, u), newTestProxy(t, magno.RouteStream, false, u)
 	for _, s := range []*testProxy{plain, stream} {
 		s.Drain(-1, magno.Minute)
 	}
@@ -311,7 +311,7 @@
 		writeResponse(c, r.Header.Get("Id"), 200, "x")
 		return true
 	})
-	s := newTestProxy(t, magno.KindOnce, false, u)
+	s := newTestProxy(t, magno.RouteOnce, false, u)
 	s.SetLoadLevel(strain.Overloaded)
 	res, _, err := s.get(t, http.MethodPost, "1")
 	if err != nil || !promisesNotRun(res.StatusCode) || res.Header.Get("Retry-After") == "" || !res.Close || u.requestCount() != 0 {
@@ -353,7 +353,7 @@
 			fmt.Fprintf(c, "HTTP/1.1 %d x\r\nSigned: 1\r\nContent-Length: 5\r\n\r\nother", status)
 			return true
 		})
-		s := newTestProxy(t, magno.KindOnce, false, u)
+		s := newTestProxy(t, magno.RouteOnce, false, u)
 		res, body, err := s.get(t, http.MethodPost, "1")
 		if err != nil || res.StatusCode != http.StatusBadGateway || body != "" || res.Header.Get("Signed") != "" {
 			t.Errorf("status %d without an id was forwarded as %v %q %v", status, res, body, err)
@@ -364,11 +364,11 @@
 // If a request may have run, the status of no refusal may guarantee that it has not. The caller
 // would send it again and run it twice.
 func TestNoRefusalPromisesWhatMayHaveRun(t *testing.T) {
-	s := newTestProxy(t, magno.KindOnce, false)
+	s := newTestProxy(t, magno.RouteOnce, false)
 	for _, kind := range magno.Kinds() {
 		w := httptest.NewRecorder()
 		j := &job{Handler: s.Handler, w: w, r: httptest.NewRequest(http.MethodPost, "/", nil), snap: s.Book.Current(), mayHaveRun: true}
-		j.refuse(magno.Refuse(kind, "for a test").Later(1))
+		j.refuse(magno.Refuse(kind, "for a test").WithRetryAfter(1))
 		if promisesNotRun(w.Code) || w.Header().Get("Retry-After") != "" {
 			t.Errorf("kind %s: status %d, Retry-After %q", kind, w.Code, w.Header().Get("Retry-After"))
 		}
--- a/entry/relay/send.go
+++ b/entry/relay/send.go
@@ -106,7 +106,7 @@
 func (j *job) upstreamRequest(r *magno.Replica, urgency int) *hop.Request {
 	h := make(http.Header, len(j.r.Header)+4)
 	copyHeader(h, j.r.Header)
-	j.Dialect.Write(h, magno.Onward{
+	j.Dialect.Write(h, magno.ForwardInfo{
 		Replica: r.ID, Left: j.deadline - j.Clock.Now(), Urgency: min(max(urgency, 0), 9), From: j.lastEvent,
 		Customer: j.customerName(), Keyed: len(j.snap.Plan.Customers) > 0,
 	})
@@ -118,7 +118,7 @@
 func (j *job) receiveHead(conn *hop.Conn) (*http.Response, error) {
 	if j.canRetryElsewhere() {
 		limit := max(headTimeoutAims*j.route.Aim, minHeadTimeout)
-		_ = conn.SetReadDeadline(time.Now().Add(min(limit, j.deadline-j.Clock.Now()).Span()))
+		_ = conn.SetReadDeadline(time.Now().Add(min(limit, j.deadline-j.Clock.Now()).Duration()))
 	}
 	res, err := conn.Receive(j.r.Method, func(res *http.Response) bool {
 		id := j.Dialect.Reply(res.StatusCode, res.Header).ID
@@ -138,7 +138,7 @@
 // handleResponse handles a response whose header was read.
 func (j *job) handleResponse(ctx context.Context, r *magno.Replica, conn *hop.Conn, res *http.Response) result {
 	reply := j.Dialect.Reply(res.StatusCode, res.Header)
-	if j.route.Kind == magno.KindStream && res.StatusCode == http.StatusOK && j.authentic(res, &reply) {
+	if j.route.Kind == magno.RouteStream && res.StatusCode == http.StatusOK && j.authentic(res, &reply) {
 		return j.forwardStream(ctx, r, conn, res)
 	}
 	body, err := j.readResponse(ctx, res)
--- a/entry/relay/stream.go
+++ b/entry/relay/stream.go
@@ -103,7 +103,7 @@
 	if j.events == 0 {
 		limit = max(firstEventTimeoutAims*j.route.Aim, minStallTimeout)
 	}
-	_ = conn.SetReadDeadline(time.Now().Add(limit.Span()))
+	_ = conn.SetReadDeadline(time.Now().Add(limit.Duration()))
 }
 
 // isNewEvent records an event's id. It returns false if the caller already has the event, for
--- a/entry/relay/stream_test.go
+++ b/entry/relay/stream_test.go
@@ -30,7 +30,7 @@
 		fmt.Fprint(c, "0\r\n\r\n")
 		return true
 	})
-	s := newTestProxy(t, magno.KindStream, true, u, v)
+	s := newTestProxy(t, magno.RouteStream, true, u, v)
 	res, body, err := s.get(t, http.MethodPost, "1")
 	if err != nil || res.StatusCode != 200 || body != eventText(1)+eventText(2)+eventText(3)+eventText(4) {
 		t.Fatalf("got %v %q %v", res, body, err)
@@ -45,7 +45,7 @@
 		writeChunk(c, eventText(1))
 		return false
 	})
-	s := newTestProxy(t, magno.KindStream, false, u)
+	s := newTestProxy(t, magno.RouteStream, false, u)
 	_, body, err := s.get(t, http.MethodPost, "1")
 	if err == nil {
 		t.Errorf("the truncated response %q looks complete", body)
@@ -67,7 +67,7 @@
 		fmt.Fprint(c, "0\r\n\r\n")
 		return true
 	})
-	s := newTestProxy(t, magno.KindStream, true, u, v)
+	s := newTestProxy(t, magno.RouteStream, true, u, v)
 	_, body, err := s.get(t, http.MethodPost, "1")
 	if err != nil || body != eventText(1)+eventText(2) {
 		t.Fatalf("got %q %v", body, err)
@@ -88,7 +88,7 @@
 		fmt.Fprint(c, "0\r\n\r\n")
 		return true
 	})
-	s := newTestProxy(t, magno.KindStream, true, u, v)
+	s := newTestProxy(t, magno.RouteStream, true, u, v)
 	if _, body, err := s.get(t, http.MethodPost, "1"); err != nil || body != eventText(1)+eventText(2)+eventText(3) {
 		t.Errorf("got %q %v", body, err)
 	}
@@ -99,7 +99,7 @@
 // one.
 func TestBrokenCallerIsNoFailureOfTheUpstream(t *testing.T) {
 	u, v := startUpstream(t, streamOneEvent), startUpstream(t, streamOneEvent)
-	s := newTestProxy(t, magno.KindStream, true, u, v)
+	s := newTestProxy(t, magno.RouteStream, true, u, v)
 	req := httptest.NewRequest(http.MethodPost, "http://h.example/p/1", strings.NewReader("b"))
 	req.Header.Set("Id", "1")
 	func() {
@@ -131,7 +131,7 @@
 		{"no event for a while", 40, now - 1500, -1250, 1200},
 	} {
 		j := &job{
-			Handler: &Handler{}, route: &magno.Route{Kind: magno.KindStream, Aim: 800, Gap: 250},
+			Handler: &Handler{}, route: &magno.Route{Kind: magno.RouteStream, Aim: 800, Gap: 250},
 			received: now - 5000, deadline: now + 7000, events: c.events, lastEventAt: c.passed,
 		}
 		if a := j.permitRequest(now); a.StartTarget != c.wantAim || a.MaxWait != c.wantPatience {
--- a/entry/relay/suspect.go
+++ b/entry/relay/suspect.go
@@ -17,7 +17,7 @@
 		return
 	}
 	fingerprint, h, id := j.fingerprint, j.Handler, j.id
-	time.AfterFunc(crashCheckDelay.Span(), func() {
+	time.AfterFunc(crashCheckDelay.Duration(), func() {
 		if !h.Permits.Down(key) {
 			return
 		}
--- a/entry/send/join.go
+++ b/entry/send/join.go
@@ -71,10 +71,10 @@
 func (j *joiner) verify(reply magno.RunReply, call magno.RunCall) *magno.Refusal {
 	text := reply.Result.Text
 	if reply.Result.Ref != call.Work.Job.Ref {
-		return magno.Refuse(magno.KindInternal, "%s ran instead of %s", reply.Result.Ref, call.Work.Job.Ref).Ran(magno.RunYes)
+		return magno.Refuse(magno.KindInternal, "%s ran instead of %s", reply.Result.Ref, call.Work.Job.Ref).WithRun(magno.RunYes)
 	}
 	if reply.Sum != xxhash.Sum64String(text) {
-		return magno.Refuse(magno.KindInterrupted, "the answer's sum does not match").Ran(magno.RunYes)
+		return magno.Refuse(magno.KindInterrupted, "the answer's sum does not match").WithRun(magno.RunYes)
 	}
 	if !call.Stream {
 		return nil
@@ -82,7 +82,7 @@
 	delivered := j.delivered.String()
 	if j.diverged || !strings.HasPrefix(text, delivered) {
 		j.diverged = true
-		return magno.Refuse(magno.KindInterrupted, "a second attempt answered otherwise").Ran(magno.RunYes)
+		return magno.Refuse(magno.KindInterrupted, "a second attempt answered otherwise").WithRun(magno.RunYes)
 	}
 	if rest := text[len(delivered):]; rest != "" {
 		j.delivered.WriteString(rest)
--- a/entry/send/send.go
+++ b/entry/send/send.go
@@ -79,7 +79,7 @@
 // Do returns the complete answer and whether it is a replay, or a refusal. It calls emit for
 // each piece of a streamed request, once and in order.
 func (s *Sender) Do(ctx context.Context, r Request, emit func(magno.Piece)) (magno.Result, bool, *magno.Refusal) {
-	ctx, cancel := context.WithTimeout(ctx, (r.Deadline - s.Clock.Now() + answerSlack).Span())
+	ctx, cancel := context.WithTimeout(ctx, (r.Deadline - s.Clock.Now() + answerSlack).Duration())
 	defer cancel()
 	j := &joiner{emit: emit}
 	if r.Key != "" {
@@ -103,11 +103,11 @@
 		run = combineRuns(run, out.refusal.Run)
 		left := r.Deadline - s.Clock.Now()
 		if n == s.Attempts || name == "" || j.diverged || ctx.Err() != nil || !isRetryable(out.refusal) {
-			return magno.Result{}, false, out.refusal.Ran(run)
+			return magno.Result{}, false, out.refusal.WithRun(run)
 		}
 		wait, ok := budget.Allow(out.refusal, n, left, 0, true)
-		if !ok || !magno.Pause(ctx, wait) {
-			return magno.Result{}, false, out.refusal.Ran(run)
+		if !ok || !magno.Sleep(ctx, wait) {
+			return magno.Result{}, false, out.refusal.WithRun(run)
 		}
 	}
 }
@@ -116,7 +116,7 @@
 // there is no agent left to try.
 func (s *Sender) attemptRouted(ctx context.Context, r Request, n int, tried []string, j *joiner) (string, outcome) {
 	job := r.Work.Job
-	if s.Suspects.MustRefuse(job.Print) {
+	if s.Suspects.MustRefuse(job.Fingerprint) {
 		return "", outcome{refusal: magno.Refuse(magno.KindSuspect, "requests like it crashed upstreams")}
 	}
 	router := s.Router(r.Pool)
@@ -176,7 +176,7 @@
 // reported if a ledger said so: that this process sent nothing doesn't rule out an earlier
 // copy of the request.
 func (s *Sender) doKeyed(ctx context.Context, r Request, j *joiner) (magno.Result, bool, *magno.Refusal) {
-	last := magno.Refuse(magno.KindNoUpstream, "no upstream of pool %s is known", r.Pool).Ran(magno.RunUnknown)
+	last := magno.Refuse(magno.KindNoUpstream, "no upstream of pool %s is known", r.Pool).WithRun(magno.RunUnknown)
 	queue := s.homes(r)
 	for n := 0; n < maxHomes && len(queue) > 0 && ctx.Err() == nil && !j.diverged; n++ {
 		name := queue[0]
@@ -207,7 +207,7 @@
 	if agent, ok := ticketAgent(r.Key); ok {
 		return []string{agent}
 	}
-	homer, ok := s.Router(r.Pool).(magno.Homer)
+	homer, ok := s.Router(r.Pool).(magno.HomeRouter)
 	if !ok {
 		return nil
 	}
@@ -234,7 +234,7 @@
 // "not run" would make the caller send the work again under a new key.
 func withUnknownRun(key string, refusal *magno.Refusal) *magno.Refusal {
 	if key != "" && refusal.Run == magno.RunNo {
-		return refusal.Ran(magno.RunUnknown)
+		return refusal.WithRun(magno.RunUnknown)
 	}
 	return refusal
 }
@@ -248,7 +248,7 @@
 	id := r.Work.Job.ID
 	call := magno.RunCall{
 		Call: fmt.Sprintf("%s/%d", id, n), Key: r.Key, Work: r.Work, Stream: r.Stream,
-		Config: r.ConfigVersion, Left: r.Deadline - s.Clock.Now(), Crashes: s.Suspects.CrashCount(r.Work.Job.Print),
+		Config: r.ConfigVersion, Left: r.Deadline - s.Clock.Now(), Crashes: s.Suspects.CrashCount(r.Work.Job.Fingerprint),
 	}
 	call.Work.Job.ID = fmt.Sprintf("%s.%d", id, n)
 	if call.Left <= 0 {
@@ -265,7 +265,7 @@
 	}
 	if kind == string(magno.KindInterrupted) && out.refusal.Run == magno.RunUnknown {
 		// Its next attempt runs alone; if that fails as well, it is the last.
-		s.Suspects.RecordFailure(r.Work.Job.Print)
+		s.Suspects.RecordFailure(r.Work.Job.Fingerprint)
 	}
 	metrics.GetOrCreateCounter(fmt.Sprintf(`magno_attempts_total{outcome=%q}`, kind)).Inc()
 	s.Events.Add("answer", id, fmt.Sprintf("from=%s n=%d outcome=%s", name, n, kind))
@@ -316,12 +316,12 @@
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		// The caller is still waiting; "cancelled" would not say when to retry.
 		refusal := magno.Refuse(magno.KindDeadline, "the agent gave no answer before the deadline")
-		return outcome{refusal: refusal.Ran(magno.RunUnknown), answerLost: true}
+		return outcome{refusal: refusal.WithRun(magno.RunUnknown), answerLost: true}
 	}
 	if ctx.Err() != nil {
 		return outcome{refusal: magno.Refuse(magno.KindCancelled, "nobody waits any more"), answerLost: true}
 	}
-	return outcome{refusal: magno.Refuse(magno.KindUnknown, "%v", err).At(lostAnswerField), answerLost: true}
+	return outcome{refusal: magno.Refuse(magno.KindUnknown, "%v", err).WithField(lostAnswerField), answerLost: true}
 }
 
 // cancelTimeout bounds the message that cancels a run whose caller has left.
--- a/entry/send/send_test.go
+++ b/entry/send/send_test.go
@@ -65,7 +65,7 @@
 	var wg sync.WaitGroup
 	t.Cleanup(wg.Wait)
 	t.Cleanup(cancel)
-	run := func(d magno.Duty) {
+	run := func(d magno.Task) {
 		wg.Add(1)
 		go func() { defer wg.Done(); _ = d.Run(ctx) }()
 	}
@@ -97,7 +97,7 @@
 	log := slog.New(slog.DiscardHandler)
 	fl := &fleet.Fleet{URL: list.URL, Clock: &magno.Clock{}, Log: log}
 	run(fl)
-	for end := time.Now().Add(testTimeout.Span()); len(fl.LiveAgents("p")) < len(instances); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout.Duration()); len(fl.LiveAgents("p")) < len(instances); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("timed out waiting for the instance list")
 		}
@@ -131,7 +131,7 @@
 }
 
 func (h *harness) do(key string, left magno.Millis) (magno.Result, *magno.Refusal) {
-	work := magno.Work{Job: magno.Job{ID: "id", Print: 7}}
+	work := magno.Work{Job: magno.Job{ID: "id", Fingerprint: 7}}
 	r := Request{Work: work, Pool: "p", Key: key, Deadline: h.sender.Clock.Now() + left}
 	result, _, refusal := h.sender.Do(context.Background(), r, func(magno.Piece) {})
 	return result, refusal
@@ -143,7 +143,7 @@
 
 func refuse(kind magno.Kind, run magno.Run) func(context.Context) (any, error) {
 	return func(context.Context) (any, error) {
-		return magno.RunReply{Refusal: magno.Refuse(kind, "by script").Ran(run)}, nil
+		return magno.RunReply{Refusal: magno.Refuse(kind, "by script").WithRun(run)}, nil
 	}
 }
 
--- a/entry/send/ticket.go
+++ b/entry/send/ticket.go
@@ -20,7 +20,7 @@
 		}
 		var t ticket.Ticket
 		// A hung agent would otherwise block the caller until its own timeout.
-		call, cancel := context.WithTimeout(ctx, ticketTimeout.Span())
+		call, cancel := context.WithTimeout(ctx, ticketTimeout.Duration())
 		err := s.Mesh.Call(call, in.Address, magno.MethodTicket, struct{}{}, &t)
 		cancel()
 		if err == nil {
--- a/entry/site/front.go
+++ b/entry/site/front.go
@@ -60,12 +60,12 @@
 	leftAt atomic.Int64
 }
 
-// Name implements magno.Duty.
+// Name implements magno.Task.
 func (f *front) Name() string { return "front" }
 
 // Run serves callers until ctx ends.
 func (f *front) Run(ctx context.Context) error {
-	return serve(ctx, f.settings.Callers, &http.Server{
+	return serve(ctx, f.settings.CallerAddress, &http.Server{
 		Handler: listen.Timed(f.relay, writeStallTimeout), MaxHeaderBytes: maxHeaderBytes, ReadHeaderTimeout: readHeaderTimeout, IdleTimeout: idleTimeout,
 		ErrorLog: slog.NewLogLogger(f.log.Handler(), slog.LevelDebug),
 	}, finalAnswerTimeout)
@@ -87,7 +87,7 @@
 		return errors.Wrap(err, "serve")
 	case <-ctx.Done():
 	}
-	wait, cancel := context.WithTimeout(context.WithoutCancel(ctx), drainTimeout.Span())
+	wait, cancel := context.WithTimeout(context.WithoutCancel(ctx), drainTimeout.Duration())
 	defer cancel()
 	if s.Shutdown(wait) != nil { // close connections that are still active
 		if err := s.Close(); err != nil {
@@ -112,14 +112,14 @@
 	*front
 }
 
-// Name implements magno.Duty.
+// Name implements magno.Task.
 func (w *lagMonitor) Name() string { return "strain" }
 
 // Run measures the lag of a timer until ctx ends.
 func (w *lagMonitor) Run(ctx context.Context) error {
 	var s strain.Detector
 	lags := metrics.GetOrCreateHistogram("timer_lag_seconds")
-	for before := w.clock.Now(); magno.Pause(ctx, strain.Interval); before = w.clock.Now() {
+	for before := w.clock.Now(); magno.Sleep(ctx, strain.Interval); before = w.clock.Now() {
 		lag := w.clock.Now() - before - strain.Interval
 		lags.Update(float64(lag) / 1000)
 		was, is := w.relay.LoadLevel(), s.Observe(lag, w.clock.Now())
@@ -161,7 +161,7 @@
 	*front
 }
 
-// Name implements magno.Duty.
+// Name implements magno.Task.
 func (r *readiness) Name() string { return "ready" }
 
 // Run serves until ctx ends.
@@ -172,5 +172,5 @@
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}
 	})
-	return serve(ctx, r.settings.Ready, &http.Server{Handler: mux, ReadHeaderTimeout: readHeaderTimeout}, finalAnswerTimeout)
+	return serve(ctx, r.settings.ReadyAddress, &http.Server{Handler: mux, ReadHeaderTimeout: readHeaderTimeout}, finalAnswerTimeout)
 }
--- a/entry/site/site.go
+++ b/entry/site/site.go
@@ -44,10 +44,10 @@
 		log.Error("start", "error", err)
 		return start.ExitFailed
 	}
-	log.Info("start", "dc", settings.DataCentre, "callers", settings.Callers, "ready", settings.Ready, "peers", settings.Peers,
-		"seeds", len(settings.Seeds), "list", settings.List)
+	log.Info("start", "dc", settings.DataCentre, "callers", settings.CallerAddress, "ready", settings.ReadyAddress, "peers", settings.PeerAddress,
+		"seeds", len(settings.Seeds), "list", settings.ListAddress)
 	d := start.Daemon{
-		Duties: append(e.duties(), out), Log: log, Leave: e.front.leave, Busy: e.front.busy, Drain: settings.Grace,
+		Tasks: append(e.duties(), out), Log: log, Leave: e.front.leave, Busy: e.front.busy, Drain: settings.Grace,
 		Reload: start.Reload(site, settings, log),
 	}
 	return d.Run()
@@ -69,34 +69,34 @@
 }
 
 func assemble(site magno.Site, settings *magno.SiteSettings, log *slog.Logger) *entry {
-	clock := magno.NewSteady()
+	clock := magno.NewMonotonic()
 	e := &entry{settings: settings, log: log}
-	e.mesh = &wire.Mesh{Listen: settings.Peers, Allow: []string{start.Anyone}, Clock: clock, Log: log}
-	e.book = &view.Store{Clock: magno.NewBoot(), OnChange: changeLogger(log), Log: log}
+	e.mesh = &wire.Mesh{Listen: settings.PeerAddress, Allow: []string{start.Anyone}, Clock: clock, Log: log}
+	e.book = &view.Store{Clock: magno.NewBootTime(), OnChange: changeLogger(log), Log: log}
 	e.conns = &hop.Pool{Clock: clock}
 	suspects := &crash.Suspects{Clock: &magno.Clock{}}
 	e.peers = &peers.Peers{
-		Self: settings.Name, Addr: settings.Peers, LinkMbps: settings.Link, DataCentre: settings.DataCentre, Seeds: settings.Seeds, Mesh: e.mesh, Book: e.book, Suspects: suspects, Clock: clock, Log: log,
+		Self: settings.Name, Addr: settings.PeerAddress, LinkMbps: settings.LinkMbps, DataCentre: settings.DataCentre, Seeds: settings.Seeds, Mesh: e.mesh, Book: e.book, Suspects: suspects, Clock: clock, Log: log,
 	}
 	e.peers.Open()
 	e.pools = &pools{clock: clock, book: e.book, peers: e.peers, settings: settings, startedAt: clock.Now()}
 	e.reader = &reads.Reader{
-		List: site.Lister(settings.List), Book: e.book, ShouldRead: e.peers.ShouldRead, Broadcast: e.peers.Broadcast, ReportReachable: e.peers.SetListReachable, FreshFirst: settings.Revoke > 0, Log: log,
+		List: site.Lister(settings.ListAddress), Book: e.book, ShouldRead: e.peers.ShouldRead, Broadcast: e.peers.Broadcast, ReportReachable: e.peers.SetListReachable, FreshFirst: settings.MaxRevokeDelay > 0, Log: log,
 	}
 	e.desk = &desk.Client{
-		Self: settings.Name, Mesh: e.mesh, Book: e.book, Clock: clock, Log: log, AgentPort: settings.Inner, OnBacklog: e.pools.report,
-		Addr: settings.Peers, Entries: e.peers.DataCentreEntries,
+		Self: settings.Name, Mesh: e.mesh, Book: e.book, Clock: clock, Log: log, AgentPort: settings.InternalPort, OnBacklog: e.pools.report,
+		Addr: settings.PeerAddress, Entries: e.peers.DataCentreEntries,
 	}
 	e.desk.Open()
 	e.lease = &lease.Manager{
-		Self: settings.Peers, Mesh: e.mesh, Homes: e.peers.Homes, Count: e.peers.Count, Window: settings.QuotaWindow, Clock: clock, Log: log,
+		Self: settings.PeerAddress, Mesh: e.mesh, Homes: e.peers.Homes, Count: e.peers.Count, Window: settings.QuotaWindow, Clock: clock, Log: log,
 		Limit: func(customer string) *magno.Limit { return customerLimit(e.book.Current().Plan, customer) },
 	}
 	e.lease.Open()
 	handler := &relay.Handler{
 		Name: settings.Name, Clock: clock, Book: e.book, Dialect: site.Dialect(), Conns: e.conns, Permits: e.desk, Pools: e.pools,
-		Suspects: suspects, Log: log, Started: clock.Now(), MaxRevokeDelay: settings.Revoke, Quotas: e.lease,
-		BodyMemory: memoryBudget(settings.Memory), ResponseMemory: memoryBudget(settings.Memory),
+		Suspects: suspects, Log: log, Started: clock.Now(), MaxRevokeDelay: settings.MaxRevokeDelay, Quotas: e.lease,
+		BodyMemory: memoryBudget(settings.MemoryLimit), ResponseMemory: memoryBudget(settings.MemoryLimit),
 	}
 	e.peers.Leaving = handler.Draining
 	e.front = &front{settings: settings, path: site.ReadyPath(), relay: handler, book: e.book, clock: clock, log: log}
@@ -120,8 +120,8 @@
 	return semaphore.NewWeighted(max(memory/memoryShare, minMemoryBudget))
 }
 
-func (e *entry) duties() []magno.Duty {
-	return []magno.Duty{
+func (e *entry) duties() []magno.Task {
+	return []magno.Task{
 		e.mesh, e.reader, e.peers, e.desk, e.lease, &follower{e}, e.front, &readiness{e.front}, &lagMonitor{e.front},
 		&admin.Server{
 			Listen: net.JoinHostPort(e.settings.IP, strconv.Itoa(start.MetricsPort)), Allow: []string{start.Anyone},
@@ -187,7 +187,7 @@
 	*entry
 }
 
-// Name implements magno.Duty.
+// Name implements magno.Task.
 func (f *follower) Name() string { return "follow" }
 
 // Run follows the list until ctx ends.
--- a/magctl/explain.go
+++ b/magctl/explain.go
@@ -48,11 +48,11 @@
 	e := explanations[0]
 	p := e.Profile
 	_, _ = fmt.Fprintf(out, "profile  %s  customer %s  pool %s  adapter %s@%s  urgency %d  repeat %t  retired %t\n",
-		p.Name, p.Customer, p.Pool, p.Adapter, p.Version, p.Urgency, p.Repeat, e.Retired)
+		p.Name, p.Customer, p.Pool, p.Adapter, p.Version, p.Urgency, p.Idempotent, e.Retired)
 	for i, entry := range explanations {
 		_, _ = fmt.Fprintf(out, "entry %d would try  %s\n", i, strings.Join(entry.Order, ", "))
 	}
-	if !p.Repeat {
+	if !p.Idempotent {
 		_, _ = fmt.Fprintln(out, "its requests carry a key, whose home is asked first; the order above holds for none of them")
 	}
 	if len(e.Drained) > 0 {
--- a/magctl/key.go
+++ b/magctl/key.go
@@ -27,7 +27,7 @@
 	if err != nil {
 		return fail(err)
 	}
-	_, _ = fmt.Fprintln(out, magno.Digested(key))
+	_, _ = fmt.Fprintln(out, magno.DigestOf(key))
 	return exitOK
 }
 
--- a/magno/admin/admin.go
+++ b/magno/admin/admin.go
@@ -32,7 +32,7 @@
 	stopLimit = 2 * magno.Second
 )
 
-// Server is the administration API of one process. It implements magno.Duty.
+// Server is the administration API of one process. It implements magno.Task.
 type Server struct {
 	// Listen is an address of its own, IP and port; it is replaced by the
 	// bound one when the port is 0.
@@ -50,7 +50,7 @@
 	Bound func(address string)
 }
 
-// Name implements magno.Duty.
+// Name implements magno.Task.
 func (s *Server) Name() string { return "admin" }
 
 // Run serves until ctx ends.
@@ -114,7 +114,7 @@
 	if text := c.QueryParam("after"); text != "" {
 		n, err := strconv.ParseInt(text, 10, 64)
 		if err != nil {
-			return c.JSON(http.StatusBadRequest, magno.Refuse(magno.KindMalformed, "not a number").At("after"))
+			return c.JSON(http.StatusBadRequest, magno.Refuse(magno.KindMalformed, "not a number").WithField("after"))
 		}
 		after = n
 	}
--- a/magno/admit/admit.go
+++ b/magno/admit/admit.go
@@ -223,7 +223,7 @@
 	run := c.EstimateRun(job)
 	if s.Queued >= c.MaxQueued {
 		wait := c.EstimateWait(s.Ahead, 0, run)
-		return magno.Refuse(magno.KindBusy, "%d jobs are queued", s.Queued).Later(retryAfter(job, wait/2))
+		return magno.Refuse(magno.KindBusy, "%d jobs are queued", s.Queued).WithRetryAfter(retryAfter(job, wait/2))
 	}
 	margin := c.margin(job.Customer)
 	wait := c.EstimateWait(s.Ahead, s.Free, run)
@@ -251,16 +251,16 @@
 	switch {
 	case room < 0:
 		return magno.Refuse(magno.KindBusy, "its run alone takes %d ms longer than its deadline leaves", -room).
-			Later(retryAfter(job, max(place, s.LoadWait)))
+			WithRetryAfter(retryAfter(job, max(place, s.LoadWait)))
 	case place <= room:
 		return magno.Refuse(magno.KindLoading, "its adapter is expected in %d ms", s.LoadWait).
-			Later(retryAfter(job, max(s.LoadWait-s.Patience, c.Limits.Load)))
+			WithRetryAfter(retryAfter(job, max(s.LoadWait-s.Patience, c.Limits.Load)))
 	case s.OverShare:
 		return magno.Refuse(magno.KindShare, "its share of the queue takes %d ms", place).
-			Later(retryAfter(job, place-room))
+			WithRetryAfter(retryAfter(job, place-room))
 	default:
 		return magno.Refuse(magno.KindBusy, "the queue takes %d ms", place).
-			Later(retryAfter(job, place-room))
+			WithRetryAfter(retryAfter(job, place-room))
 	}
 }
 
--- a/magno/admit/admit_test.go
+++ b/magno/admit/admit_test.go
@@ -43,7 +43,7 @@
 				}
 				return
 			}
-			if r == nil || r.Kind != tt.want || r.Run != magno.RunNo || (r.After > 0) != tt.want.Answer().Again {
+			if r == nil || r.Kind != tt.want || r.Run != magno.RunNo || (r.After > 0) != tt.want.Answer().Retryable {
 				t.Fatalf("got %+v", r)
 			}
 		})
--- a/magno/check/rules.go
+++ b/magno/check/rules.go
@@ -180,7 +180,7 @@
 		f.at(listPools, p.Name, "kind").add("%q is neither %s nor %s", p.Kind, magno.PoolEngine, magno.PoolPlain)
 	}
 	f.at(listPools, p.Name, "loadrate").inRange(p.LoadRate, maxWeight)
-	f.at(listPools, p.Name, "loadwidth").inRange(float64(p.LoadWidth), maxWeight)
+	f.at(listPools, p.Name, "loadwidth").inRange(float64(p.MaxLoads), maxWeight)
 }
 
 func (f *faultList) adapter(a *magno.Adapter) {
--- a/magno/clock.go
+++ b/magno/clock.go
@@ -19,7 +19,7 @@
 )
 
 // Span converts m to the standard library's unit.
-func (m Millis) Span() time.Duration { return time.Duration(m) * time.Millisecond }
+func (m Millis) Duration() time.Duration { return time.Duration(m) * time.Millisecond }
 
 // ToMillis converts a standard duration, rounding down.
 func ToMillis(d time.Duration) Millis { return Millis(d / time.Millisecond) }
@@ -47,12 +47,12 @@
 // the machine's monotonic one. Spans and deadlines within one process are taken
 // from it: with the time of day, a clock that is set back by two seconds would
 // keep a request waiting for as long.
-func NewSteady() *Clock { return &Clock{steady: true} }
+func NewMonotonic() *Clock { return &Clock{steady: true} }
 
 // NewBoot returns a steady clock that goes on while the machine is suspended. What
 // is known for a bounded time only is judged by it: after a suspension a monotonic
 // clock says that no time has passed.
-func NewBoot() *Clock { return &Clock{steady: true, boot: true} }
+func NewBootTime() *Clock { return &Clock{steady: true, boot: true} }
 
 // bootTime is how long the machine has run, suspensions included. Where the system
 // has no such clock it is the monotonic one's.
@@ -97,8 +97,8 @@
 
 // Pause waits for d of the machine's time and returns false when ctx ended
 // first.
-func Pause(ctx context.Context, d Millis) bool {
-	timer := time.NewTimer(d.Span())
+func Sleep(ctx context.Context, d Millis) bool {
+	timer := time.NewTimer(d.Duration())
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
--- a/magno/config.go
+++ b/magno/config.go
@@ -76,7 +76,7 @@
 	// the pool.
 	LoadRate float64 `json:"loadrate,omitempty"`
 	// LoadWidth is how many loads run at once at full speed.
-	LoadWidth int `json:"loadwidth,omitempty"`
+	MaxLoads int `json:"loadwidth,omitempty"`
 }
 
 // Adapter is a LoRA adapter and its versions.
@@ -100,7 +100,7 @@
 	// most.
 	Urgency int `json:"urgency,omitempty"`
 	// Repeat is true when the work is idempotent and may be run again.
-	Repeat bool `json:"repeat,omitempty"`
+	Idempotent bool `json:"repeat,omitempty"`
 	// Deadline in milliseconds holds where the caller states none.
 	Deadline Millis `json:"deadline,omitempty"`
 	// Stall is how heavily load stalls count against batch efficiency, 0 to
@@ -130,7 +130,7 @@
 	Members []string `json:"members"`
 	// Places maps a member to its data centre. It is published with the
 	// roster because lists of live instances differ between processes.
-	Places map[string]string `json:"places,omitempty"`
+	DataCentres map[string]string `json:"places,omitempty"`
 }
 
 // InstanceState is what the platform's list says of an instance.
--- a/magno/config/record.go
+++ b/magno/config/record.go
@@ -64,7 +64,7 @@
 	return packedProfile{
 		name: p.Name, adapter: p.Adapter, version: p.Version,
 		attributes: unique.Make(profileAttributes{
-			customer: p.Customer, pool: p.Pool, urgency: p.Urgency, repeat: p.Repeat,
+			customer: p.Customer, pool: p.Pool, urgency: p.Urgency, repeat: p.Idempotent,
 			deadline: p.Deadline, stall: p.Stall, retired: p.Retired,
 		}),
 	}
@@ -74,7 +74,7 @@
 	s := r.attributes.Value()
 	return magno.Profile{
 		Name: r.name, Customer: s.customer, Pool: s.pool, Adapter: r.adapter, Version: r.version,
-		Urgency: s.urgency, Repeat: s.repeat, Deadline: s.deadline, Stall: s.stall, Retired: s.retired,
+		Urgency: s.urgency, Idempotent: s.repeat, Deadline: s.deadline, Stall: s.stall, Retired: s.retired,
 	}
 }
 
--- a/magno/config/store.go
+++ b/magno/config/store.go
@@ -96,7 +96,7 @@
 		s.conflicts = s.Metrics.GetOrCreateCounter("config_conflicts_total")
 		s.Metrics.GetOrCreateGauge("config_version", func() float64 { return float64(s.Version()) })
 		s.Metrics.GetOrCreateGauge("config_age_seconds", func() float64 {
-			return (s.Clock.Now() - s.Confirmed()).Span().Seconds()
+			return (s.Clock.Now() - s.Confirmed()).Duration().Seconds()
 		})
 	})
 }
--- a/magno/digest.go
+++ b/magno/digest.go
@@ -12,7 +12,7 @@
 type Digest [sha256.Size]byte
 
 // Digested returns the digest of a key.
-func Digested(key string) Digest { return sha256.Sum256([]byte(key)) }
+func DigestOf(key string) Digest { return sha256.Sum256([]byte(key)) }
 
 // String returns the digest in hexadecimal digits.
 func (d Digest) String() string { return hex.EncodeToString(d[:]) }
--- a/magno/fleet/fleet.go
+++ b/magno/fleet/fleet.go
@@ -52,7 +52,7 @@
 }
 
 // Fleet is the directory of instances. It is safe for concurrent use and
-// implements magno.Duty.
+// implements magno.Task.
 type Fleet struct {
 	// URL is the base URL of the platform's instance list.
 	URL          string
@@ -78,7 +78,7 @@
 	lastPoll  magno.Millis
 }
 
-// Name implements magno.Duty.
+// Name implements magno.Task.
 func (f *Fleet) Name() string { return "fleet" }
 
 // Run polls the list until ctx ends. While the list can't be read, the last one
@@ -88,7 +88,7 @@
 		f.PollInterval = DefaultPollInterval
 	}
 	client := &http.Client{Timeout: requestTimeout}
-	ticker := time.NewTicker(f.PollInterval.Span())
+	ticker := time.NewTicker(f.PollInterval.Duration())
 	defer ticker.Stop()
 	failing := false
 	var lastPoll magno.Millis
--- a/magno/gate/calls.go
+++ b/magno/gate/calls.go
@@ -65,7 +65,7 @@
 	Down        bool          `json:"down,omitempty"`
 	Leaving     bool          `json:"leaving,omitempty"`
 	Backlog     magno.Backlog `json:"backlog"`
-	// ListsHash identifies Backlog.Warm and Backlog.Kept, zero for empty lists. The lists
+	// ListsHash identifies Backlog.Warm and Backlog.Cached, zero for empty lists. The lists
 	// change only with each load and are most of the reply, so they are left out for an entry
 	// that has them.
 	ListsHash uint64 `json:"held,omitempty"`
@@ -82,7 +82,7 @@
 	for _, hash := range r.Backlog.Warm {
 		r.ListsHash = r.ListsHash*hashFactor + uint64(hash) + 1
 	}
-	for _, hash := range r.Backlog.Kept {
+	for _, hash := range r.Backlog.Cached {
 		r.ListsHash = (r.ListsHash + uint64(hash) + 1) * hashFactor
 	}
 }
--- a/magno/gate/calls_test.go
+++ b/magno/gate/calls_test.go
@@ -53,10 +53,10 @@
 // to load the adapter from the store.
 func TestKeptListIsPartOfListsHash(t *testing.T) {
 	old := reply(1, 2)
-	old.Backlog.Kept = []uint32{5}
+	old.Backlog.Cached = []uint32{5}
 	old.SetListsHash()
 	is := old
-	is.Backlog.Kept = []uint32{5, 6}
+	is.Backlog.Cached = []uint32{5, 6}
 	is.SetListsHash()
 	if is.ListsHash == old.ListsHash {
 		t.Fatal("different lists have the same hash")
@@ -64,12 +64,12 @@
 	sent := is
 	var recent ListHistory
 	recent.Trim(&sent, is.ListsHash)
-	if len(sent.Backlog.Kept) != 0 {
+	if len(sent.Backlog.Cached) != 0 {
 		t.Error("the list is sent to an entry that has it")
 	}
 	sent.Restore(is.ListsHash, &is)
-	if !slices.Equal(sent.Backlog.Kept, is.Backlog.Kept) {
-		t.Errorf("restored as %v", sent.Backlog.Kept)
+	if !slices.Equal(sent.Backlog.Cached, is.Backlog.Cached) {
+		t.Errorf("restored as %v", sent.Backlog.Cached)
 	}
 }
 
@@ -90,7 +90,7 @@
 	} {
 		var recent ListHistory
 		was, is := reply(c.wasWarm...), reply(c.isWarm...)
-		was.Backlog.Kept, is.Backlog.Kept = c.wasKept, c.isKept
+		was.Backlog.Cached, is.Backlog.Cached = c.wasKept, c.isKept
 		was.SetListsHash()
 		is.SetListsHash()
 		recent.Record(&was)
@@ -101,8 +101,8 @@
 			t.Errorf("%s: sent list %v and diff %v", c.name, sent.Backlog.Warm, sent.WarmDiff)
 		}
 		sent.Restore(was.ListsHash, &was)
-		if sent.ListsHash != is.ListsHash || !slices.Equal(sent.Backlog.Warm, c.isWarm) || !slices.Equal(sent.Backlog.Kept, c.isKept) {
-			t.Errorf("%s: restored warm %v and kept %v", c.name, sent.Backlog.Warm, sent.Backlog.Kept)
+		if sent.ListsHash != is.ListsHash || !slices.Equal(sent.Backlog.Warm, c.isWarm) || !slices.Equal(sent.Backlog.Cached, c.isKept) {
+			t.Errorf("%s: restored warm %v and kept %v", c.name, sent.Backlog.Warm, sent.Backlog.Cached)
 		}
 		if !slices.Equal(was.Backlog.Warm, c.wasWarm) {
 			t.Errorf("%s: the previous list was changed to %v", c.name, was.Backlog.Warm)
--- a/magno/gate/cause_test.go
+++ b/magno/gate/cause_test.go
@@ -33,7 +33,7 @@
 			}
 		}, Request{}},
 		{CauseModel, func(h *harness) {
-			h.gate.ApplyReport(&magno.Report{Born: 2, Held: map[string]map[string]int64{}}, h.clock.Now())
+			h.gate.ApplyReport(&magno.Report{StartedAt: 2, Loaded: map[string]map[string]int64{}}, h.clock.Now())
 		}, Request{}},
 	}
 	for _, tt := range tests {
--- a/magno/gate/gate.go
+++ b/magno/gate/gate.go
@@ -136,13 +136,13 @@
 	g.setup()
 	now := g.now()
 	if g.spec.Replica == "" {
-		return magno.Refuse(magno.KindStarting, "what stands beside this agent isn't known yet").Later(minRetryAfter)
+		return magno.Refuse(magno.KindStarting, "what stands beside this agent isn't known yet").WithRetryAfter(minRetryAfter)
 	}
 	if g.spec.Leaving {
 		return refuseLeaving()
 	}
 	if len(g.queue) >= maxQueued {
-		return magno.Refuse(magno.KindBusy, "%d requests wait", len(g.queue)).Later(maxRetryAfter)
+		return magno.Refuse(magno.KindBusy, "%d requests wait", len(g.queue)).WithRetryAfter(maxRetryAfter)
 	}
 	wait := g.expectedWait(&req, now)
 	if wait > req.MaxWait {
@@ -151,7 +151,7 @@
 			kind = magno.KindLoading
 		}
 		return magno.Refuse(kind, "a wait of %d ms is expected, its patience is %d ms", wait, req.MaxWait).
-			Later(min(max(wait-req.MaxWait, minRetryAfter), maxRetryAfter))
+			WithRetryAfter(min(max(wait-req.MaxWait, minRetryAfter), maxRetryAfter))
 	}
 	w := &queuedRequest{Request: req, queuedAt: now, startBy: now + req.StartTarget, giveUpAt: now + req.MaxWait, deadline: now + req.TimeLeft, accountedAt: now}
 	w.cause = g.cause(&req)
--- a/magno/gate/gate_test.go
+++ b/magno/gate/gate_test.go
@@ -45,17 +45,17 @@
 // report sends the engine's report to the gate.
 func (h *harness) report() {
 	now := h.clock.Now()
-	r := &magno.Report{Born: 1, Orders: h.orders, Running: h.running, Held: map[string]map[string]int64{model: {}}}
+	r := &magno.Report{StartedAt: 1, Orders: h.orders, Running: h.running, Loaded: map[string]map[string]int64{model: {}}}
 	for name, end := range h.loading {
 		if now >= end {
 			h.held[name] = 1
 			delete(h.loading, name)
 			continue
 		}
-		r.Coming = append(r.Coming, magno.Pin{Model: model, Adapter: name, Number: 1})
+		r.Loading = append(r.Loading, magno.Pin{Model: model, Adapter: name, Number: 1})
 	}
 	for name, version := range h.held {
-		r.Held[model][name] = version
+		r.Loaded[model][name] = version
 	}
 	h.gate.ApplyReport(r, now)
 }
@@ -192,7 +192,7 @@
 	if !h.granted["1"] {
 		t.Fatal("the first request was not admitted")
 	}
-	h.gate.ApplyReport(&magno.Report{Born: 2}, h.clock.Now())
+	h.gate.ApplyReport(&magno.Report{StartedAt: 2}, h.clock.Now())
 	h.offer(h.request("2", "a", 100))
 	h.gate.Decide()
 	if c := h.gate.Commands(); len(c) != 1 || !c[0].Load || c[0].Adapter != "" {
@@ -205,7 +205,7 @@
 // the batch.
 func TestRestartFreesCapacity(t *testing.T) {
 	for name, report := range map[string]*magno.Report{
-		"another start": {Born: 2, Orders: 9}, "orders counted anew": {Born: 1, Orders: 0},
+		"another start": {StartedAt: 2, Orders: 9}, "orders counted anew": {StartedAt: 1, Orders: 0},
 	} {
 		h := newHarness(t, 2)
 		spec := h.spec()
@@ -221,7 +221,7 @@
 		if !h.granted["1"] || h.granted["2"] {
 			t.Fatal("want exactly the first request admitted with a batch of one")
 		}
-		report.Held = map[string]map[string]int64{model: {"a": 1}}
+		report.Loaded = map[string]map[string]int64{model: {"a": 1}}
 		h.gate.ApplyReport(report, h.clock.Now())
 		h.step(nil)
 		if !h.granted["2"] {
--- a/magno/gate/lists.go
+++ b/magno/gate/lists.go
@@ -69,7 +69,7 @@
 		return
 	}
 	if known == reply.ListsHash {
-		reply.Backlog.Warm, reply.Backlog.Kept = nil, nil
+		reply.Backlog.Warm, reply.Backlog.Cached = nil, nil
 		return
 	}
 	was, ok := h.find(known)
@@ -77,8 +77,8 @@
 		return
 	}
 	reply.BaseHash = known
-	reply.WarmDiff, reply.KeptDiff = diffLists(was.Warm, reply.Backlog.Warm), diffLists(was.Kept, reply.Backlog.Kept)
-	reply.Backlog.Warm, reply.Backlog.Kept = nil, nil
+	reply.WarmDiff, reply.KeptDiff = diffLists(was.Warm, reply.Backlog.Warm), diffLists(was.Kept, reply.Backlog.Cached)
+	reply.Backlog.Warm, reply.Backlog.Cached = nil, nil
 }
 
 // Restore fills in the lists that Trim removed. known is the hash that the entry sent with its
@@ -86,9 +86,9 @@
 func (r *StatusReply) Restore(known uint64, have *StatusReply) {
 	switch {
 	case r.BaseHash != 0 && r.BaseHash == have.ListsHash:
-		r.Backlog.Warm, r.Backlog.Kept = r.WarmDiff.apply(have.Backlog.Warm), r.KeptDiff.apply(have.Backlog.Kept)
+		r.Backlog.Warm, r.Backlog.Cached = r.WarmDiff.apply(have.Backlog.Warm), r.KeptDiff.apply(have.Backlog.Cached)
 	case r.BaseHash != 0, r.sameLists(known):
-		r.ListsHash, r.Backlog.Warm, r.Backlog.Kept = have.ListsHash, have.Backlog.Warm, have.Backlog.Kept
+		r.ListsHash, r.Backlog.Warm, r.Backlog.Cached = have.ListsHash, have.Backlog.Warm, have.Backlog.Cached
 	}
 	r.BaseHash, r.WarmDiff, r.KeptDiff = 0, Diff{}, Diff{}
 }
@@ -96,11 +96,11 @@
 // sameLists reports whether the lists were left out because the entry has them under the hash
 // known.
 func (r *StatusReply) sameLists(known uint64) bool {
-	return known != 0 && known == r.ListsHash && len(r.Backlog.Warm) == 0 && len(r.Backlog.Kept) == 0
+	return known != 0 && known == r.ListsHash && len(r.Backlog.Warm) == 0 && len(r.Backlog.Cached) == 0
 }
 
 func (r *StatusReply) lists() AdapterLists {
-	return AdapterLists{Hash: r.ListsHash, Warm: r.Backlog.Warm, Kept: r.Backlog.Kept}
+	return AdapterLists{Hash: r.ListsHash, Warm: r.Backlog.Warm, Kept: r.Backlog.Cached}
 }
 
 // diffLists returns the changes from was to is.
--- a/magno/gate/oracle_test.go
+++ b/magno/gate/oracle_test.go
@@ -55,7 +55,7 @@
 	case c.Adapter == "":
 		o.modelReadyAt = now + machineModel
 	case !o.modelLoaded(now):
-		return magno.OrderElse
+		return magno.OrderMisrouted
 	case c.Load:
 		version := max(o.newest[c.Adapter], 1)
 		o.loading[c.Adapter] = pendingLoad{now + machineLoad, version}
@@ -78,12 +78,12 @@
 // report returns the engine's report.
 func (o *oracle) report(now magno.Millis) *magno.Report {
 	o.finishLoads(now)
-	r := &magno.Report{Born: magno.Millis(o.born), Orders: o.orders, Busy: o.modelReadyAt > now, Held: map[string]map[string]int64{}}
+	r := &magno.Report{StartedAt: magno.Millis(o.born), Orders: o.orders, Busy: o.modelReadyAt > now, Loaded: map[string]map[string]int64{}}
 	if o.modelLoaded(now) {
-		r.Held[model] = maps.Clone(o.held)
+		r.Loaded[model] = maps.Clone(o.held)
 	}
 	for name, a := range o.loading {
-		r.Coming = append(r.Coming, magno.Pin{Model: model, Adapter: name, Number: a.version})
+		r.Loading = append(r.Loading, magno.Pin{Model: model, Adapter: name, Number: a.version})
 	}
 	return r
 }
--- a/magno/gate/pace_test.go
+++ b/magno/gate/pace_test.go
@@ -54,9 +54,9 @@
 }
 
 func (e *simEngine) report() *magno.Report {
-	r := &magno.Report{Born: 1, Running: len(e.streams) + len(e.ids), Held: map[string]map[string]int64{model: {"a": 1}}}
+	r := &magno.Report{StartedAt: 1, Running: len(e.streams) + len(e.ids), Loaded: map[string]map[string]int64{model: {"a": 1}}}
 	for id, tokens := range e.streams {
-		r.Runs = append(r.Runs, magno.Stream{ID: id, Events: 1 + max(tokens, 0)/e.stride})
+		r.Streams = append(r.Streams, magno.Stream{ID: id, Events: 1 + max(tokens, 0)/e.stride})
 	}
 	return r
 }
--- a/magno/gate/queue.go
+++ b/magno/gate/queue.go
@@ -9,7 +9,7 @@
 // refuseLeaving refuses a request at an engine that is leaving: what starts too late is cut off
 // when it stops.
 func refuseLeaving() *magno.Refusal {
-	return magno.Refuse(magno.KindLeaving, "the engine leaves").Later(minRetryAfter)
+	return magno.Refuse(magno.KindLeaving, "the engine leaves").WithRetryAfter(minRetryAfter)
 }
 
 // expire rejects requests that have waited too long, and those that would: if an adapter cannot
@@ -33,9 +33,9 @@
 		return refuseLeaving()
 	case now+eta >= w.giveUpAt && eta > 0:
 		return magno.Refuse(magno.KindLoading, "its adapter is expected in %d ms, and it waited for %d", eta, now-w.queuedAt).
-			Later(min(max(now+eta-w.giveUpAt, minRetryAfter), maxRetryAfter))
+			WithRetryAfter(min(max(now+eta-w.giveUpAt, minRetryAfter), maxRetryAfter))
 	case now >= w.giveUpAt:
-		return magno.Refuse(magno.KindBusy, "it waited for %d ms", now-w.queuedAt).Later(minRetryAfter)
+		return magno.Refuse(magno.KindBusy, "it waited for %d ms", now-w.queuedAt).WithRetryAfter(minRetryAfter)
 	}
 	return nil
 }
--- a/magno/gate/seen.go
+++ b/magno/gate/seen.go
@@ -11,9 +11,9 @@
 // have been prefilled. Requests that reached the engine without a permit are included, since
 // they also show its step times.
 func (g *Gate) updateProgress(r *magno.Report, asked magno.Millis) {
-	runs := make([]learn.Stream, 0, len(r.Runs))
-	eventsByID := make(map[string]int, len(r.Runs))
-	for _, run := range r.Runs {
+	runs := make([]learn.Stream, 0, len(r.Streams))
+	eventsByID := make(map[string]int, len(r.Streams))
+	for _, run := range r.Streams {
 		runs = append(runs, learn.Stream{ID: run.ID, Events: run.Events})
 		eventsByID[run.ID] = run.Events
 	}
--- a/magno/gate/shelf.go
+++ b/magno/gate/shelf.go
@@ -126,14 +126,14 @@
 // restarted reports whether the report comes from a new start of the engine: its start time
 // differs, or its command count fell.
 func (inv *inventory) restarted(r *magno.Report) bool {
-	return inv.reported && (r.Born != inv.engineStart || r.Orders < inv.commandCount)
+	return inv.reported && (r.StartedAt != inv.engineStart || r.Orders < inv.commandCount)
 }
 
 func (inv *inventory) applyReport(r *magno.Report, asked magno.Millis) {
-	inv.reported, inv.engineStart, inv.commandCount = true, r.Born, r.Orders
-	inv.busy, inv.running, inv.onDisk = r.Busy, r.Running+r.Queued, r.Warm
+	inv.reported, inv.engineStart, inv.commandCount = true, r.StartedAt, r.Orders
+	inv.busy, inv.running, inv.onDisk = r.Busy, r.Running+r.Queued, r.OnDisk
 	inv.adapters, inv.models, inv.loading = map[string]int64{}, map[string]bool{}, map[string]bool{}
-	for model, held := range r.Held {
+	for model, held := range r.Loaded {
 		inv.models[model] = true
 		for adapter, version := range held {
 			name := QualifiedName(model, adapter)
@@ -146,7 +146,7 @@
 		}
 	}
 	inv.updateRanks()
-	for _, p := range r.Coming {
+	for _, p := range r.Loading {
 		inv.loading[QualifiedName(p.Model, p.Adapter)] = true
 	}
 	for name, c := range inv.pending {
--- a/magno/gate/waits.go
+++ b/magno/gate/waits.go
@@ -67,15 +67,15 @@
 	next := g.forecast(now).nextLoad
 	return magno.Backlog{
 		Queued: len(g.queue), Running: g.runningCount(), Held: len(g.inventory.adapters),
-		Wait:     max(g.pacer.expectedWait(queued, now), g.capacityWait()) + g.congestion(),
-		LoadWait: next,
-		BaseWait: g.inventory.baseModelWait(),
-		Warm:     g.inventory.warmHashes(),
-		Kept:     g.inventory.keptHashes(),
-		KeptWait: next - g.inventory.coldLoadTime() + g.inventory.warmLoadTime(),
-		Coming:   g.pendingHashes(missing),
-		Rate:     math.Round(g.pacer.engine.PrefillRate()),
-		Pause:    g.pacer.longestPause(now),
+		Wait:       max(g.pacer.expectedWait(queued, now), g.capacityWait()) + g.congestion(),
+		LoadWait:   next,
+		BaseWait:   g.inventory.baseModelWait(),
+		Warm:       g.inventory.warmHashes(),
+		Cached:     g.inventory.keptHashes(),
+		CachedWait: next - g.inventory.coldLoadTime() + g.inventory.warmLoadTime(),
+		Loading:    g.pendingHashes(missing),
+		Rate:       math.Round(g.pacer.engine.PrefillRate()),
+		EventGap:   g.pacer.longestPause(now),
 	}
 }
 
--- a/magno/iface.go
+++ b/magno/iface.go
@@ -37,12 +37,12 @@
 	// Prefix is a hash of the prompt's start, zero when there is none.
 	Prefix uint64 `json:"prefix,omitempty"`
 	// Print is a hash of the whole request: its fingerprint as a suspect.
-	Print uint64 `json:"print,omitempty"`
+	Fingerprint uint64 `json:"print,omitempty"`
 	// Arrived and Deadline are points in time.
 	Arrived  Millis `json:"arrived"`
 	Deadline Millis `json:"deadline"`
 	// Repeat is true when the job is idempotent.
-	Repeat bool `json:"repeat,omitempty"`
+	Idempotent bool `json:"repeat,omitempty"`
 }
 
 // Limits are what an upstream states of itself.
@@ -110,14 +110,14 @@
 	Warm []uint32 `json:"warm,omitempty"`
 	// Kept holds, likewise, those that it loads from its own memory, and KeptWait
 	// is the expected wait of one of them.
-	Kept     []uint32 `json:"kept,omitempty"`
-	KeptWait Millis   `json:"keptwait,omitempty"`
+	Cached     []uint32 `json:"kept,omitempty"`
+	CachedWait Millis   `json:"keptwait,omitempty"`
 	// Coming holds, likewise, those that are being loaded or that jobs wait
 	// for.
-	Coming []uint32 `json:"coming,omitempty"`
+	Loading []uint32 `json:"coming,omitempty"`
 	// Pause is the longest pause between two events of a stream there, on average;
 	// zero where none is known.
-	Pause Millis `json:"pause,omitempty"`
+	EventGap Millis `json:"pause,omitempty"`
 	// Down is true while the upstream is known not to answer. Whoever asks for the
 	// rest finds that out, so it isn't told with it.
 	Down bool `json:"-"`
@@ -154,7 +154,7 @@
 // Turner is implemented by schedulers that share the weight store's allowance
 // with the rest of the fleet: they return OrderLoad only on a turn. Want is
 // called only while Backlog().Loads is over zero.
-type Turner interface {
+type TurnTaker interface {
 	// Want tells the adapter whose wait for a load does most harm now, and
 	// the harm; ok is false when no load is wanted or none could be begun.
 	Want() (ref Ref, harm float64, ok bool)
@@ -217,7 +217,7 @@
 	Names []string
 	// Most is the longest wait with which the first of them is still better than
 	// the second, zero where there is no second.
-	Most Millis
+	MaxWait Millis
 }
 
 // Chooser is a router that knows by how much the first is better. A target whose
@@ -228,7 +228,7 @@
 }
 
 // Homer is implemented by routers that know the home of an idempotency key.
-type Homer interface {
+type HomeRouter interface {
 	// Homes returns the first n homes in order, the same on every entry that
 	// has the same targets and reports. Of q it takes Ref and Customer.
 	Homes(q Query, key string, n int) []string
@@ -246,7 +246,7 @@
 	// Finish is the engine's reason: stop or length.
 	Finish string `json:"finish,omitempty"`
 	// Type is the content type of a plain service's answer.
-	Type string `json:"type,omitempty"`
+	ContentType string `json:"type,omitempty"`
 	// Stall is how long the job waited for its adapter, in milliseconds.
 	Stall Millis `json:"stall"`
 	// Queue is how long it waited in all before it was started.
@@ -261,9 +261,9 @@
 	// Body is the prompt of an engine, or the body of a plain call.
 	Body string `json:"body"`
 	// Type is the content type of a plain call.
-	Type string `json:"type,omitempty"`
+	ContentType string `json:"type,omitempty"`
 	// Max is the most tokens to generate.
-	Max int `json:"max,omitempty"`
+	MaxTokens int `json:"max,omitempty"`
 }
 
 // Upstream is a back end as its agent sees it.
@@ -295,13 +295,13 @@
 
 // Asker carries a call to the witness in a member's slot. An error means that
 // no answer came; the witness may have given the key nevertheless.
-type Asker interface {
+type WitnessClient interface {
 	Ask(ctx context.Context, member string, call GrantCall) (GrantReply, error)
 }
 
 // Tuner is implemented by schedulers that are told of changes while they run.
 // The goroutine that owns the scheduler calls it.
-type Tuner interface {
+type Configurable interface {
 	SetClock(clock *Clock)
 	// SetLimits tells what the upstream states of itself.
 	SetLimits(limits Limits)
@@ -314,7 +314,7 @@
 }
 
 // Addressed is implemented by upstreams that are reached over the network.
-type Addressed interface {
+type AddressSetter interface {
 	// SetAddress sets IP and port, and the fence that goes with requests.
 	SetAddress(address string, fence int64)
 }
--- a/magno/kernel.go
+++ b/magno/kernel.go
@@ -8,7 +8,7 @@
 )
 
 // Duty is one job of a process, run by one goroutine of its own.
-type Duty interface {
+type Task interface {
 	// Name is short and unique within the process.
 	Name() string
 	// Run works until ctx ends. A nil error after ctx ended is a clean stop.
@@ -16,38 +16,38 @@
 }
 
 // End reports that a duty stopped.
-type End struct {
-	Duty string
+type Exit struct {
+	Task string
 	Err  error
 }
 
 // Kernel starts duties and waits for their ends. When one fails, the others
 // are stopped: a process with half of its duties would look healthy while its
 // requests wait for ever.
-type Kernel struct {
+type Supervisor struct {
 	// Duties are set before Run and not changed after.
-	Duties []Duty
+	Tasks []Task
 	// OnEnd is called for each end, by the goroutine that called Run. It may
 	// be nil.
-	OnEnd func(End)
+	OnExit func(Exit)
 }
 
 // Run starts every duty and returns when all have ended, with the first error.
-func (k *Kernel) Run(ctx context.Context) error {
+func (k *Supervisor) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	ends := make(chan End, len(k.Duties))
-	for _, d := range k.Duties {
-		go func() { ends <- End{Duty: d.Name(), Err: d.Run(ctx)} }()
+	ends := make(chan Exit, len(k.Tasks))
+	for _, d := range k.Tasks {
+		go func() { ends <- Exit{Task: d.Name(), Err: d.Run(ctx)} }()
 	}
 	var first error
-	for range k.Duties {
+	for range k.Tasks {
 		end := <-ends
-		if k.OnEnd != nil {
-			k.OnEnd(end)
+		if k.OnExit != nil {
+			k.OnExit(end)
 		}
 		if end.Err != nil && ctx.Err() == nil {
-			first = fmt.Errorf("duty %s: %w", end.Duty, end.Err)
+			first = fmt.Errorf("duty %s: %w", end.Task, end.Err)
 			cancel()
 		}
 	}
@@ -56,30 +56,30 @@
 
 // Maker builds a plug-in of one sort; the caller asserts the interface that
 // the sort stands for.
-type Maker func() any
+type Factory func() any
 
 // plugins maps sort and name to a maker. Packages add theirs when they are
 // linked in, before main starts.
 var plugins = struct {
 	mu     sync.Mutex
-	makers map[string]map[string]Maker
-}{makers: map[string]map[string]Maker{}}
+	makers map[string]map[string]Factory
+}{makers: map[string]map[string]Factory{}}
 
 // The sorts of plug-in.
 const (
-	SortRouter    = "router"
-	SortScheduler = "scheduler"
-	SortUpstream  = "upstream"
+	PluginRouter    = "router"
+	PluginScheduler = "scheduler"
+	PluginUpstream  = "upstream"
 )
 
 // Register adds a plug-in. A name that is taken is a fault of the program and
 // panics at start, when a person sees it.
-func Register(sort, name string, maker Maker) {
+func Register(sort, name string, maker Factory) {
 	plugins.mu.Lock()
 	defer plugins.mu.Unlock()
 	names := plugins.makers[sort]
 	if names == nil {
-		names = map[string]Maker{}
+		names = map[string]Factory{}
 		plugins.makers[sort] = names
 	}
 	if names[name] != nil {
@@ -89,18 +89,18 @@
 }
 
 // Plugin builds the plug-in of that sort and name.
-func Plugin(sort, name string) (any, error) {
+func NewPlugin(sort, name string) (any, error) {
 	plugins.mu.Lock()
 	maker := plugins.makers[sort][name]
 	plugins.mu.Unlock()
 	if maker == nil {
-		return nil, fmt.Errorf("no %s named %q is linked in, only %q", sort, name, Plugins(sort))
+		return nil, fmt.Errorf("no %s named %q is linked in, only %q", sort, name, PluginNames(sort))
 	}
 	return maker(), nil
 }
 
 // Plugins lists the names of a sort in order.
-func Plugins(sortOf string) []string {
+func PluginNames(sortOf string) []string {
 	plugins.mu.Lock()
 	defer plugins.mu.Unlock()
 	names := make([]string, 0, len(plugins.makers[sortOf]))
--- a/magno/keys/keys.go
+++ b/magno/keys/keys.go
@@ -39,5 +39,5 @@
 	if key == "" || !strings.EqualFold(scheme, Scheme) {
 		return nil
 	}
-	return k.customers[magno.Digested(key)]
+	return k.customers[magno.DigestOf(key)]
 }
--- a/magno/keys/keys_test.go
+++ b/magno/keys/keys_test.go
@@ -8,8 +8,8 @@
 
 func testTable() *Table {
 	return New([]magno.Customer{
-		{Name: "a", Keys: []magno.Digest{magno.Digested("one"), magno.Digested("two")}},
-		{Name: "b", Keys: []magno.Digest{magno.Digested("three")}},
+		{Name: "a", Keys: []magno.Digest{magno.DigestOf("one"), magno.DigestOf("two")}},
+		{Name: "b", Keys: []magno.Digest{magno.DigestOf("three")}},
 		{Name: "none"},
 	})
 }
@@ -25,7 +25,7 @@
 		{"Bearer ", ""},
 		{"one", ""},
 		{"", ""},
-		{"Bearer " + magno.Digested("one").String(), ""},
+		{"Bearer " + magno.DigestOf("one").String(), ""},
 	} {
 		name := ""
 		if found := testTable().Find(c.header); found != nil {
--- a/magno/kind.go
+++ b/magno/kind.go
@@ -58,7 +58,7 @@
 	Run Run
 	// Again is true when the same request may succeed later; RetryAfter is
 	// then always sent.
-	Again bool
+	Retryable bool
 }
 
 // answers is the table from kind to answer.
@@ -127,26 +127,26 @@
 // Refuse makes a refusal with the kind's own value of Run.
 func Refuse(kind Kind, format string, args ...any) *Refusal {
 	r := &Refusal{Kind: kind, Run: kind.Answer().Run, Detail: fmt.Sprintf(format, args...)}
-	if kind.Answer().Again {
+	if kind.Answer().Retryable {
 		r.After = Second
 	}
 	return r
 }
 
 // At names the field at fault and returns r.
-func (r *Refusal) At(field string) *Refusal {
+func (r *Refusal) WithField(field string) *Refusal {
 	r.Field = field
 	return r
 }
 
 // Later sets when to come back and returns r.
-func (r *Refusal) Later(after Millis) *Refusal {
+func (r *Refusal) WithRetryAfter(after Millis) *Refusal {
 	r.After = max(after, 1)
 	return r
 }
 
 // Ran sets whether the request was run and returns r.
-func (r *Refusal) Ran(run Run) *Refusal {
+func (r *Refusal) WithRun(run Run) *Refusal {
 	r.Run = run
 	return r
 }
--- a/magno/lines/lines.go
+++ b/magno/lines/lines.go
@@ -73,7 +73,7 @@
 	return w.total
 }
 
-// Name implements magno.Duty.
+// Name implements magno.Task.
 func (w *Writer) Name() string { return "log" }
 
 // Run writes until ctx ends, and then what is left.
--- a/magno/listen/listen.go
+++ b/magno/listen/listen.go
@@ -68,7 +68,7 @@
 		Handler:           Timed(s.Handler, s.Stall),
 		MaxHeaderBytes:    headerLimit,
 		ReadHeaderTimeout: headerTime,
-		ReadTimeout:       s.Read.Span(),
+		ReadTimeout:       s.Read.Duration(),
 		IdleTimeout:       idleTime,
 	}
 	ended := make(chan error, 1)
@@ -78,7 +78,7 @@
 		return err
 	case <-ctx.Done():
 	}
-	stop, cancel := context.WithTimeout(context.WithoutCancel(ctx), s.Stop.Span())
+	stop, cancel := context.WithTimeout(context.WithoutCancel(ctx), s.Stop.Duration())
 	defer cancel()
 	err = server.Shutdown(stop)
 	if served := <-ended; !errors.Is(served, http.ErrServerClosed) {
@@ -93,7 +93,7 @@
 		stall = stallTime
 	}
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		h.ServeHTTP(&timed{ResponseWriter: w, control: http.NewResponseController(w), stall: stall.Span()}, r)
+		h.ServeHTTP(&timed{ResponseWriter: w, control: http.NewResponseController(w), stall: stall.Duration()}, r)
 	})
 }
 
@@ -112,7 +112,7 @@
 func (t *timed) extend() {
 	now := time.Now()
 	if t.end.IsZero() {
-		t.end = now.Add(answerTime.Span())
+		t.end = now.Add(answerTime.Duration())
 	}
 	deadline := now.Add(t.stall)
 	if deadline.After(t.end) {
--- a/magno/model/model.go
+++ b/magno/model/model.go
@@ -43,7 +43,7 @@
 }
 
 func init() {
-	magno.Register(magno.SortUpstream, string(magno.PoolEngine), func() any { return &Model{} })
+	magno.Register(magno.PluginUpstream, string(magno.PoolEngine), func() any { return &Model{} })
 }
 
 // NewClient returns a client whose connections are reused for one upstream.
@@ -96,7 +96,7 @@
 // that nobody knows how far it came.
 func (m *Model) Run(ctx context.Context, w magno.Work, emit func(magno.Piece)) (magno.Result, error) {
 	resp, err := m.post(ctx, "/v1/completions", completionRequest{
-		Model: w.Job.Ref.String(), Prompt: w.Body, MaxTokens: w.Max, Stream: true,
+		Model: w.Job.Ref.String(), Prompt: w.Body, MaxTokens: w.MaxTokens, Stream: true,
 		Priority: w.Job.Urgency, RequestID: w.Job.ID, Fence: m.Fence,
 	})
 	if err != nil {
@@ -286,9 +286,9 @@
 	case http.StatusTooManyRequests:
 		return magno.Refuse(magno.KindBusy, "%s", text)
 	case http.StatusBadRequest:
-		return magno.Refuse(magno.KindMalformed, "%s", text).Ran(magno.RunUnknown)
+		return magno.Refuse(magno.KindMalformed, "%s", text).WithRun(magno.RunUnknown)
 	case http.StatusServiceUnavailable:
 		return magno.Refuse(magno.KindUnknown, "%s", text)
 	}
-	return magno.Refuse(magno.KindFailed, "%s", text).Ran(magno.RunUnknown)
+	return magno.Refuse(magno.KindFailed, "%s", text).WithRun(magno.RunUnknown)
 }
--- a/magno/once/book.go
+++ b/magno/once/book.go
@@ -48,7 +48,7 @@
 	}
 	tk, ticketed := ticket.Parse(call.Key)
 	if ticketed && (tk.Agent != t.self || tk.Incarnation != t.incarnation) {
-		return admission{refusal: refuseUnknown(magno.KindUnknown, "the ticket names another process").At("key")}
+		return admission{refusal: refuseUnknown(magno.KindUnknown, "the ticket names another process").WithField("key")}
 	}
 	issuedAt, ok := ticket.IssueTime(key)
 	if ticketed {
@@ -75,14 +75,14 @@
 // run there.
 func (t *keyTable) checkNewKey(now, issuedAt magno.Millis, hasTime bool) *magno.Refusal {
 	if !hasTime {
-		return magno.Refuse(magno.KindNoKey, "the key must be a UUID of version 7 or a ticket").At("key")
+		return magno.Refuse(magno.KindNoKey, "the key must be a UUID of version 7 or a ticket").WithField("key")
 	}
 	if issuedAt > now+t.maxSkew {
-		return refuseUnknown(magno.KindLater, "the key's time is ahead of the clock").At("key").Later(issuedAt - now)
+		return refuseUnknown(magno.KindLater, "the key's time is ahead of the clock").WithField("key").WithRetryAfter(issuedAt - now)
 	}
 	switch t.records.Check(now, issuedAt) {
 	case recall.Stale:
-		return magno.Refuse(magno.KindStaleKey, "the key is older than answers are kept").At("key")
+		return magno.Refuse(magno.KindStaleKey, "the key is older than answers are kept").WithField("key")
 	case recall.Full:
 		return refuseUnknown(magno.KindLater, "the ledger is full; send the same key again")
 	}
@@ -95,9 +95,9 @@
 // join handles a call whose key is already recorded.
 func (t *keyTable) join(r *record, rosters []magno.Roster, call Call) admission {
 	if r.bodyHash != call.BodyHash {
-		refusal := magno.Refuse(magno.KindMismatch, "the key was used for another request").At("key")
+		refusal := magno.Refuse(magno.KindMismatch, "the key was used for another request").WithField("key")
 		if !r.granted() {
-			refusal = refusal.Ran(magno.RunUnknown)
+			refusal = refusal.WithRun(magno.RunUnknown)
 		}
 		return admission{refusal: refusal}
 	}
@@ -178,7 +178,7 @@
 func undecidedRefusal(v voteResult) *magno.Refusal {
 	switch v {
 	case voteBlocked:
-		return refuseUnknown(magno.KindUnknown, "other agents hold part of the grants; send the same key again").Later(magno.Second)
+		return refuseUnknown(magno.KindUnknown, "other agents hold part of the grants; send the same key again").WithRetryAfter(magno.Second)
 	case voteImpossible:
 		return refuseUnknown(magno.KindUnknown, "witnesses were replaced since the key was issued")
 	}
@@ -210,5 +210,5 @@
 
 // refuseUnknown returns a refusal that leaves open whether the key was run.
 func refuseUnknown(kind magno.Kind, detail string) *magno.Refusal {
-	return magno.Refuse(kind, "%s", detail).Ran(magno.RunUnknown)
+	return magno.Refuse(kind, "%s", detail).WithRun(magno.RunUnknown)
 }
--- a/magno/once/cost_test.go
+++ b/magno/once/cost_test.go
@@ -61,13 +61,13 @@
 
 func (f fleet) newCluster() *cluster {
 	c := newCluster(1)
-	c.roster.Members, c.roster.Places = nil, map[string]string{}
+	c.roster.Members, c.roster.DataCentres = nil, map[string]string{}
 	clear(c.network.witnesses)
 	c.clock = magno.NewClock(startTime)
 	for i := range f.agents {
 		name := fmt.Sprintf("a%02d", i)
 		c.roster.Members = append(c.roster.Members, name)
-		c.roster.Places[name] = fmt.Sprint("dc", i%4)
+		c.roster.DataCentres[name] = fmt.Sprint("dc", i%4)
 		c.startWitness(name)
 	}
 	c.clock.Advance(2*skew + 1)
@@ -77,7 +77,7 @@
 // stopWitnesses stops the witnesses for which stopped returns true.
 func (c *cluster) stopWitnesses(stopped func(i int, place string) bool) {
 	for i, m := range c.roster.Members {
-		if stopped(i, c.roster.Places[m]) {
+		if stopped(i, c.roster.DataCentres[m]) {
 			delete(c.network.witnesses, m)
 		}
 	}
@@ -100,7 +100,7 @@
 		{"a data centre lost", func(c *cluster) { c.stopWitnesses(func(_ int, p string) bool { return p == "dc0" }) }, 0},
 		{"one agent just replaced", func(c *cluster) { c.startWitness(c.roster.Members[0]) }, 0},
 		{"a data centre just started anew", func(c *cluster) {
-			for m, p := range c.roster.Places {
+			for m, p := range c.roster.DataCentres {
 				if p == "dc0" {
 					c.startWitness(m)
 				}
@@ -146,7 +146,7 @@
 				c := f.newCluster()
 				c.stopWitnesses(func(_ int, p string) bool { return p == lost })
 				l := c.newLedger("home")
-				l.Asker = &delayedNetwork{"dc0", f, c.roster.Places, c.network.witnesses}
+				l.Asker = &delayedNetwork{"dc0", f, c.roster.DataCentres, c.network.witnesses}
 				l.MaxKeys = b.N
 				waits := make([]time.Duration, b.N)
 				for n := range b.N {
@@ -173,7 +173,7 @@
 	}
 	l := c.newLedger("reading-agent-07")
 	l.Incarnation = key(startTime, 1)
-	l.Asker = &delayedNetwork{"", fleet{}, c.roster.Places, c.network.witnesses}
+	l.Asker = &delayedNetwork{"", fleet{}, c.roster.DataCentres, c.network.witnesses}
 	l.MaxKeys = b.N
 	for _, w := range c.network.witnesses {
 		w.Open()
--- a/magno/once/history_test.go
+++ b/magno/once/history_test.go
@@ -74,11 +74,11 @@
 func newCluster(seed uint64) *cluster {
 	c := &cluster{clock: magno.NewClock(startTime)}
 	c.network = &network{rng: rand.New(rand.NewPCG(seed, 1)), witnesses: map[string]*witns.Witness{}, maxDelayMicros: 1}
-	c.roster = magno.Roster{Until: 10 * startTime, Places: map[string]string{}}
+	c.roster = magno.Roster{Until: 10 * startTime, DataCentres: map[string]string{}}
 	for i := range 9 {
 		name := fmt.Sprintf("w%d", i)
 		c.roster.Members = append(c.roster.Members, name)
-		c.roster.Places[name] = fmt.Sprint("dc", i%4)
+		c.roster.DataCentres[name] = fmt.Sprint("dc", i%4)
 		c.startWitness(name)
 	}
 	c.clock.Advance(2*skew + 1)
--- a/magno/once/ledger.go
+++ b/magno/once/ledger.go
@@ -65,7 +65,7 @@
 	Incarnation string
 	// Rosters returns the rosters of the current configuration.
 	Rosters func() []magno.Roster
-	Asker   magno.Asker
+	Asker   magno.WitnessClient
 	// Retention is how long answers are replayed, counted from the issue time of the
 	// key. Older keys are refused.
 	Retention magno.Millis
@@ -132,7 +132,7 @@
 func (l *Ledger) acquire(ctx context.Context, r *record) bool {
 	backoff := initialBackoff
 	for i := 1; l.runRound(ctx, r) == voteBlocked && i < maxRounds; i++ {
-		time.Sleep(backoff.Span())
+		time.Sleep(backoff.Duration())
 		backoff *= 2
 	}
 	l.mu.Lock()
@@ -153,7 +153,7 @@
 
 // runRound asks all witnesses in parallel and returns as soon as the result is decided.
 func (l *Ledger) runRound(ctx context.Context, r *record) voteResult {
-	ctx, cancel := context.WithTimeout(ctx, l.RoundTimeout.Span())
+	ctx, cancel := context.WithTimeout(ctx, l.RoundTimeout.Duration())
 	defer cancel()
 	l.mu.Lock()
 	requests := l.table.startRound(r)
@@ -196,7 +196,7 @@
 // cede passes this process's grants on to the rival. A lost message only delays the
 // rival.
 func (l *Ledger) cede(ctx context.Context, requests []grantRequest) {
-	ctx, cancel := context.WithTimeout(ctx, l.RoundTimeout.Span())
+	ctx, cancel := context.WithTimeout(ctx, l.RoundTimeout.Duration())
 	defer cancel()
 	replies := l.sendAll(ctx, requests)
 	for range requests {
--- a/magno/once/ledger_test.go
+++ b/magno/once/ledger_test.go
@@ -162,7 +162,7 @@
 // witnesses.
 func TestFreshKeysRunWithoutADataCentre(t *testing.T) {
 	c := newCluster(1)
-	for name, place := range c.roster.Places {
+	for name, place := range c.roster.DataCentres {
 		if place == "dc0" {
 			delete(c.network.witnesses, name)
 		}
--- a/magno/once/world_test.go
+++ b/magno/once/world_test.go
@@ -206,15 +206,15 @@
 
 // rosters returns the rosters known to a home. The two rosters share no member.
 func (sim *simulation) rosters(h *home) []magno.Roster {
-	first := magno.Roster{Since: 0, Until: secondRosterStart, Places: map[string]string{}}
-	second := magno.Roster{Since: secondRosterStart, Until: 10 * secondRosterStart, Places: map[string]string{}}
+	first := magno.Roster{Since: 0, Until: secondRosterStart, DataCentres: map[string]string{}}
+	second := magno.Roster{Since: secondRosterStart, Until: 10 * secondRosterStart, DataCentres: map[string]string{}}
 	for i, s := range sim.slots {
 		r := &first
 		if i >= 7 {
 			r = &second
 		}
 		r.Members = append(r.Members, s.name)
-		r.Places[s.name] = fmt.Sprint(s.dataCentre)
+		r.DataCentres[s.name] = fmt.Sprint(s.dataCentre)
 	}
 	if !h.staleConfig {
 		return []magno.Roster{first, second}
--- a/magno/page_test.go
+++ b/magno/page_test.go
@@ -28,7 +28,7 @@
 	words := map[bool]string{true: "yes", false: "no"}
 	for _, k := range Kinds() {
 		a := k.Answer()
-		row := fmt.Sprintf("\n| `%s` | %d | %s | %s | ", k, a.Status, a.Run, words[a.Again])
+		row := fmt.Sprintf("\n| `%s` | %d | %s | %s | ", k, a.Status, a.Run, words[a.Retryable])
 		if !strings.Contains(text, row) {
 			t.Errorf("the page lacks the row%s", row)
 		}
--- a/magno/plain/plain.go
+++ b/magno/plain/plain.go
@@ -34,7 +34,7 @@
 }
 
 func init() {
-	magno.Register(magno.SortUpstream, string(magno.PoolPlain), func() any { return &Upstream{} })
+	magno.Register(magno.PluginUpstream, string(magno.PoolPlain), func() any { return &Upstream{} })
 }
 
 // SetAddress sets the service's address and ignores the fence.
@@ -61,7 +61,7 @@
 		return magno.Result{}, magno.Refuse(magno.KindMalformed, "%v", err)
 	}
 	req.GetBody = nil
-	req.Header.Set("Content-Type", w.Type)
+	req.Header.Set("Content-Type", w.ContentType)
 	req.Header.Set("X-Request-Id", w.Job.ID)
 	resp, err := p.Client.Do(req)
 	if err != nil {
@@ -84,7 +84,7 @@
 		return magno.Result{}, magno.Refuse(magno.KindInterrupted, "the upstream's answer doesn't say where it ends")
 	}
 	emit(magno.Piece{Text: string(body), Tokens: 1})
-	return magno.Result{Text: string(body), Type: resp.Header.Get("Content-Type"), Output: 1}, nil
+	return magno.Result{Text: string(body), ContentType: resp.Header.Get("Content-Type"), Output: 1}, nil
 }
 
 func transportError(written bool, err error) error {
@@ -99,11 +99,11 @@
 	case http.StatusTooManyRequests:
 		return magno.Refuse(magno.KindBusy, "the upstream answered %d: %s", status, body)
 	case http.StatusBadRequest, http.StatusNotFound:
-		return magno.Refuse(magno.KindMalformed, "the upstream answered %d: %s", status, body).Ran(magno.RunUnknown)
+		return magno.Refuse(magno.KindMalformed, "the upstream answered %d: %s", status, body).WithRun(magno.RunUnknown)
 	case http.StatusServiceUnavailable:
 		return magno.Refuse(magno.KindUnknown, "the upstream answered %d: %s", status, body)
 	}
-	return magno.Refuse(magno.KindFailed, "the upstream answered %d: %s", status, body).Ran(magno.RunUnknown)
+	return magno.Refuse(magno.KindFailed, "the upstream answered %d: %s", status, body).WithRun(magno.RunUnknown)
 }
 
 // Load does nothing.
--- a/magno/plan.go
+++ b/magno/plan.go
@@ -8,12 +8,12 @@
 // The kinds of route.
 const (
 	// KindOnce requests run at most once for each attempt of the caller.
-	KindOnce RouteKind = iota
+	RouteOnce RouteKind = iota
 	// KindRepeat requests are idempotent.
-	KindRepeat
+	RouteIdempotent
 	// KindStream answers come as events; they count as KindOnce unless the
 	// route allows to resume them.
-	KindStream
+	RouteStream
 )
 
 // Part is a share of a route's traffic.
@@ -50,7 +50,7 @@
 
 // Repeatable is true when a request that may have run can be sent again.
 func (r *Route) Repeatable() bool {
-	return r.Kind == KindRepeat || (r.Kind == KindStream && r.Resume)
+	return r.Kind == RouteIdempotent || (r.Kind == RouteStream && r.Resume)
 }
 
 // Model is a base model that upstreams of a service can hold.
@@ -118,8 +118,8 @@
 type Replica struct {
 	// ID and Born together name one incarnation: an upstream that starts again
 	// may keep its ID and has forgotten everything.
-	ID   string `json:"id"`
-	Born Millis `json:"born"`
+	ID        string `json:"id"`
+	StartedAt Millis `json:"born"`
 	// Service, Address and DataCentre are never empty.
 	Service    string `json:"service"`
 	Address    string `json:"address"`
@@ -134,7 +134,7 @@
 }
 
 // Key names the incarnation.
-func (r *Replica) Key() string { return r.ID + "@" + strconv.FormatInt(int64(r.Born), 10) }
+func (r *Replica) Key() string { return r.ID + "@" + strconv.FormatInt(int64(r.StartedAt), 10) }
 
 // Change is one item of the platform's list, as it was written or removed at a
 // revision. At most one of Plan, Replica and Pin is set.
@@ -148,8 +148,8 @@
 	Fault string `json:"fault,omitempty"`
 	Plan  *Plan  `json:"-"`
 	// Packed is how other processes are told of Plan: an encoded delta.Delta.
-	Packed  []byte   `json:"plan,omitempty"`
-	Replica *Replica `json:"replica,omitempty"`
+	PlanDelta []byte   `json:"plan,omitempty"`
+	Replica   *Replica `json:"replica,omitempty"`
 	// Pin declares the newest version of an adapter.
 	Pin *Pin `json:"pin,omitempty"`
 }
--- a/magno/proc/proc.go
+++ b/magno/proc/proc.go
@@ -76,8 +76,8 @@
 }
 
 // Duties are those of the parts.
-func (p *Process) Duties() []magno.Duty {
-	return []magno.Duty{p.Mesh, p.Node, p.Fleet, &follow{p}}
+func (p *Process) Tasks() []magno.Task {
+	return []magno.Task{p.Mesh, p.Node, p.Fleet, &follow{p}}
 }
 
 // follow brings each new version to the daemon's parts that keep a copy.
@@ -85,7 +85,7 @@
 	process *Process
 }
 
-// Name implements magno.Duty.
+// Name implements magno.Task.
 func (f *follow) Name() string { return "follow" }
 
 // Run follows the configuration until ctx ends.
--- a/magno/retry/retry.go
+++ b/magno/retry/retry.go
@@ -102,7 +102,7 @@
 		return false
 	}
 	if r.Run == magno.RunNo {
-		return r.Kind.Answer().Again
+		return r.Kind.Answer().Retryable
 	}
 	return repeat && r.Run == magno.RunUnknown
 }
--- a/magno/roster/roster.go
+++ b/magno/roster/roster.go
@@ -103,7 +103,7 @@
 	byDataCentre := make(map[string][]candidate, 8)
 	seed := xxhash.Sum64String(key)
 	for _, name := range r.Members {
-		m := candidate{name, r.Places[name], mix(xxhash.Sum64String(name) ^ seed)}
+		m := candidate{name, r.DataCentres[name], mix(xxhash.Sum64String(name) ^ seed)}
 		top := byDataCentre[m.dataCentre]
 		if len(top) == SetSize && !m.ranksBefore(top[SetSize-1]) {
 			continue
@@ -196,7 +196,7 @@
 		for _, n := range b.Members {
 			found = found || m == n
 		}
-		if !found || a.Places[m] != b.Places[m] {
+		if !found || a.DataCentres[m] != b.DataCentres[m] {
 			return false
 		}
 	}
--- a/magno/roster/roster_test.go
+++ b/magno/roster/roster_test.go
@@ -9,11 +9,11 @@
 )
 
 func newRoster(n, centres int) magno.Roster {
-	r := magno.Roster{Since: 100, Until: 200, Places: map[string]string{}}
+	r := magno.Roster{Since: 100, Until: 200, DataCentres: map[string]string{}}
 	for i := range n {
 		name := fmt.Sprint("i", i)
 		r.Members = append(r.Members, name)
-		r.Places[name] = fmt.Sprint("dc", i%centres)
+		r.DataCentres[name] = fmt.Sprint("dc", i%centres)
 	}
 	return r
 }
@@ -31,8 +31,8 @@
 			}
 			in := map[string]int{}
 			for i, m := range set.Members {
-				in[r.Places[m]]++
-				if slices.Contains(set.Members[:i], m) || in[r.Places[m]] > 2 {
+				in[r.DataCentres[m]]++
+				if slices.Contains(set.Members[:i], m) || in[r.DataCentres[m]] > 2 {
 					t.Fatalf("of %d, key %d: %v", n, k, set.Members)
 				}
 			}
@@ -83,7 +83,7 @@
 		return r
 	}
 	moved := at(0, 100, 8)
-	moved.Places["i0"] = "dc3"
+	moved.DataCentres["i0"] = "dc3"
 	old := []magno.Roster{at(0, 100, 8)}
 	tests := []struct {
 		name string
--- a/magno/route/choose.go
+++ b/magno/route/choose.go
@@ -56,7 +56,7 @@
 	c := magno.Choice{Names: names}
 	if len(names) > 1 {
 		first, second := r.candidates[0], r.candidates[1]
-		c.Most = magno.Millis(r.expectedWait(&full, first.peer)+max(second.cost-first.cost, 0)) + waitSlack
+		c.MaxWait = magno.Millis(r.expectedWait(&full, first.peer)+max(second.cost-first.cost, 0)) + waitSlack
 	}
 	return c
 }
@@ -190,10 +190,10 @@
 // longest pauses of an engine's streams are distributed about exponentially, so their
 // average gives the share that exceeds the limit.
 func pauseCost(q *query, p *peer) float64 {
-	if q.Gap <= 0 || p.report.Pause <= 0 {
+	if q.Gap <= 0 || p.report.EventGap <= 0 {
 		return 0
 	}
-	return float64(q.Aim) * math.Exp(-float64(q.Gap)/float64(p.report.Pause))
+	return float64(q.Aim) * math.Exp(-float64(q.Gap)/float64(p.report.EventGap))
 }
 
 // workCost returns the delay caused by work sent since the last report, and by a share
@@ -216,11 +216,11 @@
 	if p.holds(q.hash) {
 		return wait
 	}
-	if _, coming := slices.BinarySearch(p.report.Coming, q.hash); coming {
+	if _, coming := slices.BinarySearch(p.report.Loading, q.hash); coming {
 		return max(wait, float64(r.Tuning.MinLoad))
 	}
-	if _, inMemory := slices.BinarySearch(p.report.Kept, q.hash); inMemory {
-		return max(wait, float64(min(p.report.KeptWait, q.maxLoadWait))) + float64(r.Tuning.LoadMargin)
+	if _, inMemory := slices.BinarySearch(p.report.Cached, q.hash); inMemory {
+		return max(wait, float64(min(p.report.CachedWait, q.maxLoadWait))) + float64(r.Tuning.LoadMargin)
 	}
 	load := min(max(p.report.LoadWait, r.Tuning.MinLoad), q.maxLoadWait)
 	return max(wait, float64(load)) + float64(r.Tuning.LoadMargin)
--- a/magno/route/home.go
+++ b/magno/route/home.go
@@ -28,7 +28,7 @@
 	homeProbes = 4
 )
 
-var _ magno.Homer = (*Router)(nil)
+var _ magno.HomeRouter = (*Router)(nil)
 
 // home is a candidate home of a key. Homes are ordered by steps of wait, then by hash.
 type home struct {
--- a/magno/route/route.go
+++ b/magno/route/route.go
@@ -82,7 +82,7 @@
 )
 
 func init() {
-	magno.Register(magno.SortRouter, Plugin, func() any { return &Router{} })
+	magno.Register(magno.PluginRouter, Plugin, func() any { return &Router{} })
 }
 
 // Router implements magno.Router. Its exported fields are set before use.
@@ -168,15 +168,15 @@
 	if p == nil {
 		return
 	}
-	r.updateIndexes(p, b.Warm, b.Kept)
+	r.updateIndexes(p, b.Warm, b.Cached)
 	p.report, p.reportedAt, p.sentWork = b, r.Clock.Now(), 0
 }
 
 // updateIndexes replaces the adapters that p reported as loaded and as in memory.
 func (r *Router) updateIndexes(p *peer, loaded, inMemory []uint32) {
 	r.holders.update(p, p.report.Warm, loaded)
-	r.memHolders.update(p, p.report.Kept, inMemory)
-	p.report.Warm, p.report.Kept = loaded, inMemory
+	r.memHolders.update(p, p.report.Cached, inMemory)
+	p.report.Warm, p.report.Cached = loaded, inMemory
 }
 
 // Sent records that work was sent; a negative amount takes back work that wasn't.
--- a/magno/route/route_test.go
+++ b/magno/route/route_test.go
@@ -278,13 +278,13 @@
 		memHolder = "u4"
 	}
 	for i := range 18 {
-		r.Report(fmt.Sprint("u", i), magno.Backlog{LoadWait: 250, KeptWait: 25})
+		r.Report(fmt.Sprint("u", i), magno.Backlog{LoadWait: 250, CachedWait: 25})
 	}
-	r.Report(memHolder, magno.Backlog{LoadWait: 250, KeptWait: 25, Kept: []uint32{ref(1).Hash()}})
+	r.Report(memHolder, magno.Backlog{LoadWait: 250, CachedWait: 25, Cached: []uint32{ref(1).Hash()}})
 	if got := first(r, 100, magno.Query{Ref: ref(1)}); got[memHolder] != 100 {
 		t.Errorf("got %v, the adapter is in memory on %s", got, memHolder)
 	}
-	r.Report(memHolder, magno.Backlog{LoadWait: 2250, KeptWait: 2025, Kept: []uint32{ref(1).Hash()}})
+	r.Report(memHolder, magno.Backlog{LoadWait: 2250, CachedWait: 2025, Cached: []uint32{ref(1).Hash()}})
 	if got := first(r, 100, magno.Query{Ref: ref(1)}); got[home] != 100 {
 		t.Errorf("got %v while the target with the adapter in memory has no slot for two seconds", got)
 	}
@@ -305,12 +305,12 @@
 	r.Report("u0", magno.Backlog{Warm: warm, Wait: 100})
 	r.Report("u1", magno.Backlog{Warm: warm, Wait: 400})
 	c := r.Choose(magno.Query{Ref: ref(1)})
-	if c.Names[0] != "u0" || c.Most < 395 || c.Most > 425 {
+	if c.Names[0] != "u0" || c.MaxWait < 395 || c.MaxWait > 425 {
 		t.Errorf("got %+v, want u0 up to a wait of about 400 ms", c)
 	}
 	r.Update(fleet(1))
-	if c := r.Choose(magno.Query{Ref: ref(1)}); c.Most != 0 {
-		t.Errorf("got a limit of %d ms with a single target, want none", c.Most)
+	if c := r.Choose(magno.Query{Ref: ref(1)}); c.MaxWait != 0 {
+		t.Errorf("got a limit of %d ms with a single target, want none", c.MaxWait)
 	}
 }
 
--- a/magno/sched/machine_test.go
+++ b/magno/sched/machine_test.go
@@ -40,15 +40,15 @@
 func (m *machine) offer(t *rapid.T) {
 	m.lastID++
 	job := magno.Job{
-		ID:       fmt.Sprintf("j%d", m.lastID),
-		Customer: rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "customer"),
-		Caller:   rapid.SampledFrom([]string{"x", "y"}).Draw(t, "caller"),
-		Urgency:  rapid.IntRange(0, 9).Draw(t, "urgency"),
-		Stall:    rapid.Float64Range(0, 1).Draw(t, "stall"),
-		Prompt:   rapid.IntRange(0, 100).Draw(t, "prompt"),
-		Output:   rapid.IntRange(1, 200).Draw(t, "output"),
-		Print:    rapid.Uint64Range(0, 9).Draw(t, "print"),
-		Arrived:  m.clock.Now(),
+		ID:          fmt.Sprintf("j%d", m.lastID),
+		Customer:    rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "customer"),
+		Caller:      rapid.SampledFrom([]string{"x", "y"}).Draw(t, "caller"),
+		Urgency:     rapid.IntRange(0, 9).Draw(t, "urgency"),
+		Stall:       rapid.Float64Range(0, 1).Draw(t, "stall"),
+		Prompt:      rapid.IntRange(0, 100).Draw(t, "prompt"),
+		Output:      rapid.IntRange(1, 200).Draw(t, "output"),
+		Fingerprint: rapid.Uint64Range(0, 9).Draw(t, "print"),
+		Arrived:     m.clock.Now(),
 	}
 	job.Deadline = job.Arrived + magno.Millis(rapid.SampledFrom([]int{60000, 600000, 5000, 500, -1}).Draw(t, "deadline"))
 	if n := rapid.IntRange(0, 5).Draw(t, "adapter"); n > 0 {
@@ -60,14 +60,14 @@
 		return
 	}
 	m.queued[job.ID] = job
-	m.exclusive[job.ID] = m.crashed[job.Print]
+	m.exclusive[job.ID] = m.crashed[job.Fingerprint]
 }
 
 func (m *machine) checkRefusal(t *rapid.T, job magno.Job, r *magno.Refusal) {
 	if r.Run != magno.RunNo {
 		t.Fatalf("%s was refused with run %q, want that it did not run", job.ID, r.Run)
 	}
-	if r.Kind.Answer().Again != (r.After > 0) {
+	if r.Kind.Answer().Retryable != (r.After > 0) {
 		t.Fatalf("%s was refused as %s with a retry after %d ms", job.ID, r.Kind, r.After)
 	}
 	m.recordEnd(t, job.ID, "refused")
@@ -152,7 +152,7 @@
 	ok := rapid.Bool().Draw(t, "ok")
 	m.s.Done(id, ok)
 	if ok {
-		delete(m.crashed, m.running[id].Print)
+		delete(m.crashed, m.running[id].Fingerprint)
 	}
 	delete(m.running, id)
 	m.recordEnd(t, id, "started")
@@ -212,7 +212,7 @@
 		if _, ok := m.running[id]; !ok {
 			t.Fatalf("Reset returned %s, which was not running", id)
 		}
-		if print := m.running[id].Print; print != 0 {
+		if print := m.running[id].Fingerprint; print != 0 {
 			m.crashed[print] = true
 		}
 		m.recordEnd(t, id, "gone")
@@ -281,7 +281,7 @@
 		m.next(t)
 		for _, id := range sortedKeys(m.running) {
 			m.s.Done(id, true)
-			delete(m.crashed, m.running[id].Print)
+			delete(m.crashed, m.running[id].Fingerprint)
 			delete(m.running, id)
 			m.recordEnd(t, id, "started")
 		}
--- a/magno/sched/next.go
+++ b/magno/sched/next.go
@@ -37,7 +37,7 @@
 			s.gate.ObserveLateLoad()
 		}
 		r := magno.Refuse(magno.KindDeadline, "it can't end before its deadline any more").
-			Later(s.gate.EstimateWait(s.queue.ReadyRun(), 0, it.Run))
+			WithRetryAfter(s.gate.EstimateWait(s.queue.ReadyRun(), 0, it.Run))
 		orders = append(orders, magno.Order{Kind: magno.OrderRefuse, Job: it.Job, Ref: it.Job.Ref, Refusal: r})
 	}
 	return orders
--- a/magno/sched/report.go
+++ b/magno/sched/report.go
@@ -15,7 +15,7 @@
 	prints := make([]uint64, 0, len(s.runs))
 	for id, r := range s.runs {
 		ids = append(ids, id)
-		prints = append(prints, r.job.Print)
+		prints = append(prints, r.job.Fingerprint)
 	}
 	sort.Strings(ids)
 	s.Suspects.RecordCrash(prints)
@@ -69,5 +69,5 @@
 
 var (
 	_ magno.Scheduler = (*Sched)(nil)
-	_ magno.Turner    = (*Sched)(nil)
+	_ magno.TurnTaker = (*Sched)(nil)
 )
--- a/magno/sched/sched.go
+++ b/magno/sched/sched.go
@@ -29,7 +29,7 @@
 const meanGain = 0.02
 
 func init() {
-	magno.Register(magno.SortScheduler, Plugin, func() any { return &Sched{} })
+	magno.Register(magno.PluginScheduler, Plugin, func() any { return &Sched{} })
 }
 
 // Tuning holds the scheduler's parameters. Zero values mean the defaults of the
@@ -58,7 +58,7 @@
 	long      bool
 }
 
-// Sched implements magno.Scheduler and magno.Turner. Its exported fields are
+// Sched implements magno.Scheduler and magno.TurnTaker. Its exported fields are
 // set before use.
 type Sched struct {
 	// Clock is the machine's clock if nil.
@@ -152,7 +152,7 @@
 	if s.runs[job.ID] != nil || s.queue.Has(job.ID) {
 		return magno.Refuse(magno.KindInternal, "attempt %s is here already", job.ID)
 	}
-	if s.Suspects.MustRefuse(job.Print) {
+	if s.Suspects.MustRefuse(job.Fingerprint) {
 		return magno.Refuse(magno.KindSuspect, "requests like it crashed upstreams")
 	}
 	now := s.Clock.Now()
@@ -161,7 +161,7 @@
 	if r := s.gate.Admit(now, &job, s.admissionView(&job, run, now)); r != nil {
 		return r
 	}
-	it := &share.Item{Job: job, Run: run, Patience: s.gate.LoadPatience(now, &job), Long: s.isLong(run), Exclusive: s.Suspects.MustRunAlone(job.Print)}
+	it := &share.Item{Job: job, Run: run, Patience: s.gate.LoadPatience(now, &job), Long: s.isLong(run), Exclusive: s.Suspects.MustRunAlone(job.Fingerprint)}
 	s.queue.Add(it, s.slots.Ready(job.Ref), job.Deadline-run)
 	return nil
 }
@@ -228,7 +228,7 @@
 	}
 	s.gate.ObserveRun(&r.job, now-r.started)
 	s.gate.ObserveEnd(r.job.Customer, now <= r.job.Deadline)
-	s.Suspects.Clear(r.job.Print)
+	s.Suspects.Clear(r.job.Fingerprint)
 }
 
 // removeRun removes an ended job from the started ones.
--- a/magno/sched/tuner.go
+++ b/magno/sched/tuner.go
@@ -7,7 +7,7 @@
 	"magnoliastall.example/magno/crash"
 )
 
-var _ magno.Tuner = (*Sched)(nil)
+var _ magno.Configurable = (*Sched)(nil)
 
 // SetClock sets the clock. It must be called before the first job.
 func (s *Sched) SetClock(clock *magno.Clock) { s.Clock = clock }
--- a/magno/site.go
+++ b/magno/site.go
@@ -9,7 +9,7 @@
 
 // SortSite is the sort of plug-in that speaks for a platform; its maker
 // returns a Site.
-const SortSite = "site"
+const PluginSite = "site"
 
 // Site is a platform that processes run on. An implementation translates and
 // decides nothing.
@@ -20,7 +20,7 @@
 	// Lister reads what the platform publishes at address.
 	Lister(address string) Lister
 	// Engine speaks to the upstream at address.
-	Engine(address string) Engineer
+	Engine(address string) EngineClient
 	// Dialect reads and writes the headers of requests and answers.
 	Dialect() Dialect
 	// ReadyPath is where the balancer asks whether new connections are wanted.
@@ -35,17 +35,17 @@
 	IP string
 	// Callers, Ready and Peers are addresses to listen on, empty when this
 	// process does not serve them.
-	Callers, Ready, Peers string
+	CallerAddress, ReadyAddress, PeerAddress string
 	// Inner is a port for calls between processes beside upstreams, and Spare
 	// one for metrics; both are the same on all machines.
-	Inner, Spare int
+	InternalPort, MetricsPort int
 	// Upstream is the address of the upstream beside this process, Service
 	// the pool that it belongs to.
-	Upstream, Service string
+	UpstreamAddress, Service string
 	// Seeds are Peers addresses of up to three entries; some may be gone.
 	Seeds []string
 	// List is the address of the platform's list.
-	List string
+	ListAddress string
 	// Grace is the time from the request to stop to the end by force.
 	Grace Millis
 	// Lease is how long an order counts as its giver's.
@@ -56,15 +56,15 @@
 	RetryWindow            Millis
 	// Revoke is how long after a key is withdrawn it may still be accepted, by processes
 	// that are cut off as well; zero where that isn't bounded.
-	Revoke Millis
+	MaxRevokeDelay Millis
 	// QuotaWindow is the span in which customers' allowances are bounded, zero where the
 	// platform states none.
 	QuotaWindow Millis
 	// Memory is the limit of this process in bytes, zero when there is none.
-	Memory int64
+	MemoryLimit int64
 	// Link is the bandwidth of this machine's link in megabits a second, zero
 	// when the platform doesn't say.
-	Link float64
+	LinkMbps float64
 }
 
 // ErrCompacted tells that the list no longer has the changes asked for; all
@@ -103,7 +103,7 @@
 }
 
 // Onward is what an entry adds to a request that it sends on.
-type Onward struct {
+type ForwardInfo struct {
 	// Replica is the only incarnation that may run it.
 	Replica string
 	// Left is the time that remains.
@@ -129,7 +129,7 @@
 	NotRun bool
 	// Elsewhere is true when another incarnation answered in its place, or
 	// the model isn't held; NotRun is true as well.
-	Elsewhere bool
+	Misrouted bool
 	// Signed is true when the answer carries the upstream's signature.
 	Signed bool
 }
@@ -140,7 +140,7 @@
 	// may not set.
 	Read(h http.Header) Call
 	// Write sets what goes with a request to an upstream.
-	Write(h http.Header, o Onward)
+	Write(h http.Header, o ForwardInfo)
 	// Reply reads an upstream's answer.
 	Reply(status int, h http.Header) Reply
 }
@@ -148,7 +148,7 @@
 // Report is what an engine says of itself.
 type Report struct {
 	// Born changes with each start of the engine.
-	Born Millis
+	StartedAt Millis
 	// Orders counts the orders that it accepted since.
 	Orders int64
 	// Busy is true while it carries out an order that excludes others.
@@ -157,13 +157,13 @@
 	// can't yield, in tokens.
 	Running, Queued, Used int
 	// Held maps a base model to the adapters present and their versions.
-	Held map[string]map[string]int64
+	Loaded map[string]map[string]int64
 	// Coming lists adapters that are being loaded.
-	Coming []Pin
+	Loading []Pin
 	// Warm lists base models that load without the weight store.
-	Warm []string
+	OnDisk []string
 	// Runs lists the requests that make events.
-	Runs []Stream
+	Streams []Stream
 }
 
 // Stream is a request that an engine works on and that has begun to answer.
@@ -194,13 +194,13 @@
 
 // The outcomes of an order. Without an answer it may have been accepted.
 const (
-	OrderUnknown  Outcome = iota
-	OrderAccepted         // it is being carried out
-	OrderDone             // it holds already
-	OrderBusy             // another order is under way
-	OrderFenced           // a higher fence was seen
-	OrderElse             // another incarnation, or the model isn't there
-	OrderInvalid          // no such order exists
+	OrderUnknown   Outcome = iota
+	OrderAccepted          // it is being carried out
+	OrderDone              // it holds already
+	OrderBusy              // another order is under way
+	OrderFenced            // a higher fence was seen
+	OrderMisrouted         // another incarnation, or the model isn't there
+	OrderInvalid           // no such order exists
 )
 
 // outcomeNames are what logs say.
@@ -210,7 +210,7 @@
 func (o Outcome) String() string { return outcomeNames[o] }
 
 // Engineer is an engine as the process beside it sees it.
-type Engineer interface {
+type EngineClient interface {
 	Report(ctx context.Context) (*Report, error)
 	Order(ctx context.Context, c Command) (Outcome, error)
 }
--- a/magno/spread/node.go
+++ b/magno/spread/node.go
@@ -81,7 +81,7 @@
 	sent, received, exchanges, failures, overBudget *metrics.Counter
 }
 
-// Name implements magno.Duty.
+// Name implements magno.Task.
 func (n *Node) Name() string { return "spread" }
 
 // Open registers the handlers on the mesh. It is called once, before the mesh or
@@ -140,7 +140,7 @@
 	defer n.wg.Wait()
 	defer cancel()
 	changes := n.Store.Subscribe()
-	ticks := time.NewTicker(tickInterval.Span())
+	ticks := time.NewTicker(tickInterval.Duration())
 	defer ticks.Stop()
 	reader := &role{name: "reader", log: n.Log}
 	defer reader.stop()
@@ -246,7 +246,7 @@
 }
 
 func (n *Node) call(ctx context.Context, addr, method string, params, result any) error {
-	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout.Span())
+	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout.Duration())
 	defer cancel()
 	return n.Mesh.Call(ctx, addr, method, params, result)
 }
@@ -254,7 +254,7 @@
 // pull fetches the configuration from a peer.
 func (n *Node) pull(ctx context.Context, from gossip.Outbound) {
 	defer n.wg.Done()
-	ctx, cancel := context.WithTimeout(ctx, pullTimeout.Span())
+	ctx, cancel := context.WithTimeout(ctx, pullTimeout.Duration())
 	defer cancel()
 	version, err := n.mender.Pull(ctx, from.Name, func(ctx context.Context, req mend.Request) (mend.Reply, error) {
 		var reply mend.Reply
--- a/magno/start/site.go
+++ b/magno/start/site.go
@@ -37,8 +37,8 @@
 		return setup.ExitUsage
 	}
 	debug.SetGCPercent(collect)
-	if set.Memory > 0 {
-		debug.SetMemoryLimit(int64(memoryPart * float64(set.Memory)))
+	if set.MemoryLimit > 0 {
+		debug.SetMemoryLimit(int64(memoryPart * float64(set.MemoryLimit)))
 	}
 	out := &lines.Writer{Out: os.Stdout}
 	defer out.Flush()
@@ -46,7 +46,7 @@
 }
 
 func settings(name string) (magno.Site, *magno.SiteSettings, error) {
-	made, err := magno.Plugin(magno.SortSite, name)
+	made, err := magno.NewPlugin(magno.PluginSite, name)
 	if err != nil {
 		return nil, nil, err
 	}
--- a/magno/start/start.go
+++ b/magno/start/start.go
@@ -29,8 +29,8 @@
 
 // Daemon is one process of the system. Fields are set before Run.
 type Daemon struct {
-	Duties []magno.Duty
-	Log    *slog.Logger
+	Tasks []magno.Task
+	Log   *slog.Logger
 	// Leave is called first at a planned stop: no new work from then on.
 	Leave func()
 	// Busy counts what a planned stop waits for.
@@ -90,8 +90,8 @@
 		d.wait(ctx, signals, hups)
 		cancel()
 	}()
-	kernel := magno.Kernel{Duties: d.Duties, OnEnd: func(end magno.End) {
-		d.Log.Info("duty", "name", end.Duty, "ended", true, "error", end.Err)
+	kernel := magno.Supervisor{Tasks: d.Tasks, OnExit: func(end magno.Exit) {
+		d.Log.Info("duty", "name", end.Task, "ended", true, "error", end.Err)
 	}}
 	err := kernel.Run(ctx)
 	cancel()
@@ -121,7 +121,7 @@
 	d.Leave()
 	ticker := time.NewTicker(drainLook)
 	defer ticker.Stop()
-	limit := time.After(d.Drain.Span())
+	limit := time.After(d.Drain.Duration())
 	for d.Busy() > 0 {
 		select {
 		case <-ctx.Done():
--- a/magno/turn/turn.go
+++ b/magno/turn/turn.go
@@ -46,7 +46,7 @@
 type Request struct {
 	Agent string    `json:"agent"`
 	Ref   magno.Ref `json:"ref"`
-	// DelayCost is the cost of the wait; see magno.Turner.
+	// DelayCost is the cost of the wait; see magno.TurnTaker.
 	DelayCost float64 `json:"harm"`
 	// ReceivedAt is when the coordinator received the request.
 	ReceivedAt magno.Millis `json:"-"`
--- a/magno/view/tell.go
+++ b/magno/view/tell.go
@@ -64,7 +64,7 @@
 func (s *Store) encodePlans(changes, bases []magno.Change) {
 	for i := range changes {
 		if c := &changes[i]; c.Plan != nil {
-			c.Packed = s.encodeDelta(delta.Diff(bases[i].Plan, bases[i].Revision, c.Plan))
+			c.PlanDelta = s.encodeDelta(delta.Diff(bases[i].Plan, bases[i].Revision, c.Plan))
 		}
 	}
 }
@@ -84,10 +84,10 @@
 	deltas := make([]*delta.Delta, len(changes))
 	for i := range changes {
 		c := &changes[i]
-		if c.Packed == nil || c.Revision <= known {
+		if c.PlanDelta == nil || c.Revision <= known {
 			continue
 		}
-		d, err := delta.Decode(c.Packed)
+		d, err := delta.Decode(c.PlanDelta)
 		if err != nil {
 			return nil, err
 		}
@@ -113,7 +113,7 @@
 			if err != nil {
 				return nil, err
 			}
-			c.Plan, c.Packed = plan, nil
+			c.Plan, c.PlanDelta = plan, nil
 		}
 		if c.Empty() {
 			return nil, errors.Newf("change of %s at revision %d is empty", c.Key, c.Revision)
@@ -170,8 +170,8 @@
 func (s *Store) Since(revision int64) Update {
 	u := s.collectSince(revision)
 	for i := range u.Changes {
-		if c := &u.Changes[i]; c.Plan != nil && c.Packed == nil {
-			c.Packed = s.encodeDelta(delta.Full(c.Plan))
+		if c := &u.Changes[i]; c.Plan != nil && c.PlanDelta == nil {
+			c.PlanDelta = s.encodeDelta(delta.Full(c.Plan))
 			s.cacheEncoded(c)
 		}
 	}
@@ -197,7 +197,7 @@
 		}
 		if rec.change.Revision > revision {
 			c := rec.change
-			c.Packed = rec.encodedPlan
+			c.PlanDelta = rec.encodedPlan
 			u.Changes = append(u.Changes, c)
 		}
 	}
@@ -209,6 +209,6 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if rec := s.items[c.Key]; rec != nil && rec.change.Revision == c.Revision {
-		rec.encodedPlan = c.Packed
+		rec.encodedPlan = c.PlanDelta
 	}
 }
--- a/magno/view/view.go
+++ b/magno/view/view.go
@@ -264,7 +264,7 @@
 	}
 	old, now := s.items[c.Key], s.Clock.Now()
 	rec := &record{change: *c, appliedAt: now}
-	rec.change.Packed = nil
+	rec.change.PlanDelta = nil
 	if c.Deleted && old != nil {
 		s.delayDeletion(rec, old, now)
 	}
--- a/magno/watch/reader.go
+++ b/magno/watch/reader.go
@@ -111,7 +111,7 @@
 			r.Log = slog.New(slog.DiscardHandler)
 		}
 		if r.Client == nil {
-			r.Client = &http.Client{Timeout: (watchTimeout + 5*magno.Second).Span()}
+			r.Client = &http.Client{Timeout: (watchTimeout + 5*magno.Second).Duration()}
 		}
 		if r.Metrics == nil {
 			r.Metrics = metrics.NewSet()
@@ -145,7 +145,7 @@
 		if errors.As(err, &busy) {
 			wait = max(wait, busy.wait)
 		}
-		magno.Pause(ctx, wait)
+		magno.Sleep(ctx, wait)
 		backoff = min(2*backoff, maxBackoff)
 	}
 	return nil
@@ -213,7 +213,7 @@
 	if response.Revision < r.revision {
 		// The service answered from a lagging replica or was reset. The index shows
 		// which; until then its watch may return at once, again and again.
-		magno.Pause(ctx, minWatchInterval)
+		magno.Sleep(ctx, minWatchInterval)
 		r.revision = response.Revision
 		return true, nil
 	}
@@ -224,7 +224,7 @@
 		}
 	}
 	if len(response.Keys) == 0 && r.Clock.Now()-startedAt < minWatchInterval {
-		magno.Pause(ctx, minWatchInterval)
+		magno.Sleep(ctx, minWatchInterval)
 	}
 	return len(response.Keys) == 0, nil
 }
--- a/magno/wire/call.go
+++ b/magno/wire/call.go
@@ -225,7 +225,7 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			ctx, cancel := context.WithTimeout(ctx, limit.Span())
+			ctx, cancel := context.WithTimeout(ctx, limit.Duration())
 			defer cancel()
 			if err := f(ctx, addr); err != nil {
 				failed(addr, err)
@@ -298,8 +298,8 @@
 // dial connects c. It does not use the context of the first caller, since others
 // wait for the same connection.
 func (m *Mesh) dial(c *peerConn) {
-	d := net.Dialer{Timeout: dialTimeout.Span(), KeepAliveConfig: net.KeepAliveConfig{
-		Enable: true, Idle: keepAliveIdle.Span(), Interval: keepAliveInterval.Span(), Count: keepAliveCount,
+	d := net.Dialer{Timeout: dialTimeout.Duration(), KeepAliveConfig: net.KeepAliveConfig{
+		Enable: true, Idle: keepAliveIdle.Duration(), Interval: keepAliveInterval.Duration(), Count: keepAliveCount,
 	}}
 	conn, err := d.DialContext(context.Background(), "tcp", c.addr)
 	if err != nil {
--- a/magno/wire/codec.go
+++ b/magno/wire/codec.go
@@ -79,7 +79,7 @@
 	defer c.mu.Unlock()
 	// Without a deadline a peer that stops reading would block all senders on this
 	// connection until TCP times out.
-	if err := c.conn.SetWriteDeadline(time.Now().Add(sendTimeout.Span())); err != nil {
+	if err := c.conn.SetWriteDeadline(time.Now().Add(sendTimeout.Duration())); err != nil {
 		return err
 	}
 	_, err := c.conn.Write(data)
--- a/magno/wire/conn.go
+++ b/magno/wire/conn.go
@@ -141,7 +141,7 @@
 	case c.denied:
 		return nil, magno.Refuse(magno.KindDenied, "%s is not an allowed peer", c.addr)
 	case handler == nil:
-		return nil, magno.Refuse(magno.KindInternal, "no method %q", req.Method).Ran(magno.RunNo)
+		return nil, magno.Refuse(magno.KindInternal, "no method %q", req.Method).WithRun(magno.RunNo)
 	}
 	return handler(ctx, &Peer{Addr: c.addr, conn: conn, call: callOf(req)}, paramsOf(req))
 }
--- a/magno/wire/mesh.go
+++ b/magno/wire/mesh.go
@@ -95,7 +95,7 @@
 	m.handlers[method] = h
 }
 
-// Name implements magno.Duty.
+// Name implements magno.Task.
 func (m *Mesh) Name() string { return "wire" }
 
 // Open binds the listen address. Callers may call it before Run to fail early if
@@ -209,7 +209,7 @@
 		if err != nil {
 			// Without a delay this would spin, for example while no file descriptors
 			// are free.
-			magno.Pause(ctx, acceptRetryDelay)
+			magno.Sleep(ctx, acceptRetryDelay)
 			continue
 		}
 		m.admit(conn)
@@ -256,7 +256,7 @@
 
 // sweep closes connections that reached their idle timeout, until ctx ends.
 func (m *Mesh) sweep(ctx context.Context) {
-	for magno.Pause(ctx, sweepInterval) {
+	for magno.Sleep(ctx, sweepInterval) {
 		m.mu.Lock()
 		conns := m.conns()
 		m.mu.Unlock()
--- a/magno/wire/mesh_test.go
+++ b/magno/wire/mesh_test.go
@@ -78,7 +78,7 @@
 func TestRefusalReachesCaller(t *testing.T) {
 	server := &Mesh{}
 	server.Handle("run", func(context.Context, *Peer, json.RawMessage) (any, error) {
-		return nil, magno.Refuse(magno.KindBusy, "full").Later(700).At("x")
+		return nil, magno.Refuse(magno.KindBusy, "full").WithRetryAfter(700).WithField("x")
 	})
 	server.Handle("fault", func(context.Context, *Peer, json.RawMessage) (any, error) {
 		return nil, errors.New("boom")
--- a/stand/build.go
+++ b/stand/build.go
@@ -25,7 +25,7 @@
 
 // buildDuties returns the duties of every configured service and binds its
 // addresses.
-func buildDuties(cfg config, log *slog.Logger) ([]magno.Duty, error) {
+func buildDuties(cfg config, log *slog.Logger) ([]magno.Task, error) {
 	configs := []config{cfg}
 	if cfg.Kind == kindAll {
 		configs = cfg.Services
@@ -33,7 +33,7 @@
 	if len(configs) == 0 {
 		return nil, fmt.Errorf("stands: no service is configured")
 	}
-	var duties []magno.Duty
+	var duties []magno.Task
 	for _, c := range configs {
 		s, err := c.newService()
 		if err != nil {
--- a/stand/conf/conf.go
+++ b/stand/conf/conf.go
@@ -69,7 +69,7 @@
 	Keys []string `json:"keys"`
 }
 
-// Name implements magno.Duty.
+// Name implements magno.Task.
 func (s *Service) Name() string { return s.Title }
 
 // Fault activates a fault, as POST /fault does.
--- a/stand/conf/watch.go
+++ b/stand/conf/watch.go
@@ -70,9 +70,9 @@
 // visible later than it is made, and nothing wakes the watch then.
 func (s *Service) maxSleep(remaining magno.Millis) time.Duration {
 	if _, stale := s.faults.Active(fault.Stale, ""); stale {
-		return min(remaining.Span(), stalePollInterval)
+		return min(remaining.Duration(), stalePollInterval)
 	}
-	return remaining.Span()
+	return remaining.Duration()
 }
 
 // changesAfter returns the changes after a revision, and a channel that is closed
--- a/stand/engine/engine.go
+++ b/stand/engine/engine.go
@@ -139,7 +139,7 @@
 	steps, capacity, used int64
 }
 
-// Name implements magno.Duty.
+// Name implements magno.Task.
 func (e *Engine) Name() string { return e.Title }
 
 // Fault activates a fault, as POST /fault does.
@@ -208,7 +208,7 @@
 func (e *Engine) runSteps(ctx context.Context) bool {
 	next := time.Now()
 	for {
-		next = next.Add(time.Duration(float64(e.StepTime.Span()) * e.faults.Slowdown("")))
+		next = next.Add(time.Duration(float64(e.StepTime.Duration()) * e.faults.Slowdown("")))
 		if now := time.Now(); next.Before(now) {
 			// After a stall of the machine, skip the missed steps instead of
 			// running them in a burst.
--- a/stand/insts/insts.go
+++ b/stand/insts/insts.go
@@ -46,7 +46,7 @@
 	Instances []magno.Instance `json:"instances"`
 }
 
-// Name implements magno.Duty.
+// Name implements magno.Task.
 func (l *List) Name() string { return l.Title }
 
 // Fault activates a fault, as POST /fault does.
--- a/stand/main.go
+++ b/stand/main.go
@@ -41,7 +41,7 @@
 		os.Exit(1)
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
-	kernel := magno.Kernel{Duties: duties}
+	kernel := magno.Supervisor{Tasks: duties}
 	err = kernel.Run(ctx)
 	stop()
 	if err != nil {
--- a/stand/main_test.go
+++ b/stand/main_test.go
@@ -82,7 +82,7 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
-	kernel := magno.Kernel{Duties: duties}
+	kernel := magno.Supervisor{Tasks: duties}
 	go func() { ended <- kernel.Run(ctx) }()
 	addrs := map[string]string{}
 	for _, line := range regexp.MustCompile(`msg=listening addr=(\S+) name=(?:"([^"]+)"|(\S+))`).FindAllStringSubmatch(log.String(), -1) {
--- a/stand/plain/plain.go
+++ b/stand/plain/plain.go
@@ -109,7 +109,7 @@
 	return Answer{Call: call, Sum: strconv.FormatUint(sum, 16), Number: int((sum ^ xxhash.Sum64String(call)) % numbers)}
 }
 
-// Name implements magno.Duty.
+// Name implements magno.Task.
 func (s *Service) Name() string { return s.Title }
 
 // Fault activates a fault, as POST /fault does.
--- a/stand/serve/serve.go
+++ b/stand/serve/serve.go
@@ -48,7 +48,7 @@
 	return listener.Addr().String(), nil
 }
 
-// Name implements magno.Duty.
+// Name implements magno.Task.
 func (s *Server) Name() string { return s.Title }
 
 // Run serves until ctx ends. Listen must be called first.
--- a/stand/weight/weight.go
+++ b/stand/weight/weight.go
@@ -70,7 +70,7 @@
 	MaxConcurrent int `json:"most"`
 }
 
-// Name implements magno.Duty.
+// Name implements magno.Task.
 func (s *Store) Name() string { return s.Title }
 
 // Fault activates a fault, as POST /fault does.
