--- a/agent/daemon/daemon.go
+++ b/agent/daemon/daemon.go
@@ -64,10 +64,10 @@
 // Main runs an agent and returns the exit code of the process.
 func Main(args []string) int {
 	opts := option.Default()
-	if code, ok := start.Options("agent", args, opts); !ok {
+	if code, ok := start.ParseOptions("agent", args, opts); !ok {
 		return code
 	}
-	log := start.Log(os.Stdout, opts.Name)
+	log := start.NewLogger(os.Stdout, opts.Name)
 	a, err := assemble(opts, log)
 	if err != nil {
 		log.Error("agent failed to start", "error", err)
@@ -75,7 +75,7 @@
 	}
 	log.Info("listening", "addr", a.Mesh.Addr(), "pool", opts.Pool, "dc", opts.DataCentre)
 	d := start.Daemon{
-		Tasks: a.duties(), Log: log, Leave: a.leave, Busy: a.server.Busy, Drain: magno.Millis(opts.Drain),
+		Tasks: a.duties(), Log: log, Leave: a.leave, Busy: a.server.Busy, DrainTimeout: magno.Millis(opts.Drain),
 	}
 	return d.Run()
 }
@@ -91,7 +91,7 @@
 	if err := a.Open(); err != nil {
 		return nil, err
 	}
-	a.Follow = a.applyConfig
+	a.OnConfig = a.applyConfig
 	// The fence is the time of the start, so that a later start has a higher one unless the clock
 	// was set back.
 	fence := int64(a.Clock.Now())
@@ -233,8 +233,8 @@
 func (a *agent) duties() []magno.Task {
 	return append(a.Tasks(), a.probe, a.loop, a.turns, &admin.Server{
 		Listen: a.opts.Admin, Allow: a.opts.Allow, Events: a.Events, Status: a.status,
-		Ready: func() bool { return a.ready() && a.witnessReady() && !a.server.Leaving() },
-		Bound: func(addr string) { a.Log.Info("listening", "admin", addr) },
+		Ready:   func() bool { return a.ready() && a.witnessReady() && !a.server.Leaving() },
+		OnBound: func(addr string) { a.Log.Info("listening", "admin", addr) },
 	})
 }
 
--- a/agent/option/option.go
+++ b/agent/option/option.go
@@ -41,11 +41,11 @@
 // Check implements setup.Checker.
 func (o *Option) Check() error {
 	if o.Kind != string(magno.PoolEngine) && o.Kind != string(magno.PoolPlain) {
-		return &setup.Fault{Key: "kind", What: "is neither engine nor plain"}
+		return &setup.Error{Key: "kind", Message: "is neither engine nor plain"}
 	}
 	for key, value := range map[string]string{"name": o.Name, "dc": o.DataCentre, "pool": o.Pool} {
 		if value == "" {
-			return &setup.Fault{Key: key, What: "is empty"}
+			return &setup.Error{Key: key, Message: "is empty"}
 		}
 	}
 	if err := setup.Range("probe", o.Probe, 10, 10000); err != nil {
--- a/agent/site/site.go
+++ b/agent/site/site.go
@@ -24,12 +24,12 @@
 const stopTimeout = magno.Second
 
 // Main runs an agent on the named site and returns the exit code of the process.
-func Main(name string) int { return start.Site("agent", name, run) }
+func Main(name string) int { return start.RunSite("agent", name, run) }
 
 func run(site magno.Site, set *magno.SiteSettings, out *lines.Writer) int {
-	log := start.Log(out, set.Name)
+	log := start.NewLogger(out, set.Name)
 	clock := magno.NewMonotonic()
-	mesh := &wire.Mesh{Listen: net.JoinHostPort(set.IP, strconv.Itoa(set.InternalPort)), Allow: []string{start.Anyone}, Clock: clock, Log: log}
+	mesh := &wire.Mesh{Listen: net.JoinHostPort(set.IP, strconv.Itoa(set.InternalPort)), Allow: []string{start.AnyAddress}, Clock: clock, Log: log}
 	if err := mesh.Open(); err != nil {
 		log.Error("agent failed to start", "error", err)
 		return start.ExitFailed
@@ -41,11 +41,11 @@
 	log.Info("start", "dc", set.DataCentre, "peers", mesh.Addr(), "upstream", set.UpstreamAddress, "service", set.Service)
 	d := start.Daemon{
 		Tasks: []magno.Task{mesh, k, out, &admin.Server{
-			Listen: net.JoinHostPort(set.IP, strconv.Itoa(start.MetricsPort)), Allow: []string{start.Anyone},
+			Listen: net.JoinHostPort(set.IP, strconv.Itoa(start.MetricsPort)), Allow: []string{start.AnyAddress},
 			Ready: func() bool { return true }, Status: func() any { return k.Self },
 			Events: &event.Ring{Process: set.Name, Size: 1},
 		}},
-		Log: log, Leave: k.Leave, Busy: func() int64 { return 0 }, Drain: stopTimeout, Reload: start.Reload(site, set, log),
+		Log: log, Leave: k.Leave, Busy: func() int64 { return 0 }, DrainTimeout: stopTimeout, Reload: start.Reloader(site, set, log),
 	}
 	return d.Run()
 }
--- a/drive/livecmd.go
+++ b/drive/livecmd.go
@@ -27,7 +27,7 @@
 // Check returns an error for the first setting that is out of range.
 func (c *liveConfig) Check() error {
 	if d, err := time.ParseDuration(c.For); err != nil || d < time.Second || d > 24*time.Hour {
-		return &setup.Fault{Key: "for", What: fmt.Sprintf("%q is not a duration from 1s to 24h", c.For)}
+		return &setup.Error{Key: "for", Message: fmt.Sprintf("%q is not a duration from 1s to 24h", c.For)}
 	}
 	for _, err := range []error{
 		setup.Range("rate", c.Rate, 0.1, 10000), setup.Range("zipf", c.Zipf, 0.1, 5),
--- a/drive/simcmd.go
+++ b/drive/simcmd.go
@@ -45,24 +45,24 @@
 // Check returns an error for the first setting that is out of range.
 func (c *simConfig) Check() error {
 	if _, err := load.FindDeployment(c.Deploy); err != nil {
-		return &setup.Fault{Key: "deploy", What: err.Error()}
+		return &setup.Error{Key: "deploy", Message: err.Error()}
 	}
 	for _, name := range c.cases() {
 		if err := load.CheckCase(name); err != nil {
-			return &setup.Fault{Key: "case", What: err.Error()}
+			return &setup.Error{Key: "case", Message: err.Error()}
 		}
 	}
 	for _, name := range strings.Split(c.Policy, ",") {
 		if _, ok := sim.Policies[name]; !ok {
-			return &setup.Fault{Key: "policy", What: fmt.Sprintf("no policy named %q", name)}
+			return &setup.Error{Key: "policy", Message: fmt.Sprintf("no policy named %q", name)}
 		}
 	}
 	d, err := time.ParseDuration(c.For)
 	if err != nil || d < time.Minute || d > 24*time.Hour {
-		return &setup.Fault{Key: "for", What: fmt.Sprintf("%q is not a duration from 1m to 24h", c.For)}
+		return &setup.Error{Key: "for", Message: fmt.Sprintf("%q is not a duration from 1m to 24h", c.For)}
 	}
 	if w, err := time.ParseDuration(c.Warm); err != nil || w < 0 || w >= d {
-		return &setup.Fault{Key: "warm", What: fmt.Sprintf("%q is not a duration below %s", c.Warm, c.For)}
+		return &setup.Error{Key: "warm", Message: fmt.Sprintf("%q is not a duration below %s", c.Warm, c.For)}
 	}
 	for _, err := range []error{
 		setup.Range("seeds", c.Seeds, 1, 1000), setup.Range("load", c.Load, 0.01, 10),
--- a/entry/daemon/daemon.go
+++ b/entry/daemon/daemon.go
@@ -36,10 +36,10 @@
 // Main runs an entry and returns its exit code.
 func Main(args []string) int {
 	opts := option.Default()
-	if code, ok := start.Options("entry", args, opts); !ok {
+	if code, ok := start.ParseOptions("entry", args, opts); !ok {
 		return code
 	}
-	log := start.Log(os.Stdout, opts.Name)
+	log := start.NewLogger(os.Stdout, opts.Name)
 	e, err := assemble(opts, log)
 	if err != nil {
 		log.Error("start", "error", err)
@@ -47,7 +47,7 @@
 	}
 	d := start.Daemon{
 		Tasks: e.duties(), Log: log, Leave: e.leave,
-		Busy: e.front.Busy, Drain: magno.Millis(opts.Drain),
+		Busy: e.front.Busy, DrainTimeout: magno.Millis(opts.Drain),
 	}
 	return d.Run()
 }
@@ -64,7 +64,7 @@
 	if err := e.routers.check(); err != nil {
 		return nil, err
 	}
-	e.Fleet.OnChange, e.Follow = e.routers.update, e.follow
+	e.Fleet.OnChange, e.OnConfig = e.routers.update, e.follow
 	sender := &send.Sender{
 		Clock: e.Clock, Mesh: e.Mesh, Fleet: e.Fleet, Router: e.routers.pool, Budget: e.routers.budget, Suspects: e.Suspects,
 		Events: e.Events, Attempts: opts.Attempts, DataCentre: opts.DataCentre,
@@ -86,8 +86,8 @@
 func (e *entry) duties() []magno.Task {
 	return append(e.Tasks(), e.front, e.lease, &admin.Server{
 		Listen: e.opts.Admin, Allow: e.opts.Allow, Events: e.Events, Status: e.status, Explain: e.explain,
-		Ready: e.front.Ready,
-		Bound: func(addr string) { e.Log.Info("listening", "admin", addr) },
+		Ready:   e.front.Ready,
+		OnBound: func(addr string) { e.Log.Info("listening", "admin", addr) },
 	})
 }
 
--- a/entry/front/front.go
+++ b/entry/front/front.go
@@ -111,7 +111,7 @@
 // Run serves until ctx ends, then closes the listener and waits for running requests.
 func (f *Front) Run(ctx context.Context) error {
 	server := listen.Server{
-		Listen: f.Listen, Handler: f.Handler(), Conns: maxConns, Read: bodyTimeout, Stop: f.Drain, Bound: f.Bound,
+		Listen: f.Listen, Handler: f.Handler(), MaxConns: maxConns, ReadTimeout: bodyTimeout, ShutdownTimeout: f.Drain, OnBound: f.Bound,
 	}
 	return server.Run(ctx)
 }
--- a/entry/option/option.go
+++ b/entry/option/option.go
@@ -39,7 +39,7 @@
 func (o *Option) Check() error {
 	for key, value := range map[string]string{"name": o.Name, "dc": o.DataCentre} {
 		if value == "" {
-			return &setup.Fault{Key: key, What: "is empty"}
+			return &setup.Error{Key: key, Message: "is empty"}
 		}
 	}
 	if err := setup.Range("body", o.Body, 1<<10, 4<<20); err != nil {
--- a/entry/option/option_test.go
+++ b/entry/option/option_test.go
@@ -16,7 +16,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, wrong := range setup.Page(string(text), "### Settings of entry", func() any { return Default() }) {
+	for _, wrong := range setup.DiffPage(string(text), "### Settings of entry", func() any { return Default() }) {
 		t.Error(wrong)
 	}
 }
--- a/entry/relay/memory_test.go
+++ b/entry/relay/memory_test.go
@@ -29,7 +29,7 @@
 		}
 	})
 	s := newTestProxy(t, magno.RouteStream, false, u)
-	server := httptest.NewServer(listen.Timed(s.Handler, 100))
+	server := httptest.NewServer(listen.WithWriteTimeout(s.Handler, 100))
 	defer server.Close()
 	c, err := net.Dial("tcp", strings.TrimPrefix(server.URL, "http://"))
 	if err != nil {
--- a/entry/site/front.go
+++ b/entry/site/front.go
@@ -66,7 +66,7 @@
 // Run serves callers until ctx ends.
 func (f *front) Run(ctx context.Context) error {
 	return serve(ctx, f.settings.CallerAddress, &http.Server{
-		Handler: listen.Timed(f.relay, writeStallTimeout), MaxHeaderBytes: maxHeaderBytes, ReadHeaderTimeout: readHeaderTimeout, IdleTimeout: idleTimeout,
+		Handler: listen.WithWriteTimeout(f.relay, writeStallTimeout), MaxHeaderBytes: maxHeaderBytes, ReadHeaderTimeout: readHeaderTimeout, IdleTimeout: idleTimeout,
 		ErrorLog: slog.NewLogLogger(f.log.Handler(), slog.LevelDebug),
 	}, finalAnswerTimeout)
 }
--- a/entry/site/site.go
+++ b/entry/site/site.go
@@ -35,10 +35,10 @@
 )
 
 // Main runs an entry on the named site and returns its exit code.
-func Main(name string) int { return start.Site("entry", name, run) }
+func Main(name string) int { return start.RunSite("entry", name, run) }
 
 func run(site magno.Site, settings *magno.SiteSettings, out *lines.Writer) int {
-	log := start.Log(out, settings.Name)
+	log := start.NewLogger(out, settings.Name)
 	e := assemble(site, settings, log)
 	if err := e.mesh.Open(); err != nil {
 		log.Error("start", "error", err)
@@ -47,8 +47,8 @@
 	log.Info("start", "dc", settings.DataCentre, "callers", settings.CallerAddress, "ready", settings.ReadyAddress, "peers", settings.PeerAddress,
 		"seeds", len(settings.Seeds), "list", settings.ListAddress)
 	d := start.Daemon{
-		Tasks: append(e.duties(), out), Log: log, Leave: e.front.leave, Busy: e.front.busy, Drain: settings.Grace,
-		Reload: start.Reload(site, settings, log),
+		Tasks: append(e.duties(), out), Log: log, Leave: e.front.leave, Busy: e.front.busy, DrainTimeout: settings.Grace,
+		Reload: start.Reloader(site, settings, log),
 	}
 	return d.Run()
 }
@@ -71,7 +71,7 @@
 func assemble(site magno.Site, settings *magno.SiteSettings, log *slog.Logger) *entry {
 	clock := magno.NewMonotonic()
 	e := &entry{settings: settings, log: log}
-	e.mesh = &wire.Mesh{Listen: settings.PeerAddress, Allow: []string{start.Anyone}, Clock: clock, Log: log}
+	e.mesh = &wire.Mesh{Listen: settings.PeerAddress, Allow: []string{start.AnyAddress}, Clock: clock, Log: log}
 	e.book = &view.Store{Clock: magno.NewBootTime(), OnChange: changeLogger(log), Log: log}
 	e.conns = &hop.Pool{Clock: clock}
 	suspects := &crash.Suspects{Clock: &magno.Clock{}}
@@ -124,7 +124,7 @@
 	return []magno.Task{
 		e.mesh, e.reader, e.peers, e.desk, e.lease, &follower{e}, e.front, &readiness{e.front}, &lagMonitor{e.front},
 		&admin.Server{
-			Listen: net.JoinHostPort(e.settings.IP, strconv.Itoa(start.MetricsPort)), Allow: []string{start.Anyone},
+			Listen: net.JoinHostPort(e.settings.IP, strconv.Itoa(start.MetricsPort)), Allow: []string{start.AnyAddress},
 			Ready: e.front.ready, Status: func() any { return e.book.Current() }, Events: &event.Ring{Process: e.settings.Name, Size: 1},
 		},
 	}
--- a/magctl/check.go
+++ b/magctl/check.go
@@ -40,7 +40,7 @@
 	return exitOK
 }
 
-func printFaults(f *flags, out io.Writer, faults []*setup.Fault) int {
+func printFaults(f *flags, out io.Writer, faults []*setup.Error) int {
 	if *f.json {
 		printJSON(out, faults)
 		return exitFindings
--- a/magctl/file.go
+++ b/magctl/file.go
@@ -14,15 +14,15 @@
 // readConfig reads a configuration file, a magno.Config with its version, and
 // validates it by the same rules as the daemons. old are the rosters of the active
 // configuration.
-func readConfig(file string, old []magno.Roster) (*magno.Config, []*setup.Fault, error) {
+func readConfig(file string, old []magno.Roster) (*magno.Config, []*setup.Error, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
 		return nil, nil, err
 	}
 	cfg := &magno.Config{}
 	if err := setup.Parse(file, data, cfg); err != nil {
-		if fault, ok := err.(*setup.Fault); ok { //nolint:errorlint // Parse returns it bare
-			return nil, []*setup.Fault{fault}, nil
+		if fault, ok := err.(*setup.Error); ok { //nolint:errorlint // Parse returns it bare
+			return nil, []*setup.Error{fault}, nil
 		}
 		return nil, nil, err
 	}
--- a/magctl/pack.go
+++ b/magctl/pack.go
@@ -50,7 +50,7 @@
 }
 
 // reportInvalid prints why a file cannot be used and returns the exit code.
-func reportInvalid(f *flags, out io.Writer, err error, faults []*setup.Fault) int {
+func reportInvalid(f *flags, out io.Writer, err error, faults []*setup.Error) int {
 	if err != nil {
 		return fail(err)
 	}
--- a/magno/admin/admin.go
+++ b/magno/admin/admin.go
@@ -46,8 +46,8 @@
 	// Explain may be nil; it returns plain data on a profile.
 	Explain func(profile string) (any, error)
 	Events  *event.Ring
-	// Bound is told the address once it is bound. It may be nil.
-	Bound func(address string)
+	// OnBound is called with the address once it is bound. It may be nil.
+	OnBound func(address string)
 }
 
 // Name implements magno.Task.
@@ -60,7 +60,7 @@
 		return err
 	}
 	server := listen.Server{
-		Listen: s.Listen, Handler: s.handler(allowed), Conns: connLimit, Read: readLimit, Stop: stopLimit, Bound: s.Bound,
+		Listen: s.Listen, Handler: s.handler(allowed), MaxConns: connLimit, ReadTimeout: readLimit, ShutdownTimeout: stopLimit, OnBound: s.OnBound,
 	}
 	// A reader that is cut at the end of the process is no failure of it.
 	if err := server.Run(ctx); !errors.Is(err, context.DeadlineExceeded) {
@@ -69,7 +69,7 @@
 	return nil
 }
 
-func (s *Server) handler(allowed *guard.Guard) http.Handler {
+func (s *Server) handler(allowed *guard.Allowlist) http.Handler {
 	e := echo.New()
 	e.Use(func(next echo.HandlerFunc) echo.HandlerFunc {
 		return func(c echo.Context) error {
--- a/magno/alert/alert.go
+++ b/magno/alert/alert.go
@@ -21,15 +21,15 @@
 
 // Sharer turns records of suspects into marks and back. Suspects is set before
 // use, Mark before the first change.
-type Sharer struct {
+type Publisher struct {
 	Suspects *crash.Suspects
 	// Mark spreads a mark.
-	Mark func(gossip.Mark)
+	SetMark func(gossip.Mark)
 }
 
 // Changed spreads a record of this process.
-func (s *Sharer) Changed(rec crash.Record) {
-	s.Mark(gossip.Mark{
+func (s *Publisher) Publish(rec crash.Record) {
+	s.SetMark(gossip.Mark{
 		Key: prefix + strconv.FormatUint(rec.Fingerprint, 16), Seq: int64(rec.UpdatedAt),
 		Data: strconv.Itoa(rec.Crashes), TTL: crash.Retention,
 	})
@@ -37,7 +37,7 @@
 
 // Marked takes a mark of a peer; marks of other sorts and broken ones are
 // passed over.
-func (s *Sharer) Marked(m gossip.Mark) {
+func (s *Publisher) Receive(m gossip.Mark) {
 	if len(m.Key) < len(prefix) || m.Key[:len(prefix)] != prefix {
 		return
 	}
--- a/magno/check/check.go
+++ b/magno/check/check.go
@@ -74,26 +74,26 @@
 }
 
 // Parse decodes one shard. A fault has the name of the shard, the line and the key.
-func (c *Checker) Parse(s Shard) (magno.Config, *setup.Fault) {
+func (c *Checker) Parse(s Shard) (magno.Config, *setup.Error) {
 	if len(s.Text) > MaxShardBytes {
-		return magno.Config{}, &setup.Fault{File: s.Name, Line: 1, Key: "shard",
-			What: fmt.Sprintf("%d bytes exceed the limit of %d", len(s.Text), MaxShardBytes)}
+		return magno.Config{}, &setup.Error{File: s.Name, Line: 1, Key: "shard",
+			Message: fmt.Sprintf("%d bytes exceed the limit of %d", len(s.Text), MaxShardBytes)}
 	}
 	var cfg magno.Config
 	if err := setup.Parse(s.Name, s.Text, &cfg); err != nil {
 		return magno.Config{}, asFault(s.Name, err)
 	}
 	if cfg.Version != 0 {
-		return magno.Config{}, &setup.Fault{File: s.Name, Line: lineOf(s, "version"), Key: "version",
-			What: "belongs in the index, not in a shard"}
+		return magno.Config{}, &setup.Error{File: s.Name, Line: lineOf(s, "version"), Key: "version",
+			Message: "belongs in the index, not in a shard"}
 	}
 	return cfg, nil
 }
 
 // Join parses shards and joins them into one version without further checks.
-func (c *Checker) Join(version int64, shards []Shard) (*magno.Config, []*setup.Fault) {
+func (c *Checker) Join(version int64, shards []Shard) (*magno.Config, []*setup.Error) {
 	all := &magno.Config{Version: version}
-	var faults []*setup.Fault
+	var faults []*setup.Error
 	for _, s := range shards {
 		part, f := c.Parse(s)
 		if f != nil {
@@ -117,7 +117,7 @@
 
 // Validate checks a version that Join returned. shards are used to locate faults; old are
 // the active rosters.
-func (c *Checker) Validate(cfg *magno.Config, shards []Shard, old []magno.Roster) []*setup.Fault {
+func (c *Checker) Validate(cfg *magno.Config, shards []Shard, old []magno.Roster) []*setup.Error {
 	var found []fault
 	if cfg.Version <= 0 {
 		found = append(found, fault{list: "version", message: "must be greater than zero"})
@@ -133,7 +133,7 @@
 // ValidateChange checks changed records. view is the version that they lead to and before
 // the active one. removed lists the removed records, which unchanged profiles may still
 // refer to.
-func (c *Checker) ValidateChange(set *magno.Config, removed Removed, view, before View, shards []Shard) []*setup.Fault {
+func (c *Checker) ValidateChange(set *magno.Config, removed Removed, view, before View, shards []Shard) []*setup.Error {
 	found := append(duplicateNames(set), checkRecords(set, view)...)
 	if set.Rosters != nil || removed.Rosters {
 		found = append(found, c.checkRosters(before.Rosters(), set.Rosters)...)
@@ -146,7 +146,7 @@
 
 // ValidateBucket checks some records of view, without removed ones. A version received
 // bucket by bucket is validated with it without unpacking the whole version.
-func (c *Checker) ValidateBucket(set *magno.Config, view View, shards []Shard) []*setup.Fault {
+func (c *Checker) ValidateBucket(set *magno.Config, view View, shards []Shard) []*setup.Error {
 	found := checkRecords(set, view)
 	if set.Rosters != nil {
 		found = append(found, c.checkRosters(nil, set.Rosters)...)
--- a/magno/check/check_test.go
+++ b/magno/check/check_test.go
@@ -42,7 +42,7 @@
 	return []Shard{{"base", []byte(baseShard)}, {"work", []byte(text)}}
 }
 
-func validate(c *Checker, s []Shard) []*setup.Fault {
+func validate(c *Checker, s []Shard) []*setup.Error {
 	cfg, faults := c.Join(1, s)
 	if len(faults) > 0 {
 		return faults
--- a/magno/check/place.go
+++ b/magno/check/place.go
@@ -17,12 +17,12 @@
 var hujsonLine = regexp.MustCompile(`line (\d+)`)
 
 // asFault converts an error of the parser to a fault of the shard.
-func asFault(name string, err error) *setup.Fault {
-	var f *setup.Fault
+func asFault(name string, err error) *setup.Error {
+	var f *setup.Error
 	if errors.As(err, &f) {
 		return f
 	}
-	f = &setup.Fault{File: name, Line: 1, What: err.Error()}
+	f = &setup.Error{File: name, Line: 1, Message: err.Error()}
 	if m := hujsonLine.FindStringSubmatch(err.Error()); m != nil {
 		f.Line, _ = strconv.Atoi(m[1])
 	}
@@ -31,14 +31,14 @@
 
 // locate adds shard and line to faults. It parses the shards again, which happens only
 // for invalid versions.
-func locate(shards []Shard, found []fault) []*setup.Fault {
+func locate(shards []Shard, found []fault) []*setup.Error {
 	if len(found) == 0 {
 		return nil
 	}
 	found = found[:min(len(found), MaxFaults)]
-	located := make([]*setup.Fault, len(found))
+	located := make([]*setup.Error, len(found))
 	for i, f := range found {
-		located[i] = &setup.Fault{File: "configuration", Line: 1, Key: f.key(), What: f.message}
+		located[i] = &setup.Error{File: "configuration", Line: 1, Key: f.key(), Message: f.message}
 		nth := f.nth
 		for _, s := range shards {
 			line, seen := findLine(s, f, nth)
--- a/magno/config/store.go
+++ b/magno/config/store.go
@@ -113,7 +113,7 @@
 }
 
 // Parse decodes a shard with the store's checker.
-func (s *Store) Parse(shard check.Shard) (magno.Config, *setup.Fault) {
+func (s *Store) Parse(shard check.Shard) (magno.Config, *setup.Error) {
 	s.init()
 	return s.Check.Parse(shard)
 }
@@ -239,7 +239,7 @@
 }
 
 // Reject records a version that could not be parsed.
-func (s *Store) Reject(version int64, source string, faults []*setup.Fault) error {
+func (s *Store) Reject(version int64, source string, faults []*setup.Error) error {
 	s.init()
 	return s.reject(version, source, joinFaults(faults))
 }
@@ -295,7 +295,7 @@
 }
 
 // joinFaults returns the first fault and the number of further ones.
-func joinFaults(faults []*setup.Fault) string {
+func joinFaults(faults []*setup.Error) string {
 	if len(faults) == 1 {
 		return faults[0].Error()
 	}
--- a/magno/guard/guard.go
+++ b/magno/guard/guard.go
@@ -11,17 +11,17 @@
 )
 
 // Guard holds the networks whose addresses are let in.
-type Guard struct {
+type Allowlist struct {
 	prefixes []netip.Prefix
 }
 
 // New reads networks such as 10.0.0.0/8, or single addresses. An empty list
 // lets in this machine's own addresses only.
-func New(networks []string) (*Guard, error) {
+func New(networks []string) (*Allowlist, error) {
 	if len(networks) == 0 {
 		networks = []string{"127.0.0.0/8", "::1"}
 	}
-	g := &Guard{}
+	g := &Allowlist{}
 	for _, text := range networks {
 		prefix, err := parse(text)
 		if err != nil {
@@ -44,7 +44,7 @@
 }
 
 // Allows tells whether remote, an IP and port or an IP, is on the list.
-func (g *Guard) Allows(remote string) bool {
+func (g *Allowlist) Allows(remote string) bool {
 	host, _, err := net.SplitHostPort(remote)
 	if err != nil {
 		host = remote
--- a/magno/listen/listen.go
+++ b/magno/listen/listen.go
@@ -43,14 +43,14 @@
 	Handler http.Handler
 	// Conns is the most connections at once; further ones wait in the kernel
 	// until one ends.
-	Conns int
+	MaxConns int
 	// Read is the most time to read a whole request, Stop the most that Run
 	// waits for running answers once its context has ended.
-	Read, Stop magno.Millis
+	ReadTimeout, ShutdownTimeout magno.Millis
 	// Stall is the most time for one write; zero means 10 seconds.
-	Stall magno.Millis
-	// Bound is told the address once it is bound. It may be nil.
-	Bound func(address string)
+	WriteTimeout magno.Millis
+	// OnBound is called with the address once it is bound. It may be nil.
+	OnBound func(address string)
 }
 
 // Run serves until ctx ends, then takes no new connections and waits for
@@ -61,24 +61,24 @@
 	if err != nil {
 		return err
 	}
-	if s.Bound != nil {
-		s.Bound(listener.Addr().String())
+	if s.OnBound != nil {
+		s.OnBound(listener.Addr().String())
 	}
 	server := &http.Server{
-		Handler:           Timed(s.Handler, s.Stall),
+		Handler:           WithWriteTimeout(s.Handler, s.WriteTimeout),
 		MaxHeaderBytes:    headerLimit,
 		ReadHeaderTimeout: headerTime,
-		ReadTimeout:       s.Read.Duration(),
+		ReadTimeout:       s.ReadTimeout.Duration(),
 		IdleTimeout:       idleTime,
 	}
 	ended := make(chan error, 1)
-	go func() { ended <- server.Serve(netutil.LimitListener(listener, s.Conns)) }()
+	go func() { ended <- server.Serve(netutil.LimitListener(listener, s.MaxConns)) }()
 	select {
 	case err := <-ended:
 		return err
 	case <-ctx.Done():
 	}
-	stop, cancel := context.WithTimeout(context.WithoutCancel(ctx), s.Stop.Duration())
+	stop, cancel := context.WithTimeout(context.WithoutCancel(ctx), s.ShutdownTimeout.Duration())
 	defer cancel()
 	err = server.Shutdown(stop)
 	if served := <-ended; !errors.Is(served, http.ErrServerClosed) {
@@ -88,7 +88,7 @@
 }
 
 // Timed returns h with a time limit for each write to a client; zero means 10 seconds.
-func Timed(h http.Handler, stall magno.Millis) http.Handler {
+func WithWriteTimeout(h http.Handler, stall magno.Millis) http.Handler {
 	if stall == 0 {
 		stall = stallTime
 	}
--- a/magno/listen/listen_test.go
+++ b/magno/listen/listen_test.go
@@ -18,7 +18,7 @@
 func start(t *testing.T, s *Server) string {
 	t.Helper()
 	bound := make(chan string, 1)
-	s.Listen, s.Bound, s.Read, s.Stop = "127.0.0.1:0", func(a string) { bound <- a }, magno.Minute, magno.Second
+	s.Listen, s.OnBound, s.ReadTimeout, s.ShutdownTimeout = "127.0.0.1:0", func(a string) { bound <- a }, magno.Minute, magno.Second
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { defer close(done); _ = s.Run(ctx) }()
@@ -40,7 +40,7 @@
 // on an engine until the process is restarted.
 func TestReaderThatStalls(t *testing.T) {
 	ended, returned := make(chan struct{}), make(chan struct{})
-	address := start(t, &Server{Conns: 4, Stall: 20, Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	address := start(t, &Server{MaxConns: 4, WriteTimeout: 20, Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		defer close(returned)
 		context.AfterFunc(r.Context(), func() { close(ended) })
 		for {
@@ -65,7 +65,7 @@
 func TestConnections(t *testing.T) {
 	const most, clients = 2, 12
 	var open, peak atomic.Int64
-	address := start(t, &Server{Conns: most, Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+	address := start(t, &Server{MaxConns: most, Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		n := open.Add(1)
 		defer open.Add(-1)
 		for before := peak.Load(); n > before && !peak.CompareAndSwap(before, n); before = peak.Load() {
@@ -94,7 +94,7 @@
 
 // A header over the limit is refused; its length is the client's choice.
 func TestHeader(t *testing.T) {
-	address := start(t, &Server{Conns: 4, Handler: http.NotFoundHandler()})
+	address := start(t, &Server{MaxConns: 4, Handler: http.NotFoundHandler()})
 	req, _ := http.NewRequest(http.MethodGet, "http://"+address, nil)
 	req.Header.Set("X-Long", strings.Repeat("x", 4*headerLimit))
 	resp, err := http.DefaultClient.Do(req)
--- a/magno/model/model.go
+++ b/magno/model/model.go
@@ -33,7 +33,7 @@
 )
 
 // Model is an engine as its agent sees it. It implements magno.Upstream.
-type Model struct {
+type Engine struct {
 	// Address is the engine's IP and port.
 	Address string
 	// Fence goes with each request; see magno.Upstream.
@@ -43,7 +43,7 @@
 }
 
 func init() {
-	magno.Register(magno.PluginUpstream, string(magno.PoolEngine), func() any { return &Model{} })
+	magno.Register(magno.PluginUpstream, string(magno.PoolEngine), func() any { return &Engine{} })
 }
 
 // NewClient returns a client whose connections are reused for one upstream.
@@ -63,7 +63,7 @@
 }
 
 // SetAddress sets where the engine listens and the fence of its agent.
-func (m *Model) SetAddress(address string, fence int64) {
+func (m *Engine) SetAddress(address string, fence int64) {
 	m.Address = address
 	m.Fence = fence
 	m.Client = NewClient()
@@ -94,7 +94,7 @@
 
 // Run streams one completion. Once the engine has accepted it, an error means
 // that nobody knows how far it came.
-func (m *Model) Run(ctx context.Context, w magno.Work, emit func(magno.Piece)) (magno.Result, error) {
+func (m *Engine) Run(ctx context.Context, w magno.Work, emit func(magno.Piece)) (magno.Result, error) {
 	resp, err := m.post(ctx, "/v1/completions", completionRequest{
 		Model: w.Job.Ref.String(), Prompt: w.Body, MaxTokens: w.MaxTokens, Stream: true,
 		Priority: w.Job.Urgency, RequestID: w.Job.ID, Fence: m.Fence,
@@ -180,16 +180,16 @@
 }
 
 // Load implements magno.Upstream.
-func (m *Model) Load(ctx context.Context, ref magno.Ref, fence int64) error {
+func (m *Engine) Load(ctx context.Context, ref magno.Ref, fence int64) error {
 	return m.order(ctx, "/v1/load_lora_adapter", adapterOrder{ref.String(), fence})
 }
 
 // Unload implements magno.Upstream.
-func (m *Model) Unload(ctx context.Context, ref magno.Ref, fence int64) error {
+func (m *Engine) Unload(ctx context.Context, ref magno.Ref, fence int64) error {
 	return m.order(ctx, "/v1/unload_lora_adapter", adapterOrder{ref.String(), fence})
 }
 
-func (m *Model) order(ctx context.Context, path string, body any) error {
+func (m *Engine) order(ctx context.Context, path string, body any) error {
 	resp, err := m.post(ctx, path, body)
 	if err != nil {
 		return err
@@ -203,7 +203,7 @@
 
 // cancel tells the engine that nobody waits for a request; a broken
 // connection alone may go unnoticed while the engine still spends steps on it.
-func (m *Model) cancel(id string) {
+func (m *Engine) cancel(id string) {
 	ctx, stop := context.WithTimeout(context.Background(), cancelWait)
 	defer stop()
 	body := struct {
@@ -229,7 +229,7 @@
 }
 
 // Probe implements magno.Upstream.
-func (m *Model) Probe(ctx context.Context) (magno.Probe, error) {
+func (m *Engine) Probe(ctx context.Context) (magno.Probe, error) {
 	var r report
 	if err := fetch.JSON(ctx, m.Client, "http://"+m.Address+"/v1/report", lineLimit, &r); err != nil {
 		return magno.Probe{}, err
@@ -245,7 +245,7 @@
 	return probe, nil
 }
 
-func (m *Model) post(ctx context.Context, path string, body any) (*http.Response, error) {
+func (m *Engine) post(ctx context.Context, path string, body any) (*http.Response, error) {
 	data, err := json.Marshal(body)
 	if err != nil {
 		return nil, err
--- a/magno/model/model_test.go
+++ b/magno/model/model_test.go
@@ -117,7 +117,7 @@
 
 func run(t *testing.T, address string) *magno.Refusal {
 	t.Helper()
-	m := &Model{}
+	m := &Engine{}
 	m.SetAddress(address, 1)
 	_, err := m.Run(context.Background(), magno.Work{Body: "p"}, func(magno.Piece) {})
 	var refusal *magno.Refusal
--- a/magno/proc/proc.go
+++ b/magno/proc/proc.go
@@ -37,7 +37,7 @@
 	Log   *slog.Logger
 	// Follow is told of each version that comes into force, by one goroutine.
 	// It is set before the duties run.
-	Follow func(*config.Snapshot)
+	OnConfig func(*config.Snapshot)
 
 	// The fields below are made by Open.
 
@@ -62,15 +62,15 @@
 	p.Store = &config.Store{Clock: p.Clock, Log: p.Log, Metrics: set, Check: check.New(p.Clock)}
 	p.Fleet = &fleet.Fleet{URL: p.List, Clock: p.Clock, Log: p.Log}
 	p.Suspects = &crash.Suspects{Clock: p.Clock}
-	sharer := &alert.Sharer{Suspects: p.Suspects}
+	sharer := &alert.Publisher{Suspects: p.Suspects}
 	p.Node = &spread.Node{
 		Self: gossip.Member{Name: p.Self.Name, Role: p.Self.Role, DataCentre: p.Self.DataCentre,
 			Pool: p.Self.Pool, Address: p.Self.Address},
-		Mesh: p.Mesh, Store: p.Store, List: p.Fleet.PlatformList, OnInstance: p.Fleet.Override, OnMark: sharer.Marked,
+		Mesh: p.Mesh, Store: p.Store, List: p.Fleet.PlatformList, OnInstance: p.Fleet.Override, OnMark: sharer.Receive,
 		Reader: &watch.Reader{URL: p.Config, Store: p.Store, Clock: p.Clock, Log: p.Log, Metrics: set},
 		Clock:  p.Clock, Log: p.Log, Metrics: set,
 	}
-	sharer.Mark, p.Suspects.OnChange = p.Node.SetMark, sharer.Changed
+	sharer.SetMark, p.Suspects.OnChange = p.Node.SetMark, sharer.Publish
 	p.Node.Open()
 	return nil
 }
@@ -96,7 +96,7 @@
 		case <-ctx.Done():
 			return nil
 		case snap := <-changes:
-			f.process.Follow(snap)
+			f.process.OnConfig(snap)
 		}
 	}
 }
--- a/magno/setup/fuzz_test.go
+++ b/magno/setup/fuzz_test.go
@@ -17,7 +17,7 @@
 	f.Fuzz(func(t *testing.T, data []byte) {
 		s := &sample{Limit: 1}
 		err := Parse("f", data, s)
-		var fault *Fault
+		var fault *Error
 		if errors.As(err, &fault) && (fault.Line < 1 || fault.Line > 1+bytes.Count(data, []byte("\n"))) {
 			t.Errorf("%q: %v", data, err)
 		}
--- a/magno/setup/page.go
+++ b/magno/setup/page.go
@@ -24,7 +24,7 @@
 // with the settings that fresh returns, a pointer to a struct with defaults,
 // and returns what differs. Operators who trust a page that lags behind the
 // code set keys that are gone or keep within ranges that no longer hold.
-func Page(text, heading string, fresh func() any) []string {
+func DiffPage(text, heading string, fresh func() any) []string {
 	var wrong []string
 	rows := table(text, heading)
 	for _, k := range Keys(fresh()) {
--- a/magno/setup/page_test.go
+++ b/magno/setup/page_test.go
@@ -24,7 +24,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			page := strings.Replace(good, tt.old, tt.with, 1)
-			wrong := Page(page, "## S", func() any { return &sample{Limit: 1} })
+			wrong := DiffPage(page, "## S", func() any { return &sample{Limit: 1} })
 			sort.Strings(wrong)
 			if got := strings.Join(wrong, "; "); got != tt.want {
 				t.Fatalf("got %s", got)
--- a/magno/setup/setup.go
+++ b/magno/setup/setup.go
@@ -26,20 +26,20 @@
 }
 
 // Fault says which key is wrong, and where.
-type Fault struct {
+type Error struct {
 	File string
 	// Line counts from 1; zero means that the key came from a flag.
-	Line int
-	Key  string
-	What string
+	Line    int
+	Key     string
+	Message string
 }
 
 // Error returns file:line: key: what.
-func (f *Fault) Error() string {
+func (f *Error) Error() string {
 	if f.Line == 0 {
-		return fmt.Sprintf("flag -%s: %s", f.Key, f.What)
+		return fmt.Sprintf("flag -%s: %s", f.Key, f.Message)
 	}
-	return fmt.Sprintf("%s:%d: %s: %s", f.File, f.Line, f.Key, f.What)
+	return fmt.Sprintf("%s:%d: %s: %s", f.File, f.Line, f.Key, f.Message)
 }
 
 // Range returns a fault when value is outside low to high, both allowed.
@@ -47,7 +47,7 @@
 	if value >= low && value <= high {
 		return nil
 	}
-	return &Fault{Key: key, What: fmt.Sprintf("%v is out of range %v to %v", value, low, high)}
+	return &Error{Key: key, Message: fmt.Sprintf("%v is out of range %v to %v", value, low, high)}
 }
 
 // Load fills into, a pointer to a plain struct with defaults set, from the
@@ -104,15 +104,15 @@
 // place turns an error of the JSON decoder into a Fault with a line.
 func place(name string, text []byte, offset int64, err error) error {
 	if wrong, ok := err.(*json.UnmarshalTypeError); ok { //nolint:errorlint // the decoder returns it bare
-		return &Fault{File: name, Line: line(text, wrong.Offset), Key: wrong.Field,
-			What: fmt.Sprintf("wants %s, has %s", wrong.Type, wrong.Value)}
+		return &Error{File: name, Line: line(text, wrong.Offset), Key: wrong.Field,
+			Message: fmt.Sprintf("wants %s, has %s", wrong.Type, wrong.Value)}
 	}
 	const unknown = "json: unknown field "
 	if key, ok := strings.CutPrefix(err.Error(), unknown); ok {
 		key = strings.Trim(key, `"`)
-		return &Fault{File: name, Line: keyLine(text, key, offset), Key: key, What: "unknown key"}
+		return &Error{File: name, Line: keyLine(text, key, offset), Key: key, Message: "unknown key"}
 	}
-	return &Fault{File: name, Line: line(text, offset), Key: "", What: err.Error()}
+	return &Error{File: name, Line: line(text, offset), Key: "", Message: err.Error()}
 }
 
 func line(text []byte, offset int64) int {
@@ -139,7 +139,7 @@
 		return nil
 	}
 	err := checker.Check()
-	fault, ok := err.(*Fault) //nolint:errorlint // Check returns it bare
+	fault, ok := err.(*Error) //nolint:errorlint // Check returns it bare
 	if !ok || fault == nil {
 		return err
 	}
@@ -186,7 +186,7 @@
 			text, _ = json.Marshal(value) //nolint:errchkjson // a string always encodes
 		}
 		if err := json.Unmarshal(text, v.Field(i).Addr().Interface()); err != nil {
-			return &Fault{Key: key, What: fmt.Sprintf("%q is not a %s", value, v.Field(i).Type())}
+			return &Error{Key: key, Message: fmt.Sprintf("%q is not a %s", value, v.Field(i).Type())}
 		}
 	}
 	return nil
--- a/magno/setup/setup_test.go
+++ b/magno/setup/setup_test.go
@@ -28,7 +28,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			err := Parse("f.json", []byte(tt.text), &sample{Limit: 1})
-			var fault *Fault
+			var fault *Error
 			if !errors.As(err, &fault) || fault.Key != tt.key || fault.Line != tt.line {
 				t.Fatalf("got %v", err)
 			}
--- a/magno/start/site.go
+++ b/magno/start/site.go
@@ -15,7 +15,7 @@
 const (
 	// Anyone lets every address of a platform's network call: machines come and
 	// go, and the settings name no networks.
-	Anyone = "0.0.0.0/0"
+	AnyAddress = "0.0.0.0/0"
 	// MetricsPort is where metrics are served on each machine; the deploy file
 	// names it too.
 	MetricsPort = 9464
@@ -30,7 +30,7 @@
 
 // Site runs a program on the site that the plug-in of that name speaks for, and
 // returns its exit code. What serve logs is written before it returns.
-func Site(program, name string, serve func(magno.Site, *magno.SiteSettings, *lines.Writer) int) int {
+func RunSite(program, name string, serve func(magno.Site, *magno.SiteSettings, *lines.Writer) int) int {
 	site, set, err := settings(name)
 	if err != nil {
 		fmt.Fprintf(os.Stderr, "%s: %v\n", program, err)
@@ -60,7 +60,7 @@
 
 // Reload returns what reads the settings again when they changed. What a process
 // is told of itself holds until its next start; the log says whether it changed.
-func Reload(site magno.Site, set *magno.SiteSettings, log *slog.Logger) func() {
+func Reloader(site magno.Site, set *magno.SiteSettings, log *slog.Logger) func() {
 	return func() {
 		now, err := site.Settings()
 		if err != nil {
--- a/magno/start/start.go
+++ b/magno/start/start.go
@@ -36,7 +36,7 @@
 	// Busy counts what a planned stop waits for.
 	Busy func() int64
 	// Drain bounds that wait.
-	Drain magno.Millis
+	DrainTimeout magno.Millis
 	// Reload is called when the settings changed; nil where nothing can change
 	// without a new start.
 	Reload func()
@@ -44,7 +44,7 @@
 
 // Options reads settings into opts and returns an exit code other than
 // ExitOK when the program is to end.
-func Options(name string, args []string, opts any) (code int, ok bool) {
+func ParseOptions(name string, args []string, opts any) (code int, ok bool) {
 	err := setup.Load(name, args, opts)
 	if errors.Is(err, flag.ErrHelp) {
 		return ExitOK, false
@@ -57,7 +57,7 @@
 }
 
 // Log returns a logger that writes one line of key=value pairs an event.
-func Log(w io.Writer, process string) *slog.Logger {
+func NewLogger(w io.Writer, process string) *slog.Logger {
 	opts := &slog.HandlerOptions{ReplaceAttr: oneLine}
 	return slog.New(slog.NewTextHandler(w, opts)).With("process", process)
 }
@@ -121,7 +121,7 @@
 	d.Leave()
 	ticker := time.NewTicker(drainLook)
 	defer ticker.Stop()
-	limit := time.After(d.Drain.Duration())
+	limit := time.After(d.DrainTimeout.Duration())
 	for d.Busy() > 0 {
 		select {
 		case <-ctx.Done():
--- a/magno/watch/load.go
+++ b/magno/watch/load.go
@@ -32,7 +32,7 @@
 	shards     map[string]shard
 	shardTexts []check.Shard
 	textBytes  int
-	faults     []*setup.Fault
+	faults     []*setup.Error
 }
 
 // nameSets holds a set of names for each list.
@@ -204,8 +204,8 @@
 	inShard := make(map[string]bool, len(names))
 	for _, name := range names {
 		if currentNames[name] || inShard[name] || (!oldNames[name] && inBase(name)) {
-			b.faults = append(b.faults, &setup.Fault{File: file, Line: 1, Key: list + "[" + name + "].name",
-				What: "duplicate name in the configuration"})
+			b.faults = append(b.faults, &setup.Error{File: file, Line: 1, Key: list + "[" + name + "].name",
+				Message: "duplicate name in the configuration"})
 		}
 		inShard[name] = true
 	}
--- a/magno/wire/mesh.go
+++ b/magno/wire/mesh.go
@@ -77,7 +77,7 @@
 	// initialized is true after init, closed after Run.
 	initialized, closed bool
 	listener            net.Listener
-	allow               *guard.Guard
+	allow               *guard.Allowlist
 	// outgoing maps an address to its connection, also while it is being dialled. It
 	// has at most MaxConns entries.
 	outgoing map[string]*peerConn
--- a/stand/config.go
+++ b/stand/config.go
@@ -58,7 +58,7 @@
 	switch c.Kind {
 	case kindEngine, kindPlain, kindStore, kindConf, kindList, kindAll:
 	default:
-		return &setup.Fault{Key: "kind", What: fmt.Sprintf("%q is unknown", c.Kind)}
+		return &setup.Error{Key: "kind", Message: fmt.Sprintf("%q is unknown", c.Kind)}
 	}
 	numbers := []struct {
 		key   string
@@ -86,9 +86,9 @@
 // nameService adds the name of the service to a fault. The same key occurs for many
 // services of a list, and setup reports the line of the last occurrence.
 func nameService(err error, name string) error {
-	var fault *setup.Fault
+	var fault *setup.Error
 	if errors.As(err, &fault) {
-		fault.What += fmt.Sprintf(", in the stand-in %q", name)
+		fault.Message += fmt.Sprintf(", in the stand-in %q", name)
 	}
 	return err
 }
--- a/stand/page_test.go
+++ b/stand/page_test.go
@@ -20,7 +20,7 @@
 		c := defaults()
 		return &c
 	}
-	for _, wrong := range setup.Page(string(text), "### Settings of stand", fresh) {
+	for _, wrong := range setup.DiffPage(string(text), "### Settings of stand", fresh) {
 		t.Error(wrong)
 	}
 }
