--- a/magno/gate/orders_test.go
+++ b/magno/gate/orders_test.go
@@ -123,7 +123,7 @@
 	} {
 		clock := magno.NewClock(magno.Hour)
 		g := &Gate{Clock: clock}
-		g.ApplyReport(&magno.Report{Loaded: c.held, OnDisk: c.disk}, clock.Now())
+		g.ApplyReport(&magno.Report{Loaded: c.held, LocalModels: c.disk}, clock.Now())
 		g.Decide()
 		got := ""
 		if list := g.Commands(); len(list) > 0 {
@@ -143,11 +143,11 @@
 func TestModelLoadContinuesWhenSpecArrives(t *testing.T) {
 	clock := magno.NewClock(magno.Hour)
 	g := &Gate{Clock: clock}
-	g.ApplyReport(&magno.Report{OnDisk: []string{model}}, clock.Now())
+	g.ApplyReport(&magno.Report{LocalModels: []string{model}}, clock.Now())
 	g.ApplyOutcome(g.Commands()[0], magno.OrderAccepted, clock.Now())
 	clock.Advance(1000)
 	g.SetSpec((&harness{slots: 2}).spec())
-	g.ApplyReport(&magno.Report{OnDisk: []string{model}, Busy: true}, clock.Now())
+	g.ApplyReport(&magno.Report{LocalModels: []string{model}, Busy: true}, clock.Now())
 	if list := g.Commands(); len(list) > 0 {
 		t.Errorf("commands are %v while the model is being loaded", list)
 	}
--- a/magno/gate/shelf.go
+++ b/magno/gate/shelf.go
@@ -131,7 +131,7 @@
 
 func (inv *inventory) applyReport(r *magno.Report, asked magno.Millis) {
 	inv.reported, inv.engineStart, inv.commandCount = true, r.StartedAt, r.Orders
-	inv.busy, inv.running, inv.onDisk = r.Busy, r.Running+r.Queued, r.OnDisk
+	inv.busy, inv.running, inv.onDisk = r.Busy, r.Running+r.Queued, r.LocalModels
 	inv.adapters, inv.models, inv.loading = map[string]int64{}, map[string]bool{}, map[string]bool{}
 	for model, held := range r.Loaded {
 		inv.models[model] = true
--- a/magno/gate/slots_test.go
+++ b/magno/gate/slots_test.go
@@ -42,7 +42,7 @@
 // late.
 func TestBaseModelWaitIsCountedOnce(t *testing.T) {
 	h := newHarness(t, 6)
-	empty := &magno.Report{StartedAt: 2, Loaded: map[string]map[string]int64{}, OnDisk: []string{model}}
+	empty := &magno.Report{StartedAt: 2, Loaded: map[string]map[string]int64{}, LocalModels: []string{model}}
 	h.gate.ApplyReport(empty, h.clock.Now())
 	h.gate.Decide()
 	for _, c := range h.gate.Commands() {
--- a/magno/site.go
+++ b/magno/site.go
@@ -161,7 +161,7 @@
 	// Coming lists adapters that are being loaded.
 	Loading []Pin
 	// Warm lists base models that load without the weight store.
-	OnDisk []string
+	LocalModels []string
 	// Runs lists the requests that make events.
 	Streams []Stream
 }
