--- a/magno/clock.go
+++ b/magno/clock.go
@@ -8,77 +8,77 @@
 	"golang.org/x/sys/unix"
 )
 
-// Millis is a point in time since the Unix epoch, or a span, in milliseconds.
+// Millis is a point in time as milliseconds since the Unix epoch, or a duration in milliseconds.
 type Millis int64
 
-// Spans in milliseconds.
+// Common durations.
 const (
 	Second Millis = 1000
 	Minute        = 60 * Second
 	Hour          = 60 * Minute
 )
 
-// Span converts m to the standard library's unit.
+// Duration converts m to a time.Duration.
 func (m Millis) Duration() time.Duration { return time.Duration(m) * time.Millisecond }
 
-// ToMillis converts a standard duration, rounding down.
+// ToMillis converts d, rounding towards zero.
 func ToMillis(d time.Duration) Millis { return Millis(d / time.Millisecond) }
 
-// Clock tells the time in milliseconds. The zero value follows the machine's
-// clock; a clock from NewClock moves only when Advance is called, so tests and
-// experiments give the same result every time.
+// Clock returns the time in milliseconds. A nil Clock and the zero value follow the
+// system clock. A clock from NewClock moves only when Advance is called, which makes
+// tests and simulations reproducible.
 type Clock struct {
 	mu sync.Mutex
-	// driven is true when only Advance moves the clock.
-	driven bool
-	// steady is true when no step of the time of day moves the clock, boot when it
-	// also goes on while the machine is suspended.
-	steady, boot bool
-	// now is the current time of a driven clock. It never decreases.
+	// manual is true if only Advance moves the clock.
+	manual bool
+	// monotonic is true if changes of the system time don't affect the clock, bootTime
+	// if it also counts the time that the machine is suspended.
+	monotonic, bootTime bool
+	// now is the current time of a manual clock. It never decreases.
 	now Millis
 }
 
-// NewClock returns a driven clock that stands at start.
+// NewClock returns a manual clock set to start.
 func NewClock(start Millis) *Clock {
-	return &Clock{driven: true, now: start}
+	return &Clock{manual: true, now: start}
 }
 
-// NewSteady returns a clock that starts at the time of day and then follows
-// the machine's monotonic one. Spans and deadlines within one process are taken
-// from it: with the time of day, a clock that is set back by two seconds would
-// keep a request waiting for as long.
-func NewMonotonic() *Clock { return &Clock{steady: true} }
+// NewMonotonic returns a clock that starts at the system time and then follows the
+// monotonic clock. It is for durations and deadlines within one process: with the system
+// clock, a request would wait two seconds longer if the time is set back by two seconds.
+func NewMonotonic() *Clock { return &Clock{monotonic: true} }
 
-// NewBoot returns a steady clock that goes on while the machine is suspended. What
-// is known for a bounded time only is judged by it: after a suspension a monotonic
-// clock says that no time has passed.
-func NewBootTime() *Clock { return &Clock{steady: true, boot: true} }
+// NewBootTime returns a monotonic clock that also advances while the machine is
+// suspended. It is for data that is valid for a limited time: by a plain monotonic clock
+// no time has passed after a suspension, and outdated data would still be valid.
+func NewBootTime() *Clock { return &Clock{monotonic: true, bootTime: true} }
 
-// bootTime is how long the machine has run, suspensions included. Where the system
-// has no such clock it is the monotonic one's.
-func bootTime() Millis {
+// uptime returns the time since the machine was booted, suspensions included. On systems
+// without CLOCK_BOOTTIME it returns the time since the process started, by the monotonic
+// clock.
+func uptime() Millis {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
-		return ToMillis(time.Since(started))
+		return ToMillis(time.Since(startedAt))
 	}
 	return Millis(t.Nano() / int64(time.Millisecond))
 }
 
-// booted anchors boot clocks.
-var booted = bootTime()
+// uptimeAtStart is the reference point of boot-time clocks.
+var uptimeAtStart = uptime()
 
-// started anchors steady clocks. It holds a monotonic reading.
-var started = time.Now()
+// startedAt is the reference point of monotonic clocks. It includes a monotonic reading.
+var startedAt = time.Now()
 
 // Now returns the current time.
 func (c *Clock) Now() Millis {
-	if c != nil && c.boot {
-		return Millis(started.UnixMilli()) + bootTime() - booted
+	if c != nil && c.bootTime {
+		return Millis(startedAt.UnixMilli()) + uptime() - uptimeAtStart
 	}
-	if c != nil && c.steady {
-		return Millis(started.UnixMilli()) + ToMillis(time.Since(started))
+	if c != nil && c.monotonic {
+		return Millis(startedAt.UnixMilli()) + ToMillis(time.Since(startedAt))
 	}
-	if c == nil || !c.driven {
+	if c == nil || !c.manual {
 		return Millis(time.Now().UnixMilli())
 	}
 	c.mu.Lock()
@@ -86,17 +86,16 @@
 	return c.now
 }
 
-// Advance moves a driven clock forward by d; a negative d is ignored.
+// Advance moves a manual clock forward by d; a negative d is ignored.
 func (c *Clock) Advance(d Millis) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.driven && d > 0 {
+	if c.manual && d > 0 {
 		c.now += d
 	}
 }
 
-// Pause waits for d of the machine's time and returns false when ctx ended
-// first.
+// Sleep waits for d of real time. It returns false if ctx ends first.
 func Sleep(ctx context.Context, d Millis) bool {
 	timer := time.NewTimer(d.Duration())
 	defer timer.Stop()
--- a/magno/config.go
+++ b/magno/config.go
@@ -1,9 +1,9 @@
 package magno
 
-// Config is one version of what operators publish. A process takes a whole
-// version or keeps the one it has.
+// Config is one version of the configuration that operators publish. A process applies
+// a version as a whole or keeps the one in force.
 type Config struct {
-	// Version only grows; a lower one is never put in force.
+	// Version increases with each publication; a lower one is never applied.
 	Version int64 `json:"version"`
 	// Customers have unique names.
 	Customers []Customer `json:"customers"`
@@ -11,42 +11,42 @@
 	Pools []Pool `json:"pools"`
 	// Adapters have unique names.
 	Adapters []Adapter `json:"adapters"`
-	// Profiles have unique names; each names a known customer and pool, and
-	// a known version of a known adapter unless its pool is plain.
+	// Profiles have unique names. Each refers to a customer and a pool of this
+	// configuration and, unless the pool is plain, to a version of one of its adapters.
 	Profiles []Profile `json:"profiles"`
-	// Drained lists instances that take no new work.
+	// Drained lists instances that accept no new work.
 	Drained []string `json:"drained,omitempty"`
-	// Rosters are in order of Since; see the package once.
+	// Rosters are sorted by Since; see package once.
 	Rosters []Roster `json:"rosters,omitempty"`
 }
 
-// Customer is one of the organisations whose callers send requests.
+// Customer is an organisation whose callers send requests.
 type Customer struct {
 	Name string `json:"name"`
-	// Weight is its share of engine time against the others', over zero.
+	// Weight is its relative share of engine time, greater than zero.
 	Weight float64 `json:"weight"`
-	// Keys are the digests of its callers' keys; no two customers share one.
+	// Keys are the digests of its callers' API keys; no two customers share one.
 	Keys []Digest `json:"keys,omitempty"`
-	// Rank is its urgency on the users' platform, 0 first. It goes before that of a
-	// route; nil for none.
+	// Rank is its priority on the operators' platform, 0 highest. It overrides the rank of
+	// a route; nil if not set.
 	Rank *int `json:"-"`
-	// Limit is nil where its requests aren't limited.
+	// Limit is nil if its requests aren't limited.
 	Limit *Limit `json:"limit,omitempty"`
 }
 
-// Limit is how much a customer may have run, over all processes.
+// Limit is the rate limit of a customer over all processes.
 type Limit struct {
-	// Rate is so much a second, Burst what may come at once beside it; both are over
-	// zero.
+	// Rate is the allowance per second and Burst the additional amount allowed at once.
+	// Both are greater than zero.
 	Rate  float64 `json:"rate"`
 	Burst float64 `json:"burst"`
-	// Tokens is true where tokens count, of prompt and answer together, and false where
-	// requests do. Plain is what a request counts that names no tokens.
+	// Tokens is true if the limit counts the tokens of prompt and answer, false if it counts
+	// requests. Plain is the number of tokens charged for a request that states none.
 	Tokens bool    `json:"tokens,omitempty"`
 	Plain  float64 `json:"plain,omitempty"`
 }
 
-// Cost is what a request counts that names so many tokens, zero for none.
+// Cost returns the cost of a request with a stated number of tokens, zero if it states none.
 func (l *Limit) Cost(tokens int) float64 {
 	switch {
 	case !l.Tokens:
@@ -57,83 +57,80 @@
 	return float64(tokens)
 }
 
-// PoolKind says what stands behind a pool.
+// PoolKind is the type of the upstreams in a pool.
 type PoolKind string
 
 // The kinds of pool.
 const (
-	PoolEngine PoolKind = "engine" // model engines that run adapters
-	PoolPlain  PoolKind = "plain"  // plain services
+	PoolEngine PoolKind = "engine" // model engines that serve adapters
+	PoolPlain  PoolKind = "plain"  // plain HTTP services
 )
 
-// Pool is a set of like upstreams.
+// Pool is a set of interchangeable upstreams.
 type Pool struct {
 	Name string   `json:"name"`
 	Kind PoolKind `json:"kind"`
-	// Base is the base model of an engine pool, empty for a plain one.
+	// Base is the base model of an engine pool, empty for a plain pool.
 	Base string `json:"base,omitempty"`
-	// LoadRate is how many adapter loads a second the weight store allows
-	// the pool.
+	// LoadRate is the number of adapter loads per second that the weight store allows the
+	// pool.
 	LoadRate float64 `json:"loadrate,omitempty"`
-	// LoadWidth is how many loads run at once at full speed.
+	// MaxLoads is the number of concurrent loads that still run at full speed.
 	MaxLoads int `json:"loadwidth,omitempty"`
 }
 
-// Adapter is a LoRA adapter and its versions.
+// Adapter is a LoRA adapter with its versions.
 type Adapter struct {
 	Name string `json:"name"`
 	Base string `json:"base"`
-	// Versions that may be named by a profile.
+	// Versions are those that a profile may use.
 	Versions []string `json:"versions"`
-	// Retired versions are refused; none is in Versions as well.
+	// Retired versions are rejected; none of them is in Versions.
 	Retired []string `json:"retired,omitempty"`
 }
 
-// Profile states what a kind of work needs. Callers name it as the model.
+// Profile describes a class of requests. Callers select it by the model name.
 type Profile struct {
 	Name     string `json:"name"`
 	Customer string `json:"customer"`
 	Pool     string `json:"pool"`
 	Adapter  string `json:"adapter,omitempty"`
 	Version  string `json:"version,omitempty"`
-	// Urgency orders work within a customer; 0 is the least urgent, 9 the
-	// most.
+	// Urgency orders requests of one customer, from 0 (least urgent) to 9.
 	Urgency int `json:"urgency,omitempty"`
-	// Repeat is true when the work is idempotent and may be run again.
+	// Idempotent requests may be executed more than once.
 	Idempotent bool `json:"repeat,omitempty"`
-	// Deadline in milliseconds holds where the caller states none.
+	// Deadline is the default if the caller states none.
 	Deadline Millis `json:"deadline,omitempty"`
-	// Stall is how heavily load stalls count against batch efficiency, 0 to
-	// 1: 0 waits for full batches, 1 never waits for one.
+	// Stall weighs delays by adapter loads against batch efficiency, from 0 to 1: with 0
+	// requests wait for full batches, with 1 they never do.
 	Stall float64 `json:"stall,omitempty"`
-	// Retired profiles are refused with their own kind.
+	// Retired profiles are rejected with KindRetired.
 	Retired bool `json:"retired,omitempty"`
 }
 
-// KeyRetention is how long an idempotency key is remembered unless settings say
-// otherwise, in milliseconds. A roster may be dropped once it ended that long
-// ago, for its keys are then refused as stale.
+// KeyRetention is the default time for which an idempotency key is remembered. A roster
+// may be removed once it ended that long ago, since its keys are then rejected as stale.
 const KeyRetention = Hour
 
-// Roster names the instances whose agents witness keys issued from Since until
-// Until. No two rosters cover the same time, so that a process with an old
-// configuration refuses a key rather than ask other witnesses for it than its
-// peers do; see the package roster.
+// Roster lists the instances whose agents are the witnesses of idempotency keys issued
+// from Since until Until. Rosters don't overlap, so that a process with an outdated
+// configuration rejects a key instead of asking other witnesses than its peers do; see
+// package roster.
 type Roster struct {
-	// Since is the first key time, in milliseconds, that the roster covers.
+	// Since is the first key time that the roster covers.
 	Since Millis `json:"since"`
-	// Until is the first key time that it no longer covers. It may be moved
-	// ahead but never back.
+	// Until is the first key time after the roster. It may be moved to a later time, never
+	// to an earlier one.
 	Until Millis `json:"until"`
-	// Members are names of instances, each a slot that outlives the process
-	// in it.
+	// Members are names of instances. A name is a slot that outlives the process in it.
 	Members []string `json:"members"`
-	// Places maps a member to its data centre. It is published with the
-	// roster because lists of live instances differ between processes.
+	// DataCentres maps a member to its data centre. It is part of the roster because the
+	// lists of live instances differ between processes.
 	DataCentres map[string]string `json:"places,omitempty"`
 }
 
-// InstanceState is what the platform's list says of an instance.
+// InstanceState is the state of an instance in the platform's list.
 type InstanceState string
 
 // The states of an instance.
@@ -142,7 +139,7 @@
 	InstanceLeaving InstanceState = "leaving"
 )
 
-// Role is what a process of the system is.
+// Role is the type of a process.
 type Role string
 
 // The roles.
@@ -151,25 +148,25 @@
 	RoleAgent Role = "agent"
 )
 
-// Instance is one row of the platform's lagging list.
+// Instance is an entry of the platform's instance list, which may be outdated.
 type Instance struct {
 	Name       string `json:"name"`
 	Role       Role   `json:"role"`
 	DataCentre string `json:"dc"`
-	// Pool is empty for an entry.
+	// Pool is empty for entry processes.
 	Pool string `json:"pool,omitempty"`
-	// Address is the process's own port, IP and port.
+	// Address is the IP and port for calls between processes.
 	Address string        `json:"address"`
 	State   InstanceState `json:"state"`
 }
 
-// Ref names one version of one adapter; its zero value means none.
+// Ref identifies a version of an adapter; its zero value means none.
 type Ref struct {
 	Adapter string `json:"adapter,omitempty"`
 	Version string `json:"version,omitempty"`
 }
 
-// String returns adapter@version, the form that engines use.
+// String returns adapter@version, the notation of engines.
 func (r Ref) String() string {
 	if r.Adapter == "" {
 		return ""
--- a/magno/digest.go
+++ b/magno/digest.go
@@ -7,11 +7,11 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Digest stands for a caller's key. Keys themselves aren't kept: a configuration, a log
-// or a dump that leaks gives nobody access.
+// Digest is the SHA-256 digest of an API key. The keys themselves aren't stored, so that
+// a leaked configuration, log or memory dump gives no access.
 type Digest [sha256.Size]byte
 
-// Digested returns the digest of a key.
+// DigestOf returns the digest of an API key.
 func DigestOf(key string) Digest { return sha256.Sum256([]byte(key)) }
 
 // String returns the digest in hexadecimal digits.
@@ -24,10 +24,10 @@
 func (d *Digest) UnmarshalText(text []byte) error {
 	b, err := hex.DecodeString(string(text))
 	if err != nil {
-		return errors.New("a digest has hexadecimal digits") // the text may be a key
+		return errors.New("digest is not hexadecimal") // without the text, which may be a key
 	}
 	if len(b) != len(d) {
-		return errors.Newf("a digest has %d bytes, not %d", len(d), len(b))
+		return errors.Newf("digest must have %d bytes, has %d", len(d), len(b))
 	}
 	copy(d[:], b)
 	return nil
--- a/magno/doc.go
+++ b/magno/doc.go
@@ -1,7 +1,7 @@
-// Package magno is the root of a serving layer for very many LoRA adapters.
-// It holds what every program shares: plain data, the interfaces of whatever
-// varies, the closed list of error kinds, the clock and the kernel. The
-// implementations stand in small packages below it.
+// Package magno is the root of a serving layer for large numbers of LoRA adapters. It
+// contains what all programs share: data types, the interfaces of replaceable parts, the
+// closed list of error kinds, the clock, the supervisor and the plug-in registry.
+// Implementations are in packages below it.
 //
 //	          platform: configuration service, instance list (read only)
 //	               | watch                          | watch
@@ -13,7 +13,7 @@
 //	                                                  v  | grants, gossip, turns
 //	                                                other agents
 //
-// An entry keeps soft state only. An agent is the one process that sends work
-// and orders to its upstream, so fairness, batch shape and adapter slots are
-// decided together there. Packages that decide import no network.
+// Entries have soft state only. An agent is the only process that sends requests and
+// commands to its upstream, so that fairness, batching and adapter slots are decided in
+// one place. Packages that make decisions don't import networking packages.
 package magno
--- a/magno/iface.go
+++ b/magno/iface.go
@@ -6,8 +6,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Hash is a short name of the reference for reports between processes. Two
-// references with one hash cost a needless load at worst.
+// Hash returns a short identifier of the reference for reports between processes. A
+// collision costs at most an unnecessary load.
 func (r Ref) Hash() uint32 {
 	var d xxhash.Digest
 	d.Reset()
@@ -17,60 +17,60 @@
 	return uint32(d.Sum64())
 }
 
-// Job is a request as decisions see it: what it needs and what it costs.
+// Job is a request as schedulers and routers see it: its requirements and its cost.
 type Job struct {
 	// ID is unique for each attempt.
 	ID       string `json:"id"`
 	Customer string `json:"customer"`
-	// Caller is a stable name of who asks; fairness within a customer.
+	// Caller is a stable identifier of the caller, for fairness within a customer.
 	Caller  string `json:"caller,omitempty"`
 	Profile string `json:"profile"`
 	Ref     Ref    `json:"ref"`
-	// Urgency is 0 to 9, most urgent 9.
+	// Urgency is from 0 to 9, 9 being the most urgent.
 	Urgency int `json:"urgency"`
-	// Stall is the profile's weight of load stalls, 0 to 1.
+	// Stall is Profile.Stall, from 0 to 1.
 	Stall float64 `json:"stall,omitempty"`
-	// Prompt and Output are tokens; Output is what is expected, at most what
-	// the caller allows.
+	// Prompt and Output are numbers of tokens. Output is an estimate, at most the maximum
+	// that the caller allows.
 	Prompt int `json:"prompt"`
 	Output int `json:"output"`
-	// Prefix is a hash of the prompt's start, zero when there is none.
+	// Prefix is a hash of the start of the prompt, zero if there is none.
 	Prefix uint64 `json:"prefix,omitempty"`
-	// Print is a hash of the whole request: its fingerprint as a suspect.
+	// Fingerprint is a hash of the whole request, by which crashes are attributed to it.
 	Fingerprint uint64 `json:"print,omitempty"`
-	// Arrived and Deadline are points in time.
+	// Arrived and Deadline are points in time, not durations.
 	Arrived  Millis `json:"arrived"`
 	Deadline Millis `json:"deadline"`
-	// Repeat is true when the job is idempotent.
+	// Idempotent jobs may be executed more than once.
 	Idempotent bool `json:"repeat,omitempty"`
 }
 
-// Limits are what an upstream states of itself.
+// Limits are the limits and speeds that an upstream reports.
 type Limits struct {
-	// Slots is the number of adapters it holds at once.
+	// Slots is the number of adapters that can be loaded at once.
 	Slots int `json:"slots"`
-	// Batch is the number of requests that run in one step.
+	// Batch is the maximum number of requests in a step.
 	Batch int `json:"batch"`
-	// Tokens is the capacity of a step.
+	// Tokens is the maximum number of tokens in a step.
 	Tokens int `json:"tokens"`
-	// Step is the time of a step in milliseconds.
+	// Step is the duration of a step.
 	Step Millis `json:"step"`
-	// Load is the time of an adapter load at full speed.
+	// Load is the duration of an adapter load at full speed.
 	Load Millis `json:"load"`
 }
 
-// OrderKind is what a scheduler wants done.
+// OrderKind is the type of an Order.
 type OrderKind string
 
-// The orders.
+// The types of order.
 const (
-	OrderStart  OrderKind = "start"  // send Job to the upstream; Ref is pinned until Done
+	OrderStart  OrderKind = "start"  // send Job to the upstream; Ref stays pinned until Done
 	OrderLoad   OrderKind = "load"   // load Ref into a slot
-	OrderUnload OrderKind = "unload" // evict Ref; nothing uses it
-	OrderRefuse OrderKind = "refuse" // end Job with Refusal; it was not run
+	OrderUnload OrderKind = "unload" // evict Ref, which no job uses
+	OrderRefuse OrderKind = "refuse" // fail Job with Refusal; it was not executed
 )
 
-// Order is one decision of a scheduler, carried out by the agent.
+// Order is a decision of a scheduler that the agent carries out.
 type Order struct {
 	Kind    OrderKind
 	Job     Job
@@ -78,251 +78,251 @@
 	Refusal *Refusal
 }
 
-// Backlog is what a scheduler tells of itself; it rides on answers.
+// Backlog is the load report of a scheduler. It is attached to replies.
 type Backlog struct {
-	// Wait is the expected time until a job that came now would start, its
-	// adapter being loaded.
+	// Wait is the expected time until a new job would start if its adapter is loaded.
 	Wait Millis `json:"wait,omitempty"`
 	// Queued and Running count jobs.
 	Queued  int `json:"queued,omitempty"`
 	Running int `json:"running,omitempty"`
-	// Work is the tokens queued and still to be made.
+	// Work is the number of tokens that are queued or still to be generated.
 	Work int `json:"work,omitempty"`
-	// Rate is how many tokens of work it takes in a millisecond, zero when it
-	// doesn't say.
+	// Rate is the throughput in tokens per millisecond, zero if unknown.
 	Rate float64 `json:"rate,omitempty"`
 	// Pinned and Held count adapters.
 	Pinned int `json:"pinned,omitempty"`
 	Held   int `json:"held,omitempty"`
-	// Customer maps a customer to its queued tokens.
+	// Customer maps customers to their queued tokens.
 	Customer map[string]int `json:"customer,omitempty"`
-	// Waits maps each customer with queued jobs to the Wait of one more of its
-	// jobs: in fair order it is shorter for one with little queued.
+	// Waits maps each customer with queued jobs to the expected wait of one more of its
+	// jobs. By fair queueing it is shorter for customers with little queued.
 	Waits map[string]Millis `json:"waits,omitempty"`
-	// Loads counts adapters that queued jobs wait for, LoadWait is the
-	// expected wait of one more.
+	// Loads counts the adapters that queued jobs wait for. LoadWait is the expected wait
+	// for the load of one more.
 	Loads    int    `json:"loads,omitempty"`
 	LoadWait Millis `json:"loadwait,omitempty"`
-	// BaseWait is how long until a base model is there, zero where one is.
+	// BaseWait is the time until a base model is loaded, zero if one is.
 	BaseWait Millis `json:"basewait,omitempty"`
-	// Warm holds Ref.Hash of each loaded adapter in ascending order; a slice
-	// that was handed out is never changed.
+	// Warm contains the Ref.Hash of each loaded adapter in ascending order. A slice is not
+	// modified after it was returned.
 	Warm []uint32 `json:"warm,omitempty"`
-	// Kept holds, likewise, those that it loads from its own memory, and KeptWait
-	// is the expected wait of one of them.
+	// Cached contains, in the same form, the adapters that the engine can load from its
+	// host memory. CachedWait is the expected wait for such a load.
 	Cached     []uint32 `json:"kept,omitempty"`
 	CachedWait Millis   `json:"keptwait,omitempty"`
-	// Coming holds, likewise, those that are being loaded or that jobs wait
-	// for.
+	// Loading contains, in the same form, the adapters that are being loaded or that jobs
+	// wait for.
 	Loading []uint32 `json:"coming,omitempty"`
-	// Pause is the longest pause between two events of a stream there, on average;
-	// zero where none is known.
+	// EventGap is the average over streams of the longest gap between two events, zero if
+	// unknown.
 	EventGap Millis `json:"pause,omitempty"`
-	// Down is true while the upstream is known not to answer. Whoever asks for the
-	// rest finds that out, so it isn't told with it.
+	// Down is true while the upstream is known not to answer. It isn't transmitted: the
+	// process that requests the report detects this itself.
 	Down bool `json:"-"`
 }
 
-// Scheduler decides for one upstream: whom to serve, who waits, who is
-// refused, what is loaded and evicted. It needs no network, and one goroutine
-// calls it.
+// Scheduler decides for one upstream which jobs to start, queue or refuse, and which
+// adapters to load or evict. It doesn't use the network. All calls are made from one
+// goroutine.
 type Scheduler interface {
-	// Offer takes a job or refuses it at once; nil means it is queued.
+	// Offer queues a job and returns nil, or returns a refusal.
 	Offer(job Job) *Refusal
-	// Next returns what is to be done now. Each order is returned once.
+	// Next returns the orders to carry out now. Each order is returned once.
 	Next() []Order
-	// Tokens tells that a running job made n more tokens.
+	// Tokens reports that a running job generated n more tokens.
 	Tokens(id string, n int)
-	// Done ends a started job and frees its pin; ok is false when the
+	// Done reports the end of a started job and releases its pin. ok is false if the
 	// upstream failed it.
 	Done(id string, ok bool)
-	// Cancel ends a job; true means it had not been started.
+	// Cancel removes a job and returns true if it had not been started.
 	Cancel(id string) bool
-	// Loaded ends an ordered load; ok is false when it failed.
+	// Loaded reports the end of an ordered load. ok is false if it failed.
 	Loaded(ref Ref, ok bool)
-	// Unloaded ends an ordered eviction.
+	// Unloaded reports the end of an ordered eviction.
 	Unloaded(ref Ref)
-	// Reset tells that the upstream restarted empty. Jobs that ran are gone;
-	// their IDs are returned, and the caller decides what becomes of them.
+	// Reset reports that the upstream restarted with no adapter loaded. It returns the IDs
+	// of the jobs that were running and are lost; the caller decides how to proceed with
+	// them.
 	Reset() []string
-	// Backlog describes the present state.
+	// Backlog returns the current load report.
 	Backlog() Backlog
-	// Holds lists the adapters in slots and whether each is pinned.
+	// Holds maps the adapters in slots to whether they are pinned.
 	Holds() map[Ref]bool
 }
 
-// Turner is implemented by schedulers that share the weight store's allowance
-// with the rest of the fleet: they return OrderLoad only on a turn. Want is
-// called only while Backlog().Loads is over zero.
+// TurnTaker is implemented by schedulers that share the rate limit of the weight store
+// with the rest of the fleet. They return OrderLoad only when granted a turn. Want is called
+// only while Backlog().Loads is greater than zero.
 type TurnTaker interface {
-	// Want tells the adapter whose wait for a load does most harm now, and
-	// the harm; ok is false when no load is wanted or none could be begun.
+	// Want returns the adapter with the highest delay cost at present, and that cost as
+	// harm. ok is false if no load is needed or none could be started.
 	Want() (ref Ref, harm float64, ok bool)
-	// Turn allows one load to be ordered until then.
+	// Turn permits the scheduler to order one load until the given time.
 	Turn(until Millis)
 }
 
-// Target is an upstream as a router sees it.
+// Target is an instance to which a router can send requests.
 type Target struct {
 	// Name is the instance's name.
 	Name       string
 	DataCentre string
-	// Leaving targets get no new work.
+	// Leaving targets are sent no new work.
 	Leaving bool
 }
 
-// Query is what a route depends on.
+// Query describes a request for routing.
 type Query struct {
 	Ref    Ref
 	Prefix uint64
-	// Customer is whose work it is; empty when it doesn't matter.
+	// Customer is the customer of the request; empty if it doesn't matter.
 	Customer string
-	// DataCentre is the asker's own.
+	// DataCentre is that of the process that routes the request.
 	DataCentre string
-	// Work is the request's tokens.
+	// Work is the size of the request in tokens.
 	Work int
-	// Aim is when its first event is due, Gap the longest pause between two that it
-	// allows; zero where it states none.
+	// Aim is the target for the time to the first event and Gap the maximum gap between two
+	// events; zero if there is none.
 	Aim, Gap Millis
-	// Avoid holds names that were tried already.
+	// Avoid lists the targets that were tried already.
 	Avoid []string
 }
 
-// Router decides where work of one pool goes. Its work for each query does
-// not grow with the pool. It is safe for concurrent use.
+// Router selects targets for the requests of one pool. The cost of a query doesn't depend
+// on the size of the pool. Implementations are safe for concurrent use.
 type Router interface {
 	// Update replaces the targets.
 	Update(targets []Target)
-	// Route returns names in order of preference, at most a few.
+	// Route returns the names of a few targets in order of preference.
 	Route(q Query) []string
-	// Report takes the backlog that rode on an answer of name.
+	// Report sets the backlog that was attached to a reply of the named target.
 	Report(name string, b Backlog)
-	// Sent tells that work was sent, or with less than none that it was not
-	// after all. Ended tells that it was answered after took; ok is false when
-	// the target failed or couldn't be reached.
+	// Sent reports that work was sent; a negative value reverts an earlier report of work
+	// that was not sent after all. Ended reports that it was answered after the duration
+	// took. ok is false if the target failed or couldn't be reached.
 	Sent(name string, work int)
 	Ended(name string, work int, took Millis, ok bool)
 }
 
-// Piece is one part of an answer as it streams.
+// Piece is a part of a streamed answer.
 type Piece struct {
 	Text string `json:"text"`
-	// Tokens is how many tokens the piece holds.
+	// Tokens is the number of tokens in the piece.
 	Tokens int `json:"tokens"`
 }
 
-// Choice is what a router prefers.
+// Choice is the result of Chooser.Choose.
 type Choice struct {
-	// Names are in order of preference.
+	// Names lists targets in order of preference.
 	Names []string
-	// Most is the longest wait with which the first of them is still better than
-	// the second, zero where there is no second.
+	// MaxWait is the longest wait with which the first target is still better than the
+	// second, zero if there is no second.
 	MaxWait Millis
 }
 
-// Chooser is a router that knows by how much the first is better. A target whose
-// wait has grown beyond that since its last report can say so.
+// Chooser is a router that also returns the wait up to which the first target is the best
+// choice. A target whose wait has exceeded it since its last report can decline the
+// request.
 type Chooser interface {
 	Router
 	Choose(q Query) Choice
 }
 
-// Homer is implemented by routers that know the home of an idempotency key.
+// HomeRouter is implemented by routers that map idempotency keys to home targets.
 type HomeRouter interface {
-	// Homes returns the first n homes in order, the same on every entry that
-	// has the same targets and reports. Of q it takes Ref and Customer.
+	// Homes returns the first n homes of a key in order. Entries with the same targets and
+	// reports get the same result. Only Ref and Customer of q are used.
 	Homes(q Query, key string, n int) []string
 }
 
-// Result is a whole answer.
+// Result is a complete answer.
 type Result struct {
-	// Ref is the adapter and version that the upstream says it ran.
+	// Ref is the adapter and version that the upstream reports as executed.
 	Ref Ref `json:"ref"`
-	// Text is the whole answer, equal to all pieces joined.
+	// Text is the complete answer, equal to the concatenation of all pieces.
 	Text string `json:"text"`
-	// Prompt and Output are tokens.
+	// Prompt and Output are numbers of tokens.
 	Prompt int `json:"prompt"`
 	Output int `json:"output"`
-	// Finish is the engine's reason: stop or length.
+	// Finish is the finish reason of the engine: stop or length.
 	Finish string `json:"finish,omitempty"`
-	// Type is the content type of a plain service's answer.
+	// ContentType is that of a plain service's answer.
 	ContentType string `json:"type,omitempty"`
-	// Stall is how long the job waited for its adapter, in milliseconds.
+	// Stall is the time that the job waited for its adapter.
 	Stall Millis `json:"stall"`
-	// Queue is how long it waited in all before it was started.
+	// Queue is the total time that it waited before it was started.
 	Queue Millis `json:"queue"`
 }
 
-// Work is what is sent to an upstream.
+// Work is a request to an upstream.
 type Work struct {
 	Job Job `json:"job"`
-	// Path is the call of a plain service, empty for an engine.
+	// Path is the path on a plain service, empty for an engine.
 	Path string `json:"path,omitempty"`
-	// Body is the prompt of an engine, or the body of a plain call.
+	// Body is the prompt for an engine, or the request body for a plain service.
 	Body string `json:"body"`
-	// Type is the content type of a plain call.
+	// ContentType is that of the request body for a plain service.
 	ContentType string `json:"type,omitempty"`
-	// Max is the most tokens to generate.
+	// MaxTokens is the maximum number of tokens to generate.
 	MaxTokens int `json:"max,omitempty"`
 }
 
-// Upstream is a back end as its agent sees it.
+// Upstream is the client of a back end, used by its agent.
 type Upstream interface {
-	// Run runs work and calls emit for each piece in order. A *Refusal with
-	// RunNo means that the upstream did not begin.
+	// Run executes work and calls emit for each piece in order. A *Refusal with RunNo
+	// means that the upstream did not start it.
 	Run(ctx context.Context, w Work, emit func(Piece)) (Result, error)
-	// Load puts ref into a slot, Unload takes it out. Both carry fence, which
-	// grows with each start of an agent.
+	// Load loads ref into a slot, Unload evicts it. Both send the fencing token fence,
+	// which increases with each start of an agent.
 	Load(ctx context.Context, ref Ref, fence int64) error
 	Unload(ctx context.Context, ref Ref, fence int64) error
-	// Probe tells the limits, what is loaded and a number that changes when
-	// the upstream restarts.
+	// Probe returns the limits, the loaded adapters and a number that changes with each
+	// restart of the upstream.
 	Probe(ctx context.Context) (Probe, error)
 }
 
-// Probe is an upstream's report of itself; it may lag.
+// Probe is the status report of an upstream. It may be outdated.
 type Probe struct {
 	Limits Limits `json:"limits"`
-	// Boot changes with each restart of the upstream.
+	// Boot identifies the run of the upstream: it changes with each restart.
 	Boot   int64 `json:"boot"`
 	Loaded []Ref `json:"loaded"`
-	// Steps, Capacity and Used count engine steps and tokens since Boot:
-	// Used/Capacity is the batch efficiency.
+	// Steps counts engine steps since the restart, Capacity and Used the tokens that fit
+	// into them and that they processed. Used/Capacity is the batch efficiency.
 	Steps    int64 `json:"steps"`
 	Capacity int64 `json:"capacity"`
 	Used     int64 `json:"used"`
 }
 
-// Asker carries a call to the witness in a member's slot. An error means that
-// no answer came; the witness may have given the key nevertheless.
+// WitnessClient calls the witness in a member's slot. An error means that there was no
+// reply; the witness may have granted the key nevertheless.
 type WitnessClient interface {
 	Ask(ctx context.Context, member string, call GrantCall) (GrantReply, error)
 }
 
-// Tuner is implemented by schedulers that are told of changes while they run.
-// The goroutine that owns the scheduler calls it.
+// Configurable is implemented by schedulers whose parameters can change while they run.
+// The goroutine that owns the scheduler calls its methods.
 type Configurable interface {
 	SetClock(clock *Clock)
-	// SetLimits tells what the upstream states of itself.
+	// SetLimits sets the limits that the upstream reports.
 	SetLimits(limits Limits)
-	// SetWeights maps a customer to its share; a missing one counts as 1.
+	// SetWeights sets the share of each customer; the default is 1.
 	SetWeights(weights map[string]float64)
-	// SetTurns tells whether loads wait for turns; see Turner.
+	// SetTurns sets whether loads wait for turns; see TurnTaker.
 	SetTurns(on bool)
-	// Adopt tells just what the upstream holds, while no order is under way.
+	// Adopt sets the adapters that are loaded, while no order is in progress.
 	Adopt(held []Ref)
 }
 
-// Addressed is implemented by upstreams that are reached over the network.
+// AddressSetter is implemented by upstreams that are reached over the network.
 type AddressSetter interface {
-	// SetAddress sets IP and port, and the fence that goes with requests.
+	// SetAddress sets IP and port and the fencing token of requests.
 	SetAddress(address string, fence int64)
 }
 
-// Quotas bound what customers may have run, over all processes.
+// Quotas enforces the rate limits of customers over all processes.
 type Quotas interface {
-	// Take takes a request's cost from its customer's allowance, or refuses it.
+	// Take deducts the cost of a request from its customer's allowance, or refuses it.
 	Take(ctx context.Context, c *Customer, cost float64) *Refusal
-	// Give returns the cost of a request that has not run.
+	// Give refunds the cost of a request that was not executed.
 	Give(c *Customer, cost float64)
 }
--- a/magno/kernel.go
+++ b/magno/kernel.go
@@ -7,32 +7,31 @@
 	"sync"
 )
 
-// Duty is one job of a process, run by one goroutine of its own.
+// Task is a long-running job of a process, run in a goroutine of its own.
 type Task interface {
 	// Name is short and unique within the process.
 	Name() string
-	// Run works until ctx ends. A nil error after ctx ended is a clean stop.
+	// Run works until ctx ends. Once ctx has ended, a nil error means a clean stop.
 	Run(ctx context.Context) error
 }
 
-// End reports that a duty stopped.
+// Exit reports that a task has returned.
 type Exit struct {
 	Task string
 	Err  error
 }
 
-// Kernel starts duties and waits for their ends. When one fails, the others
-// are stopped: a process with half of its duties would look healthy while its
-// requests wait for ever.
+// Supervisor runs the tasks of a process. If one fails, it stops the others: a process
+// that runs only some of its tasks would look healthy while its requests never finish.
 type Supervisor struct {
-	// Duties are set before Run and not changed after.
+	// Tasks must not be changed after Run is called.
 	Tasks []Task
-	// OnEnd is called for each end, by the goroutine that called Run. It may
+	// OnExit is called for each task that returns, in the goroutine that called Run. It may
 	// be nil.
 	OnExit func(Exit)
 }
 
-// Run starts every duty and returns when all have ended, with the first error.
+// Run starts all tasks and returns the first error once all have returned.
 func (k *Supervisor) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -47,33 +46,33 @@
 			k.OnExit(end)
 		}
 		if end.Err != nil && ctx.Err() == nil {
-			first = fmt.Errorf("duty %s: %w", end.Task, end.Err)
+			first = fmt.Errorf("task %s: %w", end.Task, end.Err)
 			cancel()
 		}
 	}
 	return first
 }
 
-// Maker builds a plug-in of one sort; the caller asserts the interface that
-// the sort stands for.
+// Factory creates a plug-in. The caller asserts the interface that belongs to the type of
+// plug-in.
 type Factory func() any
 
-// plugins maps sort and name to a maker. Packages add theirs when they are
-// linked in, before main starts.
+// plugins maps the type and name of a plug-in to its factory. Packages register theirs in
+// init.
 var plugins = struct {
 	mu     sync.Mutex
 	makers map[string]map[string]Factory
 }{makers: map[string]map[string]Factory{}}
 
-// The sorts of plug-in.
+// Types of plug-in.
 const (
 	PluginRouter    = "router"
 	PluginScheduler = "scheduler"
 	PluginUpstream  = "upstream"
 )
 
-// Register adds a plug-in. A name that is taken is a fault of the program and
-// panics at start, when a person sees it.
+// Register adds a plug-in. It panics if the name is taken, which is a programming error
+// that shows at start-up.
 func Register(sort, name string, maker Factory) {
 	plugins.mu.Lock()
 	defer plugins.mu.Unlock()
@@ -88,18 +87,18 @@
 	names[name] = maker
 }
 
-// Plugin builds the plug-in of that sort and name.
+// NewPlugin creates the plug-in with the given type and name.
 func NewPlugin(sort, name string) (any, error) {
 	plugins.mu.Lock()
 	maker := plugins.makers[sort][name]
 	plugins.mu.Unlock()
 	if maker == nil {
-		return nil, fmt.Errorf("no %s named %q is linked in, only %q", sort, name, PluginNames(sort))
+		return nil, fmt.Errorf("unknown %s %q, available: %q", sort, name, PluginNames(sort))
 	}
 	return maker(), nil
 }
 
-// Plugins lists the names of a sort in order.
+// PluginNames returns the sorted names of all plug-ins of a type.
 func PluginNames(sortOf string) []string {
 	plugins.mu.Lock()
 	defer plugins.mu.Unlock()
--- a/magno/kind.go
+++ b/magno/kind.go
@@ -5,64 +5,64 @@
 	"net/http"
 )
 
-// Kind is the reason why a request was not answered. The list is closed: each
-// kind has one row in the table below, and callers see its name.
+// Kind is the reason for which a request failed. The list is closed: each kind has a row
+// in the table below, and its name is part of the API.
 type Kind string
 
 // The error kinds.
 const (
-	KindMalformed   Kind = "malformed"   // the body or a header can't be read
+	KindMalformed   Kind = "malformed"   // the body or a header can't be parsed
 	KindTooLarge    Kind = "large"       // the body is over the limit
-	KindNoProfile   Kind = "profile"     // no profile of this name
+	KindNoProfile   Kind = "profile"     // unknown profile
 	KindRetired     Kind = "retired"     // the profile or version is retired
-	KindNoKey       Kind = "key"         // a call that may not be repeated has no idempotency key
-	KindStaleKey    Kind = "stale"       // the key's time is outside the retention window
-	KindMismatch    Kind = "mismatch"    // the key was used before for another body
+	KindNoKey       Kind = "key"         // a request that isn't idempotent has no idempotency key
+	KindStaleKey    Kind = "stale"       // the time in the idempotency key is outside the retention window
+	KindMismatch    Kind = "mismatch"    // the idempotency key was used before with another body
 	KindPast        Kind = "past"        // the deadline had passed on arrival
-	KindCredential  Kind = "credential"  // the caller's key belongs to no customer
-	KindOutdated    Kind = "outdated"    // keys may have been withdrawn since the configuration was last confirmed
+	KindCredential  Kind = "credential"  // the API key belongs to no customer
+	KindOutdated    Kind = "outdated"    // API keys may have been revoked since the configuration was last confirmed
 	KindQuota       Kind = "quota"       // the customer is over its rate limit
-	KindBusy        Kind = "busy"        // the queue can't finish it before its deadline
-	KindShare       Kind = "share"       // the customer or caller is over its share
-	KindLoading     Kind = "loading"     // its adapter can't be loaded in time
+	KindBusy        Kind = "busy"        // the queue is too long to finish it before its deadline
+	KindShare       Kind = "share"       // the customer or caller exceeds its fair share
+	KindLoading     Kind = "loading"     // its adapter can't be loaded before the deadline
 	KindNoUpstream  Kind = "upstream"    // no upstream of the pool can be reached
-	KindLeaving     Kind = "leaving"     // the instance is leaving and takes no new work
+	KindLeaving     Kind = "leaving"     // the instance is shutting down and accepts no new work
 	KindStarting    Kind = "starting"    // the process has no configuration yet
-	KindSuspect     Kind = "suspect"     // requests like it crashed upstreams
-	KindLater       Kind = "later"       // no quorum of witnesses now; an earlier copy may have run
+	KindSuspect     Kind = "suspect"     // requests with its fingerprint crashed upstreams
+	KindLater       Kind = "later"       // no quorum of witnesses at present; an earlier copy may have run
 	KindUnknown     Kind = "unknown"     // it may or may not have run
-	KindInterrupted Kind = "interrupted" // an answer was cut off after it began
-	KindDeadline    Kind = "deadline"    // the deadline passed while it waited
-	KindCancelled   Kind = "cancelled"   // the caller went away
-	KindFailed      Kind = "failed"      // the upstream ran it and answered with an error
-	KindDenied      Kind = "denied"      // the peer is not on the list
-	KindInternal    Kind = "internal"    // a fault of this system
+	KindInterrupted Kind = "interrupted" // the answer broke off after it began
+	KindDeadline    Kind = "deadline"    // the deadline passed while it was queued
+	KindCancelled   Kind = "cancelled"   // the caller disconnected
+	KindFailed      Kind = "failed"      // the upstream executed it and returned an error
+	KindDenied      Kind = "denied"      // the peer's address isn't on the allowlist
+	KindInternal    Kind = "internal"    // an error of this system
 )
 
-// Run says whether a request reached an upstream's execution.
+// Run tells whether an upstream executed a request.
 type Run string
 
-// The three values of Run. RunNo is told only where the request was not run
-// and never will be under the same attempt.
+// The values of Run. RunNo means that the request was not executed and never will be as
+// part of the same attempt.
 const (
 	RunNo      Run = "no"
 	RunYes     Run = "yes"
 	RunUnknown Run = "unknown"
 )
 
-// Answer is what a kind means to a caller.
+// Answer is the response to callers for a kind.
 type Answer struct {
 	// Status is the HTTP status code.
 	Status int
-	// Run is told when the refusal doesn't state a value of its own.
+	// Run is the default for refusals that don't set a value of their own.
 	Run Run
-	// Again is true when the same request may succeed later; RetryAfter is
-	// then always sent.
+	// Retryable is true if the same request may succeed later. The response then always
+	// has a Retry-After header.
 	Retryable bool
 }
 
-// answers is the table from kind to answer.
-var answers = map[Kind]Answer{
+// answersByKind is documented in README.md; TestKindsOnPage compares the two.
+var answersByKind = map[Kind]Answer{
 	KindMalformed:   {http.StatusBadRequest, RunNo, false},
 	KindTooLarge:    {http.StatusRequestEntityTooLarge, RunNo, false},
 	KindNoProfile:   {http.StatusNotFound, RunNo, false},
@@ -91,40 +91,40 @@
 	KindInternal:    {http.StatusInternalServerError, RunUnknown, false},
 }
 
-// Answer returns the kind's row of the table; a kind from a newer peer counts
-// as internal.
+// Answer returns the response for a kind. An unknown kind, from a peer with a newer
+// version, counts as internal.
 func (k Kind) Answer() Answer {
-	a, ok := answers[k]
+	a, ok := answersByKind[k]
 	if !ok {
-		return answers[KindInternal]
+		return answersByKind[KindInternal]
 	}
 	return a
 }
 
-// Kinds lists every kind, in no particular order.
+// Kinds returns all kinds in no particular order.
 func Kinds() []Kind {
-	kinds := make([]Kind, 0, len(answers))
-	for k := range answers {
+	kinds := make([]Kind, 0, len(answersByKind))
+	for k := range answersByKind {
 		kinds = append(kinds, k)
 	}
 	return kinds
 }
 
-// Refusal is the error that ends a request. It travels unchanged from the
-// process that decided to the caller.
+// Refusal is the error with which a request fails. It is forwarded unchanged from the
+// process that failed the request to the caller.
 type Refusal struct {
 	Kind Kind `json:"kind"`
-	// Run is never empty once the refusal is made by Refuse.
+	// Run is never empty in a refusal from Refuse.
 	Run Run `json:"run"`
-	// Field names what was wrong in the request; empty when nothing was.
+	// Field names the invalid part of the request; empty if there is none.
 	Field string `json:"field,omitempty"`
-	// Detail is one plain sentence for a person.
+	// Detail is a short explanation for people.
 	Detail string `json:"detail,omitempty"`
-	// After is when to come back, from now; zero means not at all.
+	// After is the delay before a retry; zero means don't retry.
 	After Millis `json:"after,omitempty"`
 }
 
-// Refuse makes a refusal with the kind's own value of Run.
+// Refuse returns a refusal with the defaults of its kind.
 func Refuse(kind Kind, format string, args ...any) *Refusal {
 	r := &Refusal{Kind: kind, Run: kind.Answer().Run, Detail: fmt.Sprintf(format, args...)}
 	if kind.Answer().Retryable {
@@ -133,25 +133,25 @@
 	return r
 }
 
-// At names the field at fault and returns r.
+// WithField sets the invalid field and returns r.
 func (r *Refusal) WithField(field string) *Refusal {
 	r.Field = field
 	return r
 }
 
-// Later sets when to come back and returns r.
+// WithRetryAfter sets the delay before a retry, at least 1 ms, and returns r.
 func (r *Refusal) WithRetryAfter(after Millis) *Refusal {
 	r.After = max(after, 1)
 	return r
 }
 
-// Ran sets whether the request was run and returns r.
+// WithRun sets whether the request was executed and returns r.
 func (r *Refusal) WithRun(run Run) *Refusal {
 	r.Run = run
 	return r
 }
 
-// Error returns kind, field and detail in one line.
+// Error returns kind, field and detail on one line.
 func (r *Refusal) Error() string {
 	if r.Field == "" {
 		return fmt.Sprintf("%s: %s", r.Kind, r.Detail)
--- a/magno/page_test.go
+++ b/magno/page_test.go
@@ -7,12 +7,11 @@
 	"testing"
 )
 
-// Callers write their handling of refusals by the table on the first page. A
-// row that is wrong there has them send again what ran, or give up what would
-// have been served.
+// Callers implement error handling by the table in the README. A wrong row makes them
+// repeat requests that were executed, or give up on requests that would succeed.
 func TestKindsOnPage(t *testing.T) {
-	// The name is a link within the module: go test otherwise gives an old result
-	// again when the page alone has changed.
+	// The file is a symbolic link within the module: go test doesn't track files outside
+	// it, and would return a cached result after a change of the page alone.
 	page, err := os.ReadFile("testdata/README.md")
 	if err != nil {
 		t.Fatal(err)
--- a/magno/plan.go
+++ b/magno/plan.go
@@ -2,109 +2,108 @@
 
 import "strconv"
 
-// RouteKind tells what may be repeated of a route's requests.
+// RouteKind tells whether the requests of a route may be repeated.
 type RouteKind int
 
 // The kinds of route.
 const (
-	// KindOnce requests run at most once for each attempt of the caller.
+	// RouteOnce requests are executed at most once for each attempt of the caller.
 	RouteOnce RouteKind = iota
-	// KindRepeat requests are idempotent.
+	// RouteIdempotent requests may be executed more than once.
 	RouteIdempotent
-	// KindStream answers come as events; they count as KindOnce unless the
-	// route allows to resume them.
+	// RouteStream requests are answered by a stream of events. They are handled as
+	// RouteOnce unless the route allows to resume them.
 	RouteStream
 )
 
-// Part is a share of a route's traffic.
+// Part is the share of a service in the traffic of a route.
 type Part struct {
 	Service string  `json:"service"`
 	Weight  float64 `json:"weight"`
 }
 
-// Route maps requests of a host and path to services.
+// Route maps a host and path prefix to services.
 type Route struct {
 	Name string `json:"name"`
 	Host string `json:"host"`
 	// Prefix begins and ends with a slash.
 	Prefix string    `json:"prefix"`
 	Kind   RouteKind `json:"kind"`
-	// Parts has at least one element; weights are positive.
+	// Parts is never empty, and its weights are positive.
 	Parts []Part `json:"parts"`
-	// Attempts is the most upstreams that one request is sent to, at least 1.
+	// Attempts is the maximum number of upstreams to which a request is sent, at least 1.
 	Attempts int `json:"attempts"`
-	// Timeout is how long a request may be kept waiting for its last byte.
+	// Timeout is the maximum time until the last byte of the answer.
 	Timeout Millis `json:"timeout"`
-	// Aim is the time within which an answer, or a stream's first event, is
-	// worth most.
+	// Aim is the target latency of an answer, or of the first event of a stream.
 	Aim Millis `json:"aim"`
-	// Gap is the longest pause between events of a stream that is on time.
+	// Gap is the target for the longest gap between two events of a stream.
 	Gap Millis `json:"gap"`
-	// Rank is the urgency, 0 first.
+	// Rank is the priority, 0 highest.
 	Rank int `json:"rank"`
-	// Resume allows a stream to go on at another upstream.
+	// Resume allows a stream to continue on another upstream.
 	Resume bool `json:"resume"`
-	// Public requests need no key.
+	// Public requests need no API key.
 	Public bool `json:"public,omitempty"`
 }
 
-// Repeatable is true when a request that may have run can be sent again.
+// Repeatable tells whether a request that may have been executed can be sent again.
 func (r *Route) Repeatable() bool {
 	return r.Kind == RouteIdempotent || (r.Kind == RouteStream && r.Resume)
 }
 
-// Model is a base model that upstreams of a service can hold.
+// Model is a base model that the upstreams of a service can load.
 type Model struct {
 	Name string `json:"name"`
-	// Size and Adapter are megabytes, of the weights and of one adapter.
+	// Size is the size of the weights and Adapter that of one adapter, in megabytes.
 	Size    float64 `json:"size"`
 	Adapter float64 `json:"adapter"`
-	// Load is how long the weights take from the weight store, Disk from the
-	// upstream's own disk.
+	// Load is the time to load the weights from the weight store, Disk from the upstream's
+	// own disk.
 	Load Millis `json:"load"`
 	Disk Millis `json:"disk"`
 }
 
-// Engine is what the upstreams of a service are, when they run models.
+// Engine describes the upstreams of a service that run models.
 type Engine struct {
 	Models []Model `json:"models"`
-	// Slots is how many adapters an upstream holds, Memory the megabytes for
-	// weights and adapters together, Tokens its room for prompts.
+	// Slots is the maximum number of loaded adapters, Memory the megabytes for weights and
+	// adapters together, Tokens the capacity of the KV cache in tokens.
 	Slots  int     `json:"slots"`
 	Memory float64 `json:"memory"`
 	Tokens int     `json:"tokens"`
-	// Batch is how many requests run at once.
+	// Batch is the maximum number of running requests.
 	Batch int `json:"batch"`
-	// Stride is how many tokens an event of a stream holds, zero when the
-	// configuration doesn't say.
+	// Stride is the number of tokens in an event of a stream, zero if the configuration
+	// doesn't state it.
 	Stride int `json:"stride,omitempty"`
 }
 
 // Service is a pool of upstreams.
 type Service struct {
 	Name string `json:"name"`
-	// Conns is how many connections one upstream accepts from all callers.
+	// Conns is the number of connections that one upstream accepts from all callers.
 	Conns int `json:"conns"`
 	// Engine is nil for a plain service.
 	Engine *Engine `json:"engine,omitempty"`
 }
 
-// Plan is the operators' whole configuration.
+// Plan is the complete configuration by the operators.
 type Plan struct {
 	Version  int64     `json:"version"`
 	Routes   []Route   `json:"routes"`
 	Services []Service `json:"services"`
-	// Customers are empty where callers need no keys.
+	// Customers is empty if callers need no API keys.
 	Customers []Customer `json:"customers,omitempty"`
-	// Body and Header bound a request, in bytes.
+	// Body and Header are the size limits of a request, in bytes.
 	Body   int64 `json:"body"`
 	Header int   `json:"header"`
 }
 
-// Keyed tells whether requests of a route need a key.
+// Keyed tells whether requests of a route need an API key.
 func (p *Plan) Keyed(r *Route) bool { return len(p.Customers) > 0 && !r.Public }
 
-// Service returns the service of that name, nil when there is none.
+// Service returns the service with the given name, nil if there is none.
 func (p *Plan) Service(name string) *Service {
 	for i := range p.Services {
 		if p.Services[i].Name == name {
@@ -114,52 +113,52 @@
 	return nil
 }
 
-// Replica is one upstream of a service as the platform lists it.
+// Replica is an upstream of a service in the platform's list.
 type Replica struct {
-	// ID and Born together name one incarnation: an upstream that starts again
-	// may keep its ID and has forgotten everything.
+	// ID and StartedAt identify an incarnation: an upstream that restarts may keep its ID
+	// but has lost its state.
 	ID        string `json:"id"`
 	StartedAt Millis `json:"born"`
 	// Service, Address and DataCentre are never empty.
 	Service    string `json:"service"`
 	Address    string `json:"address"`
 	DataCentre string `json:"dc"`
-	// Slots is how many requests run at once, at least 1.
+	// Slots is the maximum number of running requests, at least 1.
 	Slots int `json:"slots"`
-	// Leaving replicas get no new work.
+	// Leaving replicas are sent no new work.
 	Leaving bool `json:"leaving,omitempty"`
-	// Since is the list's revision at which the entry was made. Of two entries
-	// with one address, the later names who is there.
+	// Since is the revision of the list that created the entry. Of two entries with the
+	// same address, the one with the higher value is current.
 	Since int64 `json:"since"`
 }
 
-// Key names the incarnation.
+// Key identifies the incarnation.
 func (r *Replica) Key() string { return r.ID + "@" + strconv.FormatInt(int64(r.StartedAt), 10) }
 
-// Change is one item of the platform's list, as it was written or removed at a
-// revision. At most one of Plan, Replica and Pin is set.
+// Change is the state of an item of the platform's list at a revision. At most one of
+// Plan, Replica and Pin is set.
 type Change struct {
-	// Key is the item's name and Revision its last change. A higher revision
-	// of a key replaces a lower one, whoever brings it.
+	// Key is the name of the item and Revision that of its last change. A higher revision
+	// of a key replaces a lower one, whichever process it comes from.
 	Key      string `json:"key"`
 	Revision int64  `json:"rev"`
 	Deleted  bool   `json:"deleted,omitempty"`
-	// Fault is why the item could not be used; the key is then as if deleted.
+	// Fault is the reason why the item is invalid. It is then treated as deleted.
 	Fault string `json:"fault,omitempty"`
 	Plan  *Plan  `json:"-"`
-	// Packed is how other processes are told of Plan: an encoded delta.Delta.
+	// PlanDelta is an encoded delta.Delta that transfers Plan to other processes.
 	PlanDelta []byte   `json:"plan,omitempty"`
 	Replica   *Replica `json:"replica,omitempty"`
-	// Pin declares the newest version of an adapter.
+	// Pin sets the newest version of an adapter.
 	Pin *Pin `json:"pin,omitempty"`
 }
 
-// Empty tells whether a change says nothing of its item.
+// Empty tells whether a change has no content.
 func (c *Change) Empty() bool {
 	return !c.Deleted && c.Fault == "" && c.Plan == nil && c.Replica == nil && c.Pin == nil
 }
 
-// Pin is the newest version of an adapter.
+// Pin sets the newest version of an adapter.
 type Pin struct {
 	Model   string `json:"model"`
 	Adapter string `json:"adapter"`
--- a/magno/site.go
+++ b/magno/site.go
@@ -7,209 +7,210 @@
 	"github.com/cockroachdb/errors"
 )
 
-// SortSite is the sort of plug-in that speaks for a platform; its maker
-// returns a Site.
+// PluginSite is the type of plug-in that connects to a platform. Its factory returns a
+// Site.
 const PluginSite = "site"
 
-// Site is a platform that processes run on. An implementation translates and
-// decides nothing.
+// Site is the platform on which processes run. Implementations only translate between its
+// formats and those of this package.
 type Site interface {
-	// Settings reads the settings of this process. It is called again when
-	// the platform says that they changed.
+	// Settings reads the settings of this process. It is called again when the platform
+	// reports a change.
 	Settings() (*SiteSettings, error)
-	// Lister reads what the platform publishes at address.
+	// Lister returns a client of the platform's list at address.
 	Lister(address string) Lister
-	// Engine speaks to the upstream at address.
+	// Engine returns a client of the upstream at address.
 	Engine(address string) EngineClient
-	// Dialect reads and writes the headers of requests and answers.
+	// Dialect returns the translation of HTTP headers.
 	Dialect() Dialect
-	// ReadyPath is where the balancer asks whether new connections are wanted.
+	// ReadyPath is the path of the load balancer's readiness check.
 	ReadyPath() string
 }
 
-// SiteSettings are what a platform tells a process of itself.
+// SiteSettings are the settings of a process that its platform provides.
 type SiteSettings struct {
 	Name       string
 	DataCentre string
-	// IP is this machine's address.
+	// IP is the address of this machine.
 	IP string
-	// Callers, Ready and Peers are addresses to listen on, empty when this
-	// process does not serve them.
+	// CallerAddress, ReadyAddress and PeerAddress are the addresses to listen on for
+	// requests, readiness checks and calls between entries, empty if not served.
 	CallerAddress, ReadyAddress, PeerAddress string
-	// Inner is a port for calls between processes beside upstreams, and Spare
-	// one for metrics; both are the same on all machines.
+	// InternalPort is for calls to the agents beside upstreams, MetricsPort for metrics.
+	// Both are the same on all machines.
 	InternalPort, MetricsPort int
-	// Upstream is the address of the upstream beside this process, Service
-	// the pool that it belongs to.
+	// UpstreamAddress is the address of the upstream beside this process, Service the
+	// service that it belongs to.
 	UpstreamAddress, Service string
-	// Seeds are Peers addresses of up to three entries; some may be gone.
+	// Seeds are the PeerAddress of up to three entries, some of which may be gone.
 	Seeds []string
-	// List is the address of the platform's list.
+	// ListAddress is the address of the platform's list.
 	ListAddress string
-	// Grace is the time from the request to stop to the end by force.
+	// Grace is the time between the stop signal and a forced kill.
 	Grace Millis
-	// Lease is how long an order counts as its giver's.
+	// Lease is how long a command to an engine counts as its sender's.
 	Lease Millis
-	// RetryRatio and RetrySlack bound sends beyond the first of each request,
-	// over all processes, in each RetryWindow.
+	// RetryRatio and RetrySlack are the retry budget of all processes together in each
+	// RetryWindow: retries per request, and an absolute number on top.
 	RetryRatio, RetrySlack float64
 	RetryWindow            Millis
-	// Revoke is how long after a key is withdrawn it may still be accepted, by processes
-	// that are cut off as well; zero where that isn't bounded.
+	// MaxRevokeDelay is how long an API key may be accepted after it was revoked, also by
+	// processes that are partitioned; zero means no limit.
 	MaxRevokeDelay Millis
-	// QuotaWindow is the span in which customers' allowances are bounded, zero where the
+	// QuotaWindow is the window over which customers' rate limits are measured, zero if the
 	// platform states none.
 	QuotaWindow Millis
-	// Memory is the limit of this process in bytes, zero when there is none.
+	// MemoryLimit is the limit of this process in bytes, zero if there is none.
 	MemoryLimit int64
-	// Link is the bandwidth of this machine's link in megabits a second, zero
-	// when the platform doesn't say.
+	// LinkMbps is the network bandwidth of this machine in megabits per second, zero if
+	// unknown.
 	LinkMbps float64
 }
 
-// ErrCompacted tells that the list no longer has the changes asked for; all
-// items must be read again.
-var ErrCompacted = errors.New("the list has dropped these changes")
+// ErrCompacted means that the list no longer has the requested changes. All items must be
+// read again.
+var ErrCompacted = errors.New("requested changes were compacted from the list")
 
-// Lister reads the platform's list of items.
+// Lister is a client of the platform's list.
 type Lister interface {
-	// All returns every item and a revision from which Wait misses nothing. What
-	// isn't fresh may be seconds old and costs the platform less.
+	// All returns all items and the revision from which Wait continues without gaps. Unless
+	// fresh, the result may be seconds old, which costs the platform less.
 	All(ctx context.Context, fresh bool) ([]Change, int64, error)
-	// Wait returns the changes after a revision as soon as there are any, at
-	// the latest after wait, and the revision to go on from.
+	// Wait returns the changes after a revision as soon as there are any, at the latest
+	// after wait, and the revision to continue from.
 	Wait(ctx context.Context, after int64, wait Millis) ([]Change, int64, error)
 }
 
-// Call is what a caller's request says of itself.
+// Call is the metadata of a caller's request.
 type Call struct {
-	// ID names the attempt; it goes on unchanged.
+	// ID identifies the attempt. It is forwarded unchanged.
 	ID string
-	// Left is how long the caller waits; zero when it doesn't say.
+	// Left is the time until the caller's deadline, zero if it states none.
 	Left Millis
 	// Model and Adapter are empty for a plain service.
 	Model, Adapter string
-	// Prompt and Output are tokens; Output is the most that may be made, Length
-	// what the caller expects, zero when it doesn't say.
+	// Prompt, Output and Length are numbers of tokens. Output is the maximum to generate,
+	// Length what the caller expects, zero if not stated.
 	Prompt, Output, Length int
-	// Prefix hashes the parts of the prompt that other requests share, Shared
-	// is their tokens.
+	// Prefix is a hash of the part of the prompt that is shared with other requests, Shared
+	// its number of tokens.
 	Prefix uint64
 	Shared int
-	// From is the event to go on after, empty for a whole stream.
+	// From is the event after which to resume a stream, empty for the whole stream.
 	From string
-	// Key is the Authorization header, which names the caller's customer.
+	// Key is the Authorization header, which identifies the caller's customer.
 	Key string
 }
 
-// Onward is what an entry adds to a request that it sends on.
+// ForwardInfo is what an entry adds to a request that it forwards.
 type ForwardInfo struct {
-	// Replica is the only incarnation that may run it.
+	// Replica is the only incarnation that may execute the request.
 	Replica string
-	// Left is the time that remains.
+	// Left is the time until the deadline.
 	Left Millis
-	// Urgency is 0 to 9, 0 first.
+	// Urgency is the priority from 0 to 9, 0 highest.
 	Urgency int
-	// Version of the adapter that must run it, zero for any.
+	// Version is the required version of the adapter, zero for any.
 	Version int64
-	// Customer is whom the caller's key belongs to, empty where none is needed.
+	// Customer is the owner of the caller's API key, empty if none is needed.
 	Customer string
-	// Keyed is true where callers have keys, which upstreams must not see.
+	// Keyed is true if callers have API keys, which must not be forwarded to upstreams.
 	Keyed bool
-	// From is the last event that the caller has, empty for a whole stream.
+	// From is the last event that the caller received, empty for the whole stream.
 	From string
 }
 
-// Reply is what an upstream's answer says of itself.
+// Reply is the metadata of an upstream's answer.
 type Reply struct {
-	// ID is the attempt that it answers, empty when it doesn't say.
+	// ID is the attempt that is answered, empty if not stated.
 	ID string
-	// NotRun is true when the upstream states that it did not and will not
-	// run the request.
+	// NotRun is true if the upstream states that it did not and will not execute the
+	// request.
 	NotRun bool
-	// Elsewhere is true when another incarnation answered in its place, or
-	// the model isn't held; NotRun is true as well.
+	// Misrouted is true if another incarnation answered in its place, or if the model isn't
+	// loaded there. NotRun is then true as well.
 	Misrouted bool
-	// Signed is true when the answer carries the upstream's signature.
+	// Signed is true if the answer has the upstream's signature.
 	Signed bool
 }
 
-// Dialect translates headers.
+// Dialect translates HTTP headers.
 type Dialect interface {
-	// Read takes a caller's request and removes from its header what callers
-	// may not set.
+	// Read parses the header of a caller's request, and removes from it the fields that
+	// callers may not set.
 	Read(h http.Header) Call
-	// Write sets what goes with a request to an upstream.
+	// Write sets the header of a request to an upstream.
 	Write(h http.Header, o ForwardInfo)
-	// Reply reads an upstream's answer.
+	// Reply parses the status and header of an upstream's answer.
 	Reply(status int, h http.Header) Reply
 }
 
-// Report is what an engine says of itself.
+// Report is the status report of an engine.
 type Report struct {
-	// Born changes with each start of the engine.
+	// StartedAt changes with each start of the engine.
 	StartedAt Millis
-	// Orders counts the orders that it accepted since.
+	// Orders counts the commands accepted since the start.
 	Orders int64
-	// Busy is true while it carries out an order that excludes others.
+	// Busy is true while it executes a command that excludes others.
 	Busy bool
-	// Running and Queued count requests, Used is the memory of prompts that
-	// can't yield, in tokens.
+	// Running and Queued count requests. Used is the part of the KV cache that can't be
+	// evicted, in tokens.
 	Running, Queued, Used int
-	// Held maps a base model to the adapters present and their versions.
+	// Loaded maps base models to the versions of their loaded adapters.
 	Loaded map[string]map[string]int64
-	// Coming lists adapters that are being loaded.
+	// Loading lists the adapters that are being loaded.
 	Loading []Pin
-	// Warm lists base models that load without the weight store.
+	// LocalModels lists the base models in host memory or on the local disk, which load
+	// without the weight store.
 	LocalModels []string
-	// Runs lists the requests that make events.
+	// Streams lists the streaming requests that have begun to answer.
 	Streams []Stream
 }
 
-// Stream is a request that an engine works on and that has begun to answer.
+// Stream is a running request with a streamed answer that has begun.
 type Stream struct {
-	// ID is the caller's attempt.
+	// ID identifies the caller's attempt.
 	ID string
-	// Events is how many pieces of its answer were made, at least 1.
+	// Events is the number of events generated so far, at least 1.
 	Events int
 }
 
-// Command is an order to an engine.
+// Command tells an engine to load or unload a model or adapter.
 type Command struct {
-	// Load is true to load, false to unload.
+	// Load is false for a command to unload.
 	Load bool
-	// Model is always set, Adapter for an adapter of it.
+	// Model is always set, Adapter only for an adapter of the model.
 	Model, Adapter string
-	// Version to load, zero for the newest.
+	// Version is the version to load, zero for the newest.
 	Version int64
-	// Replica is the incarnation that the order is for.
+	// Replica is the incarnation that the command is for.
 	Replica string
-	// Holder and Fence say who orders; Fence never falls.
+	// Holder is the sender and Fence its fencing token, which never decreases.
 	Holder string
 	Fence  int64
 }
 
-// Outcome is what became of an order.
+// Outcome is the result of a command.
 type Outcome int
 
-// The outcomes of an order. Without an answer it may have been accepted.
+// The results of a command. Without an answer it may have been accepted.
 const (
 	OrderUnknown   Outcome = iota
-	OrderAccepted          // it is being carried out
-	OrderDone              // it holds already
-	OrderBusy              // another order is under way
-	OrderFenced            // a higher fence was seen
-	OrderMisrouted         // another incarnation, or the model isn't there
-	OrderInvalid           // no such order exists
+	OrderAccepted          // it is in progress
+	OrderDone              // it was done before
+	OrderBusy              // another command is in progress
+	OrderFenced            // a higher fencing token was seen
+	OrderMisrouted         // another incarnation answered, or the model isn't loaded
+	OrderInvalid           // the command is invalid
 )
 
-// outcomeNames are what logs say.
+// outcomeNames are used in logs.
 var outcomeNames = [...]string{"unknown", "accepted", "done", "busy", "fenced", "else", "invalid"}
 
 // String names the outcome.
 func (o Outcome) String() string { return outcomeNames[o] }
 
-// Engineer is an engine as the process beside it sees it.
+// EngineClient is the client of an engine, used by the process beside it.
 type EngineClient interface {
 	Report(ctx context.Context) (*Report, error)
 	Order(ctx context.Context, c Command) (Outcome, error)
