--- a/magno/admin/admin.go
+++ b/magno/admin/admin.go
@@ -1,11 +1,11 @@
-// Package admin serves what operators read of a process: health, readiness,
-// metrics, state and events. Nothing can be changed through it.
+// Package admin serves the read-only administration API of a process: health, readiness,
+// metrics, state and events.
 //
 //	GET /health          200 while the process runs
-//	GET /ready           200 when it takes work, else 503
-//	GET /metrics         in the form that Prometheus reads
-//	GET /v1/status       the process's state
-//	GET /v1/explain      why a request would go where it would
+//	GET /ready           200 if it accepts work, else 503
+//	GET /metrics         in the text format of Prometheus
+//	GET /v1/status       state of the process
+//	GET /v1/explain      how a request with ?profile=NAME would be routed
 //	GET /v1/events       ?after=SEQ&request=ID
 package admin
 
@@ -24,26 +24,26 @@
 	"magnoliastall.example/magno/listen"
 )
 
-// Limits on what readers may take up; package listen has the others.
+// Limits on the resources used by clients; package listen has the others.
 const (
-	// connLimit is the most connections: operators and collectors are few.
-	connLimit = 64
-	readLimit = 5 * magno.Second
-	stopLimit = 2 * magno.Second
+	// maxConns is low because only operators and metrics collectors connect.
+	maxConns        = 64
+	readTimeout     = 5 * magno.Second
+	shutdownTimeout = 2 * magno.Second
 )
 
-// Server is the administration API of one process. It implements magno.Task.
+// Server serves the administration API of a process. It implements magno.Task.
 type Server struct {
-	// Listen is an address of its own, IP and port; it is replaced by the
-	// bound one when the port is 0.
+	// Listen is the IP and port to listen on, not shared with other servers. With port 0
+	// the system chooses one, and OnBound gets it.
 	Listen string
-	// Allow lists the networks that may read.
+	// Allow lists the networks that have access.
 	Allow []string
-	// Ready tells whether the process takes work.
+	// Ready tells whether the process accepts work.
 	Ready func() bool
-	// Status returns plain data, encoded as JSON.
+	// Status returns the state of the process, to be encoded as JSON.
 	Status func() any
-	// Explain may be nil; it returns plain data on a profile.
+	// Explain returns data on the routing of a profile, to be encoded as JSON. It may be nil.
 	Explain func(profile string) (any, error)
 	Events  *event.Ring
 	// OnBound is called with the address once it is bound. It may be nil.
@@ -60,9 +60,9 @@
 		return err
 	}
 	server := listen.Server{
-		Listen: s.Listen, Handler: s.handler(allowed), MaxConns: connLimit, ReadTimeout: readLimit, ShutdownTimeout: stopLimit, OnBound: s.OnBound,
+		Listen: s.Listen, Handler: s.handler(allowed), MaxConns: maxConns, ReadTimeout: readTimeout, ShutdownTimeout: shutdownTimeout, OnBound: s.OnBound,
 	}
-	// A reader that is cut at the end of the process is no failure of it.
+	// Responses that are cut off by the shutdown are not an error.
 	if err := server.Run(ctx); !errors.Is(err, context.DeadlineExceeded) {
 		return err
 	}
--- a/magno/alert/alert.go
+++ b/magno/alert/alert.go
@@ -1,12 +1,10 @@
-// Package alert lets processes share what they know of requests that crash
-// upstreams.
+// Package alert shares records of requests that crash upstreams between processes.
 //
-//	crash.Suspects --OnChange--> Sharer --Mark--> spread.Node --gossip--> peers
-//	               <--Merge----- Sharer <-Marked-- spread.Node
+//	crash.Suspects --OnChange--> Publisher --SetMark--> spread.Node --gossip--> peers
+//	               <--Merge----- Publisher <--Receive-- spread.Node
 //
-// Without it each process finds out by itself, at the price of two crashes
-// each, while the caller sends the request again through one entry after
-// another.
+// Without it, each process would need two crashes of its own to detect such a request, and
+// a caller that repeats it through one entry after another would cause them all.
 package alert
 
 import (
@@ -16,32 +14,31 @@
 	"magnoliastall.example/magno/gossip"
 )
 
-// prefix tells marks on suspects from others.
-const prefix = "crash/"
+// keyPrefix distinguishes the marks of this package from others.
+const keyPrefix = "crash/"
 
-// Sharer turns records of suspects into marks and back. Suspects is set before
-// use, Mark before the first change.
+// Publisher converts records of suspects to gossip marks and back. Suspects must be set
+// before use, SetMark before the first change.
 type Publisher struct {
 	Suspects *crash.Suspects
-	// Mark spreads a mark.
+	// SetMark sends a mark to the peers.
 	SetMark func(gossip.Mark)
 }
 
-// Changed spreads a record of this process.
+// Publish sends a record of this process to the peers.
 func (s *Publisher) Publish(rec crash.Record) {
 	s.SetMark(gossip.Mark{
-		Key: prefix + strconv.FormatUint(rec.Fingerprint, 16), Seq: int64(rec.UpdatedAt),
+		Key: keyPrefix + strconv.FormatUint(rec.Fingerprint, 16), Seq: int64(rec.UpdatedAt),
 		Data: strconv.Itoa(rec.Crashes), TTL: crash.Retention,
 	})
 }
 
-// Marked takes a mark of a peer; marks of other sorts and broken ones are
-// passed over.
+// Receive merges a mark from a peer. Marks of other types and malformed ones are ignored.
 func (s *Publisher) Receive(m gossip.Mark) {
-	if len(m.Key) < len(prefix) || m.Key[:len(prefix)] != prefix {
+	if len(m.Key) < len(keyPrefix) || m.Key[:len(keyPrefix)] != keyPrefix {
 		return
 	}
-	print, err := strconv.ParseUint(m.Key[len(prefix):], 16, 64)
+	print, err := strconv.ParseUint(m.Key[len(keyPrefix):], 16, 64)
 	if err != nil {
 		return
 	}
