--- a/magno/event/event.go
+++ b/magno/event/event.go
@@ -1,5 +1,5 @@
-// Package event keeps what a process did lately, so that one time line can be
-// merged from all processes after something went wrong.
+// Package event stores the recent events of a process. After a failure, the events of all
+// processes are merged into one time line.
 //
 //	front, loop, ledger, ... --Add--> Ring --Since--> administration API --> magctl trace
 package event
@@ -10,40 +10,40 @@
 	"magnoliastall.example/magno"
 )
 
-// DefaultSize is how many events a ring keeps: at 50 requests a second with
-// six events each, the last minute or so, in about 4 MB.
+// DefaultSize is the default number of events that a ring keeps. At 50 requests per second
+// with six events each it covers about a minute, in about 4 MB.
 const DefaultSize = 16384
 
-// Event is one thing that happened.
+// Event is an entry of a Ring.
 type Event struct {
-	// Seq grows by one with each event of a process.
+	// Seq increases by one with each event of a process.
 	Seq int64 `json:"seq"`
-	// Time is the process's own clock.
+	// Time is by the clock of the process.
 	Time    magno.Millis `json:"time"`
 	Process string       `json:"process"`
-	// Kind is one word.
+	// Kind is the type of event, a single word.
 	Kind string `json:"kind"`
-	// Request is empty for what concerns no single request.
+	// Request is the ID of the request, empty if the event concerns none.
 	Request string `json:"request,omitempty"`
-	// Text is key=value pairs.
+	// Text contains details as key=value pairs.
 	Text string `json:"text,omitempty"`
 }
 
-// Ring holds the newest events. It is safe for concurrent use.
+// Ring is a ring buffer of the newest events. It is safe for concurrent use.
 type Ring struct {
-	// Process and Clock are set before the first Add.
+	// Process and Clock must be set before the first Add.
 	Process string
 	Clock   *magno.Clock
-	// Size is how many events are kept; zero means DefaultSize.
+	// Size is the maximum number of events; zero means DefaultSize.
 	Size int
 
 	mu sync.Mutex
-	// events holds at most Size events; the one with Seq s is at s % Size.
+	// events has at most Size elements; the event with Seq s is at index s % Size.
 	events []Event
 	next   int64
 }
 
-// Add keeps an event and forgets the oldest when the ring is full.
+// Add adds an event and drops the oldest if the ring is full. On a nil Ring it does nothing.
 func (r *Ring) Add(kind, request, text string) {
 	if r == nil {
 		return
@@ -62,8 +62,8 @@
 	r.next++
 }
 
-// Since returns the events from seq on, oldest first; request limits them to
-// one request unless it is empty.
+// Since returns the events from seq on, oldest first. Unless request is empty, only the
+// events of that request are returned.
 func (r *Ring) Since(seq int64, request string) []Event {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/magno/event/event_test.go
+++ b/magno/event/event_test.go
@@ -7,9 +7,9 @@
 	"magnoliastall.example/magno"
 )
 
-// A process that ran for days has seen more than it keeps; the newest events
-// are the ones that are asked for.
-func TestRingForgetsOldest(t *testing.T) {
+// A full ring drops the oldest events, and Since returns the remaining ones with the right
+// sequence numbers.
+func TestRingDropsOldest(t *testing.T) {
 	r := &Ring{Process: "p", Clock: magno.NewClock(5), Size: 4}
 	for i := range 10 {
 		r.Add("kind", strconv.Itoa(i%2), "")
--- a/magno/fetch/fetch.go
+++ b/magno/fetch/fetch.go
@@ -1,5 +1,5 @@
-// Package fetch reads one URL within a limit. Whoever answers decides how long
-// the answer is; without the limit a broken service fills its reader's memory.
+// Package fetch reads a URL with a limit on the size of the response. Without it, a faulty
+// server could exhaust the memory of its client.
 package fetch
 
 import (
@@ -11,21 +11,21 @@
 	"strings"
 )
 
-// errorLimit is how many bytes of an answer an error quotes.
-const errorLimit = 200
+// maxErrorBytes bounds the part of a response that is quoted in an error.
+const maxErrorBytes = 200
 
-// Answer is what a server gave.
+// Response is the response of a server.
 type Response struct {
 	Status int
 	Header http.Header
 	Body   []byte
-	// Cut is true when Body is not all of it.
+	// Truncated is true if the response is longer than Body.
 	Truncated bool
 }
 
-// Get reads url, most bytes of its body at most. The error means that no
-// answer came, or that it broke off; any status is an answer.
-func Get(ctx context.Context, client *http.Client, url string, most int) (Response, error) {
+// Get reads url with at most maxBytes of its body. An error means that there was no
+// response or that it broke off; a status other than 200 is not an error.
+func Get(ctx context.Context, client *http.Client, url string, maxBytes int) (Response, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return Response{}, err
@@ -35,28 +35,28 @@
 		return Response{}, err
 	}
 	defer resp.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(resp.Body, int64(most)+1))
-	answer := Response{Status: resp.StatusCode, Header: resp.Header, Body: body, Truncated: len(body) > most}
+	body, err := io.ReadAll(io.LimitReader(resp.Body, int64(maxBytes)+1))
+	answer := Response{Status: resp.StatusCode, Header: resp.Header, Body: body, Truncated: len(body) > maxBytes}
 	if answer.Truncated {
-		answer.Body = body[:most]
+		answer.Body = body[:maxBytes]
 	}
 	return answer, err
 }
 
-// OK returns an error unless the answer is whole and its status 200.
+// OK returns an error unless the status is 200 and the response is complete.
 func (a Response) OK() error {
 	if a.Status != http.StatusOK {
-		return fmt.Errorf("status %d: %s", a.Status, strings.TrimSpace(string(a.Body[:min(len(a.Body), errorLimit)])))
+		return fmt.Errorf("status %d: %s", a.Status, strings.TrimSpace(string(a.Body[:min(len(a.Body), maxErrorBytes)])))
 	}
 	if a.Truncated {
-		return fmt.Errorf("the answer is over %d bytes", len(a.Body))
+		return fmt.Errorf("response exceeds %d bytes", len(a.Body))
 	}
 	return nil
 }
 
-// JSON reads url into a value.
-func JSON(ctx context.Context, client *http.Client, url string, most int, into any) error {
-	answer, err := Get(ctx, client, url, most)
+// JSON reads url and decodes its JSON response, of at most maxBytes, into a value.
+func JSON(ctx context.Context, client *http.Client, url string, maxBytes int, into any) error {
+	answer, err := Get(ctx, client, url, maxBytes)
 	if err == nil {
 		err = answer.OK()
 	}
--- a/magno/fetch/fetch_test.go
+++ b/magno/fetch/fetch_test.go
@@ -9,8 +9,8 @@
 	"testing"
 )
 
-// A service answers with more than it should, or an error, or breaks off. Half
-// a list taken for the whole would hide instances from everybody.
+// Responses that are too long, incomplete or errors must be rejected. A partial instance
+// list that is used as the complete one would hide instances from all processes.
 func TestJSON(t *testing.T) {
 	tests := []struct {
 		name, body, length string
--- a/magno/guard/guard.go
+++ b/magno/guard/guard.go
@@ -1,6 +1,5 @@
-// Package guard lets only listed peers in. The processes' own ports carry
-// orders that nobody else may give, and the platform's network is shared with
-// other products.
+// Package guard restricts access to listed networks. The ports between processes accept
+// privileged calls, and the platform's network is shared with other products.
 package guard
 
 import (
@@ -10,20 +9,20 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Guard holds the networks whose addresses are let in.
+// Allowlist is a list of networks that have access.
 type Allowlist struct {
 	prefixes []netip.Prefix
 }
 
-// New reads networks such as 10.0.0.0/8, or single addresses. An empty list
-// lets in this machine's own addresses only.
+// New parses networks such as 10.0.0.0/8, or single addresses. An empty list allows only
+// the loopback addresses.
 func New(networks []string) (*Allowlist, error) {
 	if len(networks) == 0 {
 		networks = []string{"127.0.0.0/8", "::1"}
 	}
 	g := &Allowlist{}
 	for _, text := range networks {
-		prefix, err := parse(text)
+		prefix, err := parsePrefix(text)
 		if err != nil {
 			return nil, errors.Wrapf(err, "network %q", text)
 		}
@@ -32,7 +31,7 @@
 	return g, nil
 }
 
-func parse(text string) (netip.Prefix, error) {
+func parsePrefix(text string) (netip.Prefix, error) {
 	if prefix, err := netip.ParsePrefix(text); err == nil {
 		return prefix, nil
 	}
@@ -43,7 +42,7 @@
 	return netip.PrefixFrom(addr, addr.BitLen()), nil
 }
 
-// Allows tells whether remote, an IP and port or an IP, is on the list.
+// Allows tells whether remote, an IP with or without port, is in a listed network.
 func (g *Allowlist) Allows(remote string) bool {
 	host, _, err := net.SplitHostPort(remote)
 	if err != nil {
--- a/magno/guard/guard_test.go
+++ b/magno/guard/guard_test.go
@@ -26,6 +26,6 @@
 		}
 	}
 	if _, err := New([]string{"10.0.0.0/99"}); err == nil {
-		t.Error("a network that can't be was taken")
+		t.Error("invalid network accepted")
 	}
 }
