--- a/magno/lines/lines.go
+++ b/magno/lines/lines.go
@@ -1,11 +1,11 @@
-// Package lines writes a log without holding up whoever logs.
+// Package lines is a log writer that never blocks its callers.
 //
-//	slog --Write--> ring of lines (bounded) --Run, each 100 ms--> standard output
+//	slog --Write--> buffer (bounded) --Run, every 100 ms--> standard output
 //
-// Load pattern: thousands of requests a second fail at once, or whoever reads
-// the output stops. Writing directly, each request would wait for the reader,
-// and a full pipe would stop the process. Here a full ring drops lines, and
-// the next write says how many.
+// Load pattern: thousands of requests per second fail at once, or the reader of the output
+// stops. With direct writes each request would wait for the reader, and a full pipe would
+// stop the process. Instead, lines over the limits are dropped, and the next flush logs
+// their number.
 package lines
 
 import (
@@ -17,38 +17,37 @@
 )
 
 const (
-	// room is how many bytes wait to be written: two seconds of a thousand
-	// lines each.
-	room = 512 << 10
-	// every is the pause between writes. Each costs a system call, so lines
-	// are written many at a time.
-	every = 100 * time.Millisecond
-	// rate is how many bytes a second are kept, and burst how many at once.
-	// 256 KB a second is about a thousand lines.
-	rate  = 256 << 10
-	burst = 512 << 10
+	// maxBufferedBytes is about two seconds of a thousand lines each.
+	maxBufferedBytes = 512 << 10
+	// flushInterval batches lines, since each write costs a system call.
+	flushInterval = 100 * time.Millisecond
+	// maxBytesPerSecond is the rate limit, about a thousand lines per second, and
+	// maxBurstBytes the capacity of its token bucket.
+	maxBytesPerSecond = 256 << 10
+	maxBurstBytes     = 512 << 10
 )
 
-// Writer takes lines. It is safe for concurrent use; Out is set before.
+// Writer is a buffered, rate-limited writer of log lines. It is safe for concurrent use. Out
+// must be set before use.
 type Writer struct {
 	Out io.Writer
 
-	mu      sync.Mutex
-	buf     []byte
-	dropped int
-	total   int
-	tokens  float64
-	last    time.Time
+	mu              sync.Mutex
+	buf             []byte
+	unreportedDrops int
+	totalDrops      int
+	tokens          float64
+	lastRefill      time.Time
 }
 
-// Write keeps a line until Run writes it. It never blocks and never fails.
+// Write buffers a line until the next flush or drops it. It never blocks and never fails.
 func (w *Writer) Write(line []byte) (int, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.refill()
-	if len(w.buf)+len(line) > room || w.tokens < float64(len(line)) {
-		w.dropped++
-		w.total++
+	if len(w.buf)+len(line) > maxBufferedBytes || w.tokens < float64(len(line)) {
+		w.unreportedDrops++
+		w.totalDrops++
 		return len(line), nil
 	}
 	w.tokens -= float64(len(line))
@@ -58,27 +57,27 @@
 
 func (w *Writer) refill() {
 	now := time.Now()
-	if w.last.IsZero() {
-		w.tokens = burst
+	if w.lastRefill.IsZero() {
+		w.tokens = maxBurstBytes
 	} else {
-		w.tokens = min(w.tokens+now.Sub(w.last).Seconds()*rate, burst)
+		w.tokens = min(w.tokens+now.Sub(w.lastRefill).Seconds()*maxBytesPerSecond, maxBurstBytes)
 	}
-	w.last = now
+	w.lastRefill = now
 }
 
-// Dropped counts the lines that were not kept.
+// Dropped returns the total number of dropped lines.
 func (w *Writer) Dropped() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.total
+	return w.totalDrops
 }
 
 // Name implements magno.Task.
 func (w *Writer) Name() string { return "log" }
 
-// Run writes until ctx ends, and then what is left.
+// Run flushes the buffer at intervals until ctx ends, and then once more.
 func (w *Writer) Run(ctx context.Context) error {
-	ticker := time.NewTicker(every)
+	ticker := time.NewTicker(flushInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -91,12 +90,12 @@
 	}
 }
 
-// Flush writes what is kept. An output that fails is not reported anywhere:
-// it is the log itself.
+// Flush writes the buffered lines. Write errors are ignored, because they concern the log
+// itself.
 func (w *Writer) Flush() {
 	w.mu.Lock()
-	buf, dropped := w.buf, w.dropped
-	w.buf, w.dropped = nil, 0
+	buf, dropped := w.buf, w.unreportedDrops
+	w.buf, w.unreportedDrops = nil, 0
 	w.mu.Unlock()
 	if dropped > 0 {
 		buf = fmt.Appendf(buf, "level=WARN msg=dropped lines=%d\n", dropped)
--- a/magno/listen/listen.go
+++ b/magno/listen/listen.go
@@ -1,12 +1,11 @@
-// Package listen serves HTTP on one address within limits, so that no client
-// can hold a connection, a goroutine or memory for as long as it likes.
+// Package listen is an HTTP server with limits, so that no client can occupy a connection,
+// a goroutine or memory for an unlimited time.
 //
-//	accept (Conns at most) --> header, body (in time) --> handler --> writes (each in time)
+//	accept (up to MaxConns) --> read header, body (time-out) --> handler --> writes (time-out each)
 //
-// Load pattern: clients that open connections and say nothing, send a byte a
-// minute, or ask for a stream and don't read it. Without limits each of them
-// costs a goroutine for good, and whoever does it a few thousand times stops
-// the process for all others.
+// Load pattern: clients that open connections and send nothing, send a byte per minute, or
+// request a stream and don't read it. Without limits each of them would hold a goroutine
+// for ever, and a few thousand would make the process unavailable.
 package listen
 
 import (
@@ -21,40 +20,39 @@
 	"magnoliastall.example/magno"
 )
 
-// Limits of every server; those that differ are fields.
+// Limits of all servers. Those that differ between servers are fields of Server.
 const (
-	headerLimit = 16 << 10         // bytes
-	headerTime  = 5 * time.Second  // to read the header
-	idleTime    = 90 * time.Second // between two requests
-	// stallTime is how long one write may wait for a client that doesn't
-	// read, in milliseconds: longer than a phone is without a network when
-	// its cell changes.
-	stallTime = 10 * magno.Second
-	// answerTime is the most from the first byte of an answer to its last, for
-	// clients that read just enough to pass stallTime: the longest deadline
-	// that a caller may state.
-	answerTime = magno.Hour
+	maxHeaderBytes = 16 << 10         // bytes
+	headerTimeout  = 5 * time.Second  // to read the header
+	idleTimeout    = 90 * time.Second // between two requests
+	// defaultWriteTimeout bounds one write to a client that doesn't read. It is longer than
+	// a phone's loss of connection when it changes cells.
+	defaultWriteTimeout = 10 * magno.Second
+	// maxAnswerTime bounds the time from the first byte of an answer to the last, for
+	// clients that read just fast enough to avoid the write time-out. It is the longest
+	// deadline that a caller may state.
+	maxAnswerTime = magno.Hour
 )
 
-// Server is one listener. Its fields are set before Run.
+// Server serves HTTP on one address. Its fields must be set before Run.
 type Server struct {
-	// Listen is IP and port.
+	// Listen is the IP and port to listen on.
 	Listen  string
 	Handler http.Handler
-	// Conns is the most connections at once; further ones wait in the kernel
-	// until one ends.
+	// MaxConns is the maximum number of connections. Further ones wait in the accept queue
+	// of the operating system.
 	MaxConns int
-	// Read is the most time to read a whole request, Stop the most that Run
-	// waits for running answers once its context has ended.
+	// ReadTimeout bounds the time to read a whole request, ShutdownTimeout the time that
+	// Run waits for running requests after its context has ended.
 	ReadTimeout, ShutdownTimeout magno.Millis
-	// Stall is the most time for one write; zero means 10 seconds.
+	// WriteTimeout bounds each single write; zero means 10 seconds.
 	WriteTimeout magno.Millis
 	// OnBound is called with the address once it is bound. It may be nil.
 	OnBound func(address string)
 }
 
-// Run serves until ctx ends, then takes no new connections and waits for
-// running answers. The error tells that some were cut.
+// Run serves until ctx ends. It then accepts no new connections and waits for running
+// requests. It returns an error if some of them had to be cut off.
 func (s *Server) Run(ctx context.Context) error {
 	var lc net.ListenConfig
 	listener, err := lc.Listen(ctx, "tcp", s.Listen)
@@ -66,10 +64,10 @@
 	}
 	server := &http.Server{
 		Handler:           WithWriteTimeout(s.Handler, s.WriteTimeout),
-		MaxHeaderBytes:    headerLimit,
-		ReadHeaderTimeout: headerTime,
+		MaxHeaderBytes:    maxHeaderBytes,
+		ReadHeaderTimeout: headerTimeout,
 		ReadTimeout:       s.ReadTimeout.Duration(),
-		IdleTimeout:       idleTime,
+		IdleTimeout:       idleTimeout,
 	}
 	ended := make(chan error, 1)
 	go func() { ended <- server.Serve(netutil.LimitListener(listener, s.MaxConns)) }()
@@ -87,51 +85,52 @@
 	return err
 }
 
-// Timed returns h with a time limit for each write to a client; zero means 10 seconds.
+// WithWriteTimeout returns h with a time-out for each write to a client; zero means 10
+// seconds.
 func WithWriteTimeout(h http.Handler, stall magno.Millis) http.Handler {
 	if stall == 0 {
-		stall = stallTime
+		stall = defaultWriteTimeout
 	}
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		h.ServeHTTP(&timed{ResponseWriter: w, control: http.NewResponseController(w), stall: stall.Duration()}, r)
+		h.ServeHTTP(&deadlineWriter{ResponseWriter: w, control: http.NewResponseController(w), writeTimeout: stall.Duration()}, r)
 	})
 }
 
-// timed gives each write a deadline of its own. A server's WriteTimeout would
-// cut long streams that are read well; without any, a write to a client that
-// doesn't read never returns. When it fails, net/http ends the request's
-// context, and with it the run.
-type timed struct {
+// deadlineWriter sets a new deadline before each write. http.Server.WriteTimeout bounds the
+// whole response and would cut off long streams; without a deadline, a write to a client
+// that doesn't read never returns. When a write fails, net/http cancels the context of the
+// request, which ends the run.
+type deadlineWriter struct {
 	http.ResponseWriter
-	control *http.ResponseController
-	stall   time.Duration
-	// end is the last deadline that a write may have, zero before the first.
-	end time.Time
+	control      *http.ResponseController
+	writeTimeout time.Duration
+	// lastDeadline bounds the deadlines of all writes; it is zero before the first one.
+	lastDeadline time.Time
 }
 
-func (t *timed) extend() {
+func (t *deadlineWriter) extend() {
 	now := time.Now()
-	if t.end.IsZero() {
-		t.end = now.Add(answerTime.Duration())
+	if t.lastDeadline.IsZero() {
+		t.lastDeadline = now.Add(maxAnswerTime.Duration())
 	}
-	deadline := now.Add(t.stall)
-	if deadline.After(t.end) {
-		deadline = t.end
+	deadline := now.Add(t.writeTimeout)
+	if deadline.After(t.lastDeadline) {
+		deadline = t.lastDeadline
 	}
 	_ = t.control.SetWriteDeadline(deadline)
 }
 
 // Write implements http.ResponseWriter.
-func (t *timed) Write(p []byte) (int, error) {
+func (t *deadlineWriter) Write(p []byte) (int, error) {
 	t.extend()
 	return t.ResponseWriter.Write(p)
 }
 
-// FlushError is what http.ResponseController flushes by.
-func (t *timed) FlushError() error {
+// FlushError is called by http.ResponseController.Flush.
+func (t *deadlineWriter) FlushError() error {
 	t.extend()
 	return t.control.Flush()
 }
 
-// Unwrap lets http.ResponseController reach the connection.
-func (t *timed) Unwrap() http.ResponseWriter { return t.ResponseWriter }
+// Unwrap gives http.ResponseController access to the connection.
+func (t *deadlineWriter) Unwrap() http.ResponseWriter { return t.ResponseWriter }
--- a/magno/listen/listen_test.go
+++ b/magno/listen/listen_test.go
@@ -26,18 +26,18 @@
 	return <-bound
 }
 
-func within(t *testing.T, what string, c <-chan struct{}) {
+func waitFor(t *testing.T, what string, c <-chan struct{}) {
 	t.Helper()
 	select {
 	case <-c:
 	case <-time.After(time.Minute):
-		t.Fatal("in vain: " + what)
+		t.Fatal("timed out waiting for " + what)
 	}
 }
 
-// A caller asks for a stream and doesn't read it. The handler must come back
-// and its context end; otherwise each such caller holds a goroutine and a place
-// on an engine until the process is restarted.
+// If a client requests a stream and doesn't read it, the handler must return and its
+// context must end. Otherwise each such client holds a goroutine and a slot of an engine
+// until the process restarts.
 func TestReaderThatStalls(t *testing.T) {
 	ended, returned := make(chan struct{}), make(chan struct{})
 	address := start(t, &Server{MaxConns: 4, WriteTimeout: 20, Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -56,12 +56,12 @@
 	}
 	defer conn.Close()
 	_, _ = io.WriteString(conn, "GET / HTTP/1.1\r\nHost: x\r\n\r\n")
-	within(t, "the handler's return", returned)
-	within(t, "the context's end", ended)
+	waitFor(t, "the handler's return", returned)
+	waitFor(t, "the context's end", ended)
 }
 
-// A client opens more connections than the process takes. Those beyond wait
-// for a place; they are neither refused nor served at once.
+// Connections beyond MaxConns wait until another one ends. They are neither refused nor
+// served concurrently.
 func TestConnections(t *testing.T) {
 	const most, clients = 2, 12
 	var open, peak atomic.Int64
@@ -88,15 +88,15 @@
 	}
 	wg.Wait()
 	if peak.Load() > most {
-		t.Errorf("%d served at once", peak.Load())
+		t.Errorf("%d requests served at once", peak.Load())
 	}
 }
 
-// A header over the limit is refused; its length is the client's choice.
+// A header over the limit is rejected.
 func TestHeader(t *testing.T) {
 	address := start(t, &Server{MaxConns: 4, Handler: http.NotFoundHandler()})
 	req, _ := http.NewRequest(http.MethodGet, "http://"+address, nil)
-	req.Header.Set("X-Long", strings.Repeat("x", 4*headerLimit))
+	req.Header.Set("X-Long", strings.Repeat("x", 4*maxHeaderBytes))
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
 		return // the connection was closed while the header was sent
