--- a/magno/model/model.go
+++ b/magno/model/model.go
@@ -1,6 +1,5 @@
-// Package model speaks to a model engine over HTTP in the form that engines
-// use: completions with server-sent events, orders to load and unload an
-// adapter, cancel, and the load report.
+// Package model is the HTTP client of model engines: completions streamed as server-sent
+// events, loading and unloading of adapters, cancellation, and the load report.
 package model
 
 import (
@@ -21,22 +20,22 @@
 	"magnoliastall.example/magno/fetch"
 )
 
-// Limits on what an engine may answer, so that a broken one can't fill the
-// agent's memory.
+// Limits on the responses of an engine, so that a faulty one can't exhaust the agent's
+// memory.
 const (
-	lineLimit   = 1 << 20  // bytes of one event
-	errorLimit  = 4 << 10  // bytes of an error that are kept
-	headerLimit = 16 << 10 // bytes
-	// cancelWait bounds the order to cancel, which is sent after the
-	// request's own context has ended.
-	cancelWait = 2 * time.Second
+	maxEventBytes  = 1 << 20  // of one event
+	maxErrorBytes  = 4 << 10  // of a quoted error
+	maxHeaderBytes = 16 << 10 // bytes
+	// cancelTimeout bounds a cancel request, which is sent when the context of the original
+	// request may have ended.
+	cancelTimeout = 2 * time.Second
 )
 
-// Model is an engine as its agent sees it. It implements magno.Upstream.
+// Engine is the client of an engine, used by its agent. It implements magno.Upstream.
 type Engine struct {
-	// Address is the engine's IP and port.
+	// Address is the IP and port of the engine.
 	Address string
-	// Fence goes with each request; see magno.Upstream.
+	// Fence is the fencing token of all requests; see magno.Upstream.
 	Fence int64
 	// Client is set by SetAddress.
 	Client *http.Client
@@ -46,9 +45,9 @@
 	magno.Register(magno.PluginUpstream, string(magno.PoolEngine), func() any { return &Engine{} })
 }
 
-// NewClient returns a client whose connections are reused for one upstream.
-// It follows no redirect: a request that one host has and that can't be
-// brought to the next would look as if it had reached nobody.
+// NewClient returns an HTTP client for one upstream that reuses connections. It doesn't
+// follow redirects: if the first host has received a request and the connection to the
+// second fails, the error would look as if no host had received it.
 func NewClient() *http.Client {
 	dialer := &net.Dialer{Timeout: time.Second}
 	return &http.Client{
@@ -57,16 +56,16 @@
 			DialContext:            dialer.DialContext,
 			MaxIdleConnsPerHost:    64,
 			IdleConnTimeout:        30 * time.Second,
-			MaxResponseHeaderBytes: headerLimit,
+			MaxResponseHeaderBytes: maxHeaderBytes,
 		},
 	}
 }
 
-// SetAddress sets where the engine listens and the fence of its agent.
-func (m *Engine) SetAddress(address string, fence int64) {
-	m.Address = address
-	m.Fence = fence
-	m.Client = NewClient()
+// SetAddress implements magno.AddressSetter.
+func (e *Engine) SetAddress(address string, fence int64) {
+	e.Address = address
+	e.Fence = fence
+	e.Client = NewClient()
 }
 
 type completionRequest struct {
@@ -92,42 +91,42 @@
 	Error json.RawMessage `json:"error"`
 }
 
-// Run streams one completion. Once the engine has accepted it, an error means
-// that nobody knows how far it came.
-func (m *Engine) Run(ctx context.Context, w magno.Work, emit func(magno.Piece)) (magno.Result, error) {
-	resp, err := m.post(ctx, "/v1/completions", completionRequest{
+// Run implements magno.Upstream. If it fails after the engine has accepted the request, it
+// is unknown how much of it was executed.
+func (e *Engine) Run(ctx context.Context, w magno.Work, emit func(magno.Piece)) (magno.Result, error) {
+	resp, err := e.post(ctx, "/v1/completions", completionRequest{
 		Model: w.Job.Ref.String(), Prompt: w.Body, MaxTokens: w.MaxTokens, Stream: true,
-		Priority: w.Job.Urgency, RequestID: w.Job.ID, Fence: m.Fence,
+		Priority: w.Job.Urgency, RequestID: w.Job.ID, Fence: e.Fence,
 	})
 	if err != nil {
-		m.cancel(w.Job.ID)
-		return magno.Result{}, unsent(ctx, err)
+		e.cancel(w.Job.ID)
+		return magno.Result{}, transportError(ctx, err)
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return magno.Result{}, refused(resp)
+		return magno.Result{}, statusError(resp)
 	}
-	result, err := read(resp.Body, emit)
+	result, err := readStream(resp.Body, emit)
 	if err != nil {
-		m.cancel(w.Job.ID)
+		e.cancel(w.Job.ID)
 		return result, err
 	}
 	return result, nil
 }
 
-// read takes the events of a stream. A stream that ends without its last
-// event was cut off: taking it for whole would hand a caller half an answer.
-func read(body io.Reader, emit func(magno.Piece)) (magno.Result, error) {
+// readStream parses a stream of events. A stream without the final [DONE] event is an error:
+// it was cut off, and its text may be only a part of the answer.
+func readStream(body io.Reader, emit func(magno.Piece)) (magno.Result, error) {
 	var result magno.Result
 	var text strings.Builder
 	lines := bufio.NewScanner(body)
-	lines.Buffer(make([]byte, 0, 4096), lineLimit)
+	lines.Buffer(make([]byte, 0, 4096), maxEventBytes)
 	for lines.Scan() {
 		data, ok := strings.CutPrefix(lines.Text(), "data:")
 		if !ok {
 			continue
 		}
-		data = strings.TrimPrefix(data, " ") // the space is optional in the form's standard
+		data = strings.TrimPrefix(data, " ") // the space is optional in server-sent events
 		if data == "[DONE]" {
 			result.Text = text.String()
 			return result, nil
@@ -139,7 +138,7 @@
 		if len(chunk.Error) > 0 && string(chunk.Error) != "null" {
 			return result, magno.Refuse(magno.KindInterrupted, "the engine ended the stream: %s", chunk.Error)
 		}
-		take(chunk, &result, &text, emit)
+		applyChunk(chunk, &result, &text, emit)
 	}
 	if err := lines.Err(); err != nil {
 		return result, magno.Refuse(magno.KindInterrupted, "the engine's stream broke: %v", err)
@@ -147,7 +146,7 @@
 	return result, magno.Refuse(magno.KindInterrupted, "the engine's stream ended early")
 }
 
-func take(chunk completionChunk, result *magno.Result, text *strings.Builder, emit func(magno.Piece)) {
+func applyChunk(chunk completionChunk, result *magno.Result, text *strings.Builder, emit func(magno.Piece)) {
 	if chunk.Model != "" {
 		result.Ref = ParseRef(chunk.Model)
 	}
@@ -168,54 +167,54 @@
 	}
 }
 
-// ParseRef reads adapter@version.
+// ParseRef parses adapter@version.
 func ParseRef(name string) magno.Ref {
 	adapter, version, _ := strings.Cut(name, "@")
 	return magno.Ref{Adapter: adapter, Version: version}
 }
 
-type adapterOrder struct {
+type adapterRequest struct {
 	Name  string `json:"lora_name"`
 	Fence int64  `json:"fence"`
 }
 
 // Load implements magno.Upstream.
-func (m *Engine) Load(ctx context.Context, ref magno.Ref, fence int64) error {
-	return m.order(ctx, "/v1/load_lora_adapter", adapterOrder{ref.String(), fence})
+func (e *Engine) Load(ctx context.Context, ref magno.Ref, fence int64) error {
+	return e.order(ctx, "/v1/load_lora_adapter", adapterRequest{ref.String(), fence})
 }
 
 // Unload implements magno.Upstream.
-func (m *Engine) Unload(ctx context.Context, ref magno.Ref, fence int64) error {
-	return m.order(ctx, "/v1/unload_lora_adapter", adapterOrder{ref.String(), fence})
+func (e *Engine) Unload(ctx context.Context, ref magno.Ref, fence int64) error {
+	return e.order(ctx, "/v1/unload_lora_adapter", adapterRequest{ref.String(), fence})
 }
 
-func (m *Engine) order(ctx context.Context, path string, body any) error {
-	resp, err := m.post(ctx, path, body)
+func (e *Engine) order(ctx context.Context, path string, body any) error {
+	resp, err := e.post(ctx, path, body)
 	if err != nil {
 		return err
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return refused(resp)
+		return statusError(resp)
 	}
 	return nil
 }
 
-// cancel tells the engine that nobody waits for a request; a broken
-// connection alone may go unnoticed while the engine still spends steps on it.
-func (m *Engine) cancel(id string) {
-	ctx, stop := context.WithTimeout(context.Background(), cancelWait)
+// cancel tells the engine to stop a request. The engine may not notice a closed connection
+// and would continue to spend steps on it.
+func (e *Engine) cancel(id string) {
+	ctx, stop := context.WithTimeout(context.Background(), cancelTimeout)
 	defer stop()
 	body := struct {
 		RequestID string `json:"request_id"`
 	}{id}
-	resp, err := m.post(ctx, "/v1/cancel", body)
+	resp, err := e.post(ctx, "/v1/cancel", body)
 	if err == nil {
 		_ = resp.Body.Close()
 	}
 }
 
-type report struct {
+type loadReport struct {
 	Boot     int64    `json:"boot"`
 	Slots    int      `json:"slots"`
 	Batch    int      `json:"batch"`
@@ -229,9 +228,9 @@
 }
 
 // Probe implements magno.Upstream.
-func (m *Engine) Probe(ctx context.Context) (magno.Probe, error) {
-	var r report
-	if err := fetch.JSON(ctx, m.Client, "http://"+m.Address+"/v1/report", lineLimit, &r); err != nil {
+func (e *Engine) Probe(ctx context.Context) (magno.Probe, error) {
+	var r loadReport
+	if err := fetch.JSON(ctx, e.Client, "http://"+e.Address+"/v1/report", maxEventBytes, &r); err != nil {
 		return magno.Probe{}, err
 	}
 	probe := magno.Probe{
@@ -245,25 +244,25 @@
 	return probe, nil
 }
 
-func (m *Engine) post(ctx context.Context, path string, body any) (*http.Response, error) {
+func (e *Engine) post(ctx context.Context, path string, body any) (*http.Response, error) {
 	data, err := json.Marshal(body)
 	if err != nil {
 		return nil, err
 	}
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+m.Address+path, bytes.NewReader(data))
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+e.Address+path, bytes.NewReader(data))
 	if err != nil {
 		return nil, err
 	}
 	req.Header.Set("Content-Type", "application/json")
-	// Without GetBody the transport can't send the request a second time by
-	// itself on a connection that broke, which could run it twice.
+	// Without GetBody the transport can't resend the request by itself after a connection
+	// failure, which could execute it twice.
 	req.GetBody = nil
-	return m.Client.Do(req)
+	return e.Client.Do(req)
 }
 
-// unsent says whether a request that got no answer may have run: only a
-// connection that was never made proves that it did not.
-func unsent(ctx context.Context, err error) error {
+// transportError returns the refusal for a request without a response. Only a failure to
+// connect proves that the request was not executed.
+func transportError(ctx context.Context, err error) error {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
 		return magno.Refuse(magno.KindNoUpstream, "the upstream can't be reached: %v", err)
@@ -274,11 +273,11 @@
 	return magno.Refuse(magno.KindUnknown, "the upstream's answer was lost: %v", err)
 }
 
-// refused turns an engine's refusal into one of ours. Only the statuses that
-// docs/PROTOCOLS.md lists as never run are told so: a 503 may come from what
-// stands before the engine, after the engine has begun.
-func refused(resp *http.Response) error {
-	detail, _ := io.ReadAll(io.LimitReader(resp.Body, errorLimit))
+// statusError returns the refusal for an error status. RunNo is returned only for statuses
+// that docs/PROTOCOLS.md lists as never run: a 503 may come from a proxy after the engine
+// has started the request.
+func statusError(resp *http.Response) error {
+	detail, _ := io.ReadAll(io.LimitReader(resp.Body, maxErrorBytes))
 	text := fmt.Sprintf("the upstream answered %d: %s", resp.StatusCode, strings.TrimSpace(string(detail)))
 	switch resp.StatusCode {
 	case http.StatusNotFound, http.StatusPreconditionFailed:
--- a/magno/model/model_test.go
+++ b/magno/model/model_test.go
@@ -19,9 +19,8 @@
 	done  = "data: [DONE]\n\n"
 )
 
-// An engine that dies closes its connection between two events, and the text
-// so far looks like a short answer. A caller who got it as whole would act on
-// half a sentence.
+// If an engine fails, its connection closes between two events, and the text so far looks
+// like a short answer. It must not be returned as complete.
 func TestCutStream(t *testing.T) {
 	tests := []struct {
 		name, body string
@@ -36,11 +35,11 @@
 		{"cut inside the end", chunk + last + "data: [DON", false},
 		{"cut inside an event", chunk + `data: {"choices":[{"te`, false},
 		{"an error for an event", chunk + `data: {"error":{"message":"crashed"}}` + "\n\n" + done, false},
-		{"an event over the limit", chunk + "data: " + strings.Repeat("x", lineLimit+1), false},
+		{"an event over the limit", chunk + "data: " + strings.Repeat("x", maxEventBytes+1), false},
 	}
 	for _, tt := range tests {
 		var joined strings.Builder
-		result, err := read(strings.NewReader(tt.body), func(p magno.Piece) { joined.WriteString(p.Text) })
+		result, err := readStream(strings.NewReader(tt.body), func(p magno.Piece) { joined.WriteString(p.Text) })
 		var refusal *magno.Refusal
 		if tt.whole != (err == nil) || (err != nil && !errors.As(err, &refusal)) {
 			t.Errorf("%s: %v", tt.name, err)
@@ -55,9 +54,9 @@
 	}
 }
 
-// A proxy before the engine answers 503 when the engine is slow, or an engine
-// answers 500 after it began. Told "not run", a caller sends the work again and
-// it is done twice; only what the protocol lists as never run may say so.
+// A proxy answers 503 if the engine is slow, and an engine may answer 500 after it started
+// the request. If that were reported as RunNo, callers would repeat the request and it would
+// be executed twice. Only statuses that the protocol lists as never run may give RunNo.
 func TestRunOfStatus(t *testing.T) {
 	tests := []struct {
 		status int
@@ -88,8 +87,8 @@
 	}
 }
 
-// A connection that was never made proves that nothing ran; one that ends
-// after the request was taken proves nothing.
+// A failure to connect proves that the request was not executed. A connection that closes
+// after the request was received proves nothing.
 func TestRunOfConnection(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -133,9 +132,9 @@
 	}
 	f.Fuzz(func(t *testing.T, body string) {
 		var joined strings.Builder
-		result, err := read(strings.NewReader(body), func(p magno.Piece) { joined.WriteString(p.Text) })
+		result, err := readStream(strings.NewReader(body), func(p magno.Piece) { joined.WriteString(p.Text) })
 		if err == nil && (!strings.Contains(body, "[DONE]") || result.Text != joined.String()) {
-			t.Errorf("%q was taken for whole: %+v", body, result)
+			t.Errorf("%q accepted as complete: %+v", body, result)
 		}
 	})
 }
--- a/magno/proc/proc.go
+++ b/magno/proc/proc.go
@@ -1,8 +1,7 @@
-// Package proc holds what every process of the system has: its connections,
-// the configuration in force, the instances it knows of, and the part that
-// talks about both with others.
+// Package proc assembles the components that all processes share: connections to peers, the
+// configuration in force, the known instances, and the gossip node that exchanges both.
 //
-//	platform --> watch, fleet --> Store, Fleet --Follow--> the daemon's parts
+//	platform --> watch, fleet --> Store, Fleet --OnConfig--> components of the daemon
 //	peers <----> Mesh <--> Node ----^       |
 //	                         '--- marks --> Suspects
 package proc
@@ -26,20 +25,20 @@
 	"magnoliastall.example/magno/wire"
 )
 
-// Process is one process as its peers see it.
+// Process contains the shared components of a process.
 type Process struct {
-	// Self is this process; its Address is bound by Open.
+	// Self is this process. Open listens on its Address.
 	Self magno.Instance
-	// Config and List are URLs of the platform.
+	// Config and List are the URLs of the configuration service and the instance list.
 	Config, List string
-	// Allow lists the networks whose processes may call.
+	// Allow lists the networks from which other processes may connect.
 	Allow []string
 	Log   *slog.Logger
-	// Follow is told of each version that comes into force, by one goroutine.
-	// It is set before the duties run.
+	// OnConfig is called with each version that comes into force, always by the same
+	// goroutine. It must be set before the tasks run.
 	OnConfig func(*config.Snapshot)
 
-	// The fields below are made by Open.
+	// The fields below are set by Open.
 
 	Clock    *magno.Clock
 	Events   *event.Ring
@@ -50,7 +49,7 @@
 	Suspects *crash.Suspects
 }
 
-// Open binds the address, first of all, and makes the parts.
+// Open binds the address before it does anything else, and then creates the components.
 func (p *Process) Open() error {
 	p.Clock = &magno.Clock{}
 	p.Mesh = &wire.Mesh{Listen: p.Self.Address, Allow: p.Allow, Log: p.Log}
@@ -62,34 +61,35 @@
 	p.Store = &config.Store{Clock: p.Clock, Log: p.Log, Metrics: set, Check: check.New(p.Clock)}
 	p.Fleet = &fleet.Fleet{URL: p.List, Clock: p.Clock, Log: p.Log}
 	p.Suspects = &crash.Suspects{Clock: p.Clock}
-	sharer := &alert.Publisher{Suspects: p.Suspects}
+	publisher := &alert.Publisher{Suspects: p.Suspects}
 	p.Node = &spread.Node{
 		Self: gossip.Member{Name: p.Self.Name, Role: p.Self.Role, DataCentre: p.Self.DataCentre,
 			Pool: p.Self.Pool, Address: p.Self.Address},
-		Mesh: p.Mesh, Store: p.Store, List: p.Fleet.PlatformList, OnInstance: p.Fleet.Override, OnMark: sharer.Receive,
+		Mesh: p.Mesh, Store: p.Store, List: p.Fleet.PlatformList, OnInstance: p.Fleet.Override, OnMark: publisher.Receive,
 		Reader: &watch.Reader{URL: p.Config, Store: p.Store, Clock: p.Clock, Log: p.Log, Metrics: set},
 		Clock:  p.Clock, Log: p.Log, Metrics: set,
 	}
-	sharer.SetMark, p.Suspects.OnChange = p.Node.SetMark, sharer.Publish
+	publisher.SetMark, p.Suspects.OnChange = p.Node.SetMark, publisher.Publish
 	p.Node.Open()
 	return nil
 }
 
-// Duties are those of the parts.
+// Tasks returns the tasks of the components.
 func (p *Process) Tasks() []magno.Task {
-	return []magno.Task{p.Mesh, p.Node, p.Fleet, &follow{p}}
+	return []magno.Task{p.Mesh, p.Node, p.Fleet, &configFollower{p}}
 }
 
-// follow brings each new version to the daemon's parts that keep a copy.
-type follow struct {
+// configFollower calls OnConfig with each new version, for the components of the daemon that
+// keep a copy.
+type configFollower struct {
 	process *Process
 }
 
 // Name implements magno.Task.
-func (f *follow) Name() string { return "follow" }
+func (f *configFollower) Name() string { return "follow" }
 
-// Run follows the configuration until ctx ends.
-func (f *follow) Run(ctx context.Context) error {
+// Run implements magno.Task.
+func (f *configFollower) Run(ctx context.Context) error {
 	changes := f.process.Store.Subscribe()
 	for {
 		select {
