--- a/magno/setup/page.go
+++ b/magno/setup/page.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// Columns of the settings reference.
+// Columns of the tables in the settings reference.
 const (
 	columnKey = iota
 	columnType
@@ -17,41 +17,41 @@
 	columns
 )
 
-// span is the form of a range in the settings reference.
-var span = regexp.MustCompile(`^(\d+) to (\d+)$`)
+// rangePattern is the format of ranges in the settings reference.
+var rangePattern = regexp.MustCompile(`^(\d+) to (\d+)$`)
 
-// Page compares the first table below a heading of the settings reference
-// with the settings that fresh returns, a pointer to a struct with defaults,
-// and returns what differs. Operators who trust a page that lags behind the
-// code set keys that are gone or keep within ranges that no longer hold.
-func DiffPage(text, heading string, fresh func() any) []string {
-	var wrong []string
-	rows := table(text, heading)
-	for _, k := range Keys(fresh()) {
+// DiffPage compares the first table below a heading of the settings reference with the
+// settings that newDefaults returns, a pointer to a struct with defaults, and returns the
+// differences. With an outdated page, operators would set keys that no longer exist or rely
+// on ranges that no longer apply.
+func DiffPage(text, heading string, newDefaults func() any) []string {
+	var diffs []string
+	rows := parseTable(text, heading)
+	for _, k := range Keys(newDefaults()) {
 		row, ok := rows[k.Name]
 		delete(rows, k.Name)
 		if !ok {
-			wrong = append(wrong, k.Name+": not on the page")
+			diffs = append(diffs, k.Name+": not on the page")
 			continue
 		}
-		for column, want := range map[int]string{columnType: kind(k.Type), columnDefault: "`" + k.Default + "`"} {
+		for column, want := range map[int]string{columnType: typeWord(k.Type), columnDefault: "`" + k.Default + "`"} {
 			if row[column] != want {
-				wrong = append(wrong, fmt.Sprintf("%s: the page has %s, the code %s", k.Name, row[column], want))
+				diffs = append(diffs, fmt.Sprintf("%s: the page has %s, the code %s", k.Name, row[column], want))
 			}
 		}
 		if !strings.HasPrefix(row[columnHelp], k.Help) {
-			wrong = append(wrong, fmt.Sprintf("%s: the page's meaning doesn't begin with %q", k.Name, k.Help))
+			diffs = append(diffs, fmt.Sprintf("%s: the page's meaning doesn't begin with %q", k.Name, k.Help))
 		}
-		wrong = append(wrong, ranges(k, row[columnRange], fresh)...)
+		diffs = append(diffs, checkRange(k, row[columnRange], newDefaults)...)
 	}
 	for name := range rows {
-		wrong = append(wrong, name+": not in the code")
+		diffs = append(diffs, name+": not in the code")
 	}
-	return wrong
+	return diffs
 }
 
-// table returns the rows below a heading by their key.
-func table(text, heading string) map[string][]string {
+// parseTable maps the keys in the table below a heading to their rows.
+func parseTable(text, heading string) map[string][]string {
 	rows := map[string][]string{}
 	_, text, _ = strings.Cut(text, "\n"+heading+"\n")
 	for _, line := range strings.Split(text, "\n") {
@@ -72,8 +72,8 @@
 	return rows
 }
 
-// kind is the page's word for a type.
-func kind(t string) string {
+// typeWord returns the name of a Go type in the settings reference.
+func typeWord(t string) string {
 	switch t {
 	case "string":
 		return "text"
@@ -85,23 +85,24 @@
 	return "list"
 }
 
-// ranges tries the ends of a stated range and what lies beyond them.
-func ranges(k Key, stated string, fresh func() any) []string {
-	if word := kind(k.Type); word != "integer" && word != "number" {
+// checkRange tests whether the bounds of a documented range are accepted and the values next
+// to them rejected.
+func checkRange(k Key, documented string, newDefaults func() any) []string {
+	if word := typeWord(k.Type); word != "integer" && word != "number" {
 		return nil
 	}
-	ends := span.FindStringSubmatch(stated)
-	if ends == nil {
-		return []string{fmt.Sprintf("%s: the page has %q for a range", k.Name, stated)}
+	bounds := rangePattern.FindStringSubmatch(documented)
+	if bounds == nil {
+		return []string{fmt.Sprintf("%s: the page has %q for a range", k.Name, documented)}
 	}
-	low, _ := strconv.ParseInt(ends[1], 10, 64)
-	high, _ := strconv.ParseInt(ends[2], 10, 64)
-	var wrong []string
-	for value, sound := range map[int64]bool{low - 1: false, low: true, high: true, high + 1: false} {
-		err := Parse("page", fmt.Appendf(nil, "{%q: %d}", k.Name, value), fresh())
-		if (err == nil) != sound {
-			wrong = append(wrong, fmt.Sprintf("%s: the page has %s, the code says of %d: %v", k.Name, stated, value, err))
+	low, _ := strconv.ParseInt(bounds[1], 10, 64)
+	high, _ := strconv.ParseInt(bounds[2], 10, 64)
+	var diffs []string
+	for value, valid := range map[int64]bool{low - 1: false, low: true, high: true, high + 1: false} {
+		err := Parse("page", fmt.Appendf(nil, "{%q: %d}", k.Name, value), newDefaults())
+		if (err == nil) != valid {
+			diffs = append(diffs, fmt.Sprintf("%s: the page has %s, the code says of %d: %v", k.Name, documented, value, err))
 		}
 	}
-	return wrong
+	return diffs
 }
--- a/magno/setup/page_test.go
+++ b/magno/setup/page_test.go
@@ -6,8 +6,7 @@
 	"testing"
 )
 
-// A page that lags behind the code misleads operators; each way in which it
-// can must be found, or the check passes over it for ever.
+// DiffPage must detect each way in which the page can differ from the code.
 func TestPageDiffers(t *testing.T) {
 	const good = "\n## S\n\n| `listen` | text | `\"\"` | | address |\n" +
 		"| `limit` | integer | `1` | 1 to 10 | most |\n| `peers` | list | `null` | | who |\n"
--- a/magno/setup/setup.go
+++ b/magno/setup/setup.go
@@ -1,7 +1,7 @@
-// Package setup reads settings: JSON with comments from one file, then flags
-// that override it. A key that is unknown, of the wrong type or out of range
-// is named with file, line and key, for a typing error in a settings file
-// otherwise shows only when the default behind it hurts.
+// Package setup reads settings from a file, JSON with comments, and from flags that override
+// the file. Keys that are unknown, of the wrong type or out of range are errors with file,
+// line and key. Otherwise a typing error would go unnoticed until the default that is used
+// instead causes problems.
 package setup
 
 import (
@@ -16,25 +16,25 @@
 	"github.com/tailscale/hujson"
 )
 
-// ExitUsage is the exit code of a program whose settings are wrong.
+// ExitUsage is the exit code for invalid settings or arguments.
 const ExitUsage = 2
 
-// Checker is implemented by settings that have ranges. Check returns nil or a
-// *Fault that names the key.
+// Checker is implemented by settings with constraints on their values. Check returns nil or
+// an *Error with the key.
 type Checker interface {
 	Check() error
 }
 
-// Fault says which key is wrong, and where.
+// Error is an invalid setting.
 type Error struct {
 	File string
-	// Line counts from 1; zero means that the key came from a flag.
+	// Line counts from 1; zero means that the key was set by a flag.
 	Line    int
 	Key     string
 	Message string
 }
 
-// Error returns file:line: key: what.
+// Error returns file:line: key: message.
 func (f *Error) Error() string {
 	if f.Line == 0 {
 		return fmt.Sprintf("flag -%s: %s", f.Key, f.Message)
@@ -42,7 +42,7 @@
 	return fmt.Sprintf("%s:%d: %s: %s", f.File, f.Line, f.Key, f.Message)
 }
 
-// Range returns a fault when value is outside low to high, both allowed.
+// Range returns an *Error if value is less than low or greater than high.
 func Range[T int | int64 | float64](key string, value, low, high T) error {
 	if value >= low && value <= high {
 		return nil
@@ -50,13 +50,13 @@
 	return &Error{Key: key, Message: fmt.Sprintf("%v is out of range %v to %v", value, low, high)}
 }
 
-// Load fills into, a pointer to a plain struct with defaults set, from the
-// flags in args and from the file that -config names. Each field with a json
-// tag is a key; its usage is the tag "help".
+// Load reads settings into a struct that contains the defaults: from the file in the flag
+// -config, then from the other flags in args. into is a pointer to the struct. Each field
+// with a json tag is a key, and its help tag is the usage text.
 func Load(name string, args []string, into any) error {
 	set := flag.NewFlagSet(name, flag.ContinueOnError)
 	path := set.String("config", "", "settings `file`, JSON with comments")
-	flags := bind(set, into)
+	flags := bindFlags(set, into)
 	if err := set.Parse(args); err != nil {
 		return err
 	}
@@ -73,13 +73,13 @@
 			return err
 		}
 	}
-	if err := override(set, flags, into); err != nil {
+	if err := applyFlags(set, flags, into); err != nil {
 		return err
 	}
 	return check(*path, text, set, into)
 }
 
-// Parse fills into from data, as Load does from a file called name.
+// Parse reads settings from data, as Load does from a file; name is used in errors.
 func Parse(name string, data []byte, into any) error {
 	text, err := parse(name, data, into)
 	if err != nil {
@@ -96,39 +96,39 @@
 	dec := json.NewDecoder(bytes.NewReader(text))
 	dec.DisallowUnknownFields()
 	if err := dec.Decode(into); err != nil {
-		return nil, place(name, text, dec.InputOffset(), err)
+		return nil, locate(name, text, dec.InputOffset(), err)
 	}
 	return text, nil
 }
 
-// place turns an error of the JSON decoder into a Fault with a line.
-func place(name string, text []byte, offset int64, err error) error {
-	if wrong, ok := err.(*json.UnmarshalTypeError); ok { //nolint:errorlint // the decoder returns it bare
-		return &Error{File: name, Line: line(text, wrong.Offset), Key: wrong.Field,
-			Message: fmt.Sprintf("wants %s, has %s", wrong.Type, wrong.Value)}
+// locate converts an error of the JSON decoder to an Error with a line.
+func locate(name string, text []byte, offset int64, err error) error {
+	if mismatch, ok := err.(*json.UnmarshalTypeError); ok { //nolint:errorlint // the decoder returns it unwrapped
+		return &Error{File: name, Line: lineAt(text, mismatch.Offset), Key: mismatch.Field,
+			Message: fmt.Sprintf("wants %s, has %s", mismatch.Type, mismatch.Value)}
 	}
 	const unknown = "json: unknown field "
 	if key, ok := strings.CutPrefix(err.Error(), unknown); ok {
 		key = strings.Trim(key, `"`)
 		return &Error{File: name, Line: keyLine(text, key, offset), Key: key, Message: "unknown key"}
 	}
-	return &Error{File: name, Line: line(text, offset), Key: "", Message: err.Error()}
+	return &Error{File: name, Line: lineAt(text, offset), Key: "", Message: err.Error()}
 }
 
-func line(text []byte, offset int64) int {
+func lineAt(text []byte, offset int64) int {
 	offset = min(max(offset, 0), int64(len(text)))
 	return 1 + bytes.Count(text[:offset], []byte("\n"))
 }
 
-// keyLine finds the line of a key; the decoder stops behind it.
+// keyLine returns the line of a key, searching back from end, where the decoder stopped.
 func keyLine(text []byte, key string, end int64) int {
 	quoted := []byte(`"` + key + `"`)
 	end = min(max(end, 0), int64(len(text)))
 	if at := bytes.LastIndex(text[:end], quoted); at >= 0 {
-		return line(text, int64(at))
+		return lineAt(text, int64(at))
 	}
 	if at := bytes.Index(text, quoted); at >= 0 {
-		return line(text, int64(at))
+		return lineAt(text, int64(at))
 	}
 	return 1
 }
@@ -139,23 +139,23 @@
 		return nil
 	}
 	err := checker.Check()
-	fault, ok := err.(*Error) //nolint:errorlint // Check returns it bare
-	if !ok || fault == nil {
+	invalid, ok := err.(*Error) //nolint:errorlint // Check returns it unwrapped
+	if !ok || invalid == nil {
 		return err
 	}
-	given := false
+	setByFlag := false
 	if set != nil {
-		set.Visit(func(f *flag.Flag) { given = given || f.Name == fault.Key })
+		set.Visit(func(f *flag.Flag) { setByFlag = setByFlag || f.Name == invalid.Key })
 	}
-	if !given && text != nil {
-		fault.File = name
-		fault.Line = keyLine(text, fault.Key, int64(len(text)))
+	if !setByFlag && text != nil {
+		invalid.File = name
+		invalid.Line = keyLine(text, invalid.Key, int64(len(text)))
 	}
-	return fault
+	return invalid
 }
 
-// bind makes a flag for each key of a simple type.
-func bind(set *flag.FlagSet, into any) map[string]*string {
+// bindFlags defines a flag for each key.
+func bindFlags(set *flag.FlagSet, into any) map[string]*string {
 	flags := map[string]*string{}
 	for _, k := range Keys(into) {
 		flags[k.Name] = set.String(k.Name, "", fmt.Sprintf("%s (default %s)", k.Help, k.Default))
@@ -163,7 +163,7 @@
 	return flags
 }
 
-func override(set *flag.FlagSet, flags map[string]*string, into any) error {
+func applyFlags(set *flag.FlagSet, flags map[string]*string, into any) error {
 	var first error
 	set.Visit(func(f *flag.Flag) {
 		value, ok := flags[f.Name]
@@ -198,7 +198,7 @@
 	return name
 }
 
-// Key describes one setting, for help texts and the reference page.
+// Key describes a setting for help texts and the settings reference.
 type Key struct {
 	Name    string
 	Type    string
@@ -206,7 +206,7 @@
 	Help    string
 }
 
-// Keys lists the settings of from, a pointer to a struct that holds defaults.
+// Keys returns the settings of a struct; from is a pointer to it and contains the defaults.
 func Keys(from any) []Key {
 	v := reflect.ValueOf(from).Elem()
 	keys := make([]Key, 0, v.NumField())
--- a/magno/setup/setup_test.go
+++ b/magno/setup/setup_test.go
@@ -11,12 +11,12 @@
 	Peers  []string `json:"peers" help:"who"`
 }
 
-// Check limits Limit.
+// Check implements Checker.
 func (s *sample) Check() error { return Range("limit", s.Limit, 1, 10) }
 
-// An operator mistypes a key, gives a word for a number or leaves a range.
-// Without the line, the program would start with a default nobody chose.
-func TestFaults(t *testing.T) {
+// A mistyped key, a value of the wrong type or out of range must be reported with its line.
+// If it were ignored, the program would run with an unintended default.
+func TestParseErrors(t *testing.T) {
 	tests := []struct {
 		name, text, key string
 		line            int
@@ -28,8 +28,8 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			err := Parse("f.json", []byte(tt.text), &sample{Limit: 1})
-			var fault *Error
-			if !errors.As(err, &fault) || fault.Key != tt.key || fault.Line != tt.line {
+			var invalid *Error
+			if !errors.As(err, &invalid) || invalid.Key != tt.key || invalid.Line != tt.line {
 				t.Fatalf("got %v", err)
 			}
 		})
@@ -45,6 +45,6 @@
 		t.Fatalf("got %+v", s)
 	}
 	if err := Load("x", []string{"-limit", "many"}, s); err == nil {
-		t.Fatal("a word was taken for a number")
+		t.Fatal("text accepted for an integer")
 	}
 }
--- a/magno/start/start.go
+++ b/magno/start/start.go
@@ -1,5 +1,5 @@
-// Package start holds what every daemon does at its start and its end:
-// settings, log, signals, duties, exit code.
+// Package start implements start-up and shutdown of daemons: settings, log, signals, tasks
+// and exit code.
 package start
 
 import (
@@ -18,32 +18,31 @@
 	"magnoliastall.example/magno/setup"
 )
 
-// The exit codes of a daemon, besides setup.ExitUsage.
+// Exit codes of a daemon; see also setup.ExitUsage.
 const (
 	ExitOK     = 0
 	ExitFailed = 1
 )
 
-// drainLook is how often a planned stop looks whether work is still running.
-const drainLook = 20 * time.Millisecond
+// drainPollInterval is how often a planned stop checks whether work is still running.
+const drainPollInterval = 20 * time.Millisecond
 
-// Daemon is one process of the system. Fields are set before Run.
+// Daemon is a process of the system. Fields must be set before Run.
 type Daemon struct {
 	Tasks []magno.Task
 	Log   *slog.Logger
-	// Leave is called first at a planned stop: no new work from then on.
+	// Leave is called at the beginning of a planned stop. No new work is accepted after it.
 	Leave func()
-	// Busy counts what a planned stop waits for.
+	// Busy returns the number of running requests, for which a planned stop waits.
 	Busy func() int64
-	// Drain bounds that wait.
+	// DrainTimeout bounds that wait.
 	DrainTimeout magno.Millis
-	// Reload is called when the settings changed; nil where nothing can change
-	// without a new start.
+	// Reload is called on SIGHUP. It is nil if settings can't change without a restart.
 	Reload func()
 }
 
-// Options reads settings into opts and returns an exit code other than
-// ExitOK when the program is to end.
+// ParseOptions reads settings into opts. If ok is false, the program has to exit with the
+// returned code.
 func ParseOptions(name string, args []string, opts any) (code int, ok bool) {
 	err := setup.Load(name, args, opts)
 	if errors.Is(err, flag.ErrHelp) {
@@ -56,38 +55,38 @@
 	return ExitOK, true
 }
 
-// Log returns a logger that writes one line of key=value pairs an event.
+// NewLogger returns a logger that writes a line of key=value pairs per event.
 func NewLogger(w io.Writer, process string) *slog.Logger {
-	opts := &slog.HandlerOptions{ReplaceAttr: oneLine}
+	opts := &slog.HandlerOptions{ReplaceAttr: errorMessage}
 	return slog.New(slog.NewTextHandler(w, opts)).With("process", process)
 }
 
-// oneLine keeps an error to its message: errors with a stack would print it
-// into the line.
-func oneLine(_ []string, a slog.Attr) slog.Attr {
+// errorMessage replaces errors by their message. Otherwise errors with a stack trace would
+// log the trace.
+func errorMessage(_ []string, a slog.Attr) slog.Attr {
 	if err, ok := a.Value.Any().(error); ok {
 		a.Value = slog.StringValue(err.Error())
 	}
 	return a
 }
 
-// Run works until a duty fails or a signal asks for a planned stop. A second
-// signal ends the process without waiting.
+// Run runs the tasks until one fails or a signal requests a planned stop, and returns the
+// exit code. A second signal ends the process without waiting for running work.
 func (d *Daemon) Run() int {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	signals := make(chan os.Signal, 2)
 	signal.Notify(signals, os.Interrupt, syscall.SIGTERM)
 	defer signal.Stop(signals)
-	hups := make(chan os.Signal, 1)
+	reloads := make(chan os.Signal, 1)
 	if d.Reload != nil {
-		signal.Notify(hups, syscall.SIGHUP)
-		defer signal.Stop(hups)
+		signal.Notify(reloads, syscall.SIGHUP)
+		defer signal.Stop(reloads)
 	}
 	stopped := make(chan struct{})
 	go func() {
 		defer close(stopped)
-		d.wait(ctx, signals, hups)
+		d.wait(ctx, signals, reloads)
 		cancel()
 	}()
 	kernel := magno.Supervisor{Tasks: d.Tasks, OnExit: func(end magno.Exit) {
@@ -104,29 +103,29 @@
 	return ExitOK
 }
 
-// wait returns when the process may end.
-func (d *Daemon) wait(ctx context.Context, signals, hups <-chan os.Signal) {
-	for asked := false; !asked; {
+// wait handles signals and returns when the process may exit.
+func (d *Daemon) wait(ctx context.Context, signals, reloads <-chan os.Signal) {
+	for stopping := false; !stopping; {
 		select {
 		case <-ctx.Done():
 			return
-		case <-hups:
+		case <-reloads:
 			d.Log.Info("reload")
 			d.Reload()
 		case sig := <-signals:
 			d.Log.Info("leaving", "signal", sig.String(), "busy", d.Busy())
-			asked = true
+			stopping = true
 		}
 	}
 	d.Leave()
-	ticker := time.NewTicker(drainLook)
+	ticker := time.NewTicker(drainPollInterval)
 	defer ticker.Stop()
-	limit := time.After(d.DrainTimeout.Duration())
+	timeout := time.After(d.DrainTimeout.Duration())
 	for d.Busy() > 0 {
 		select {
 		case <-ctx.Done():
 			return
-		case <-limit:
+		case <-timeout:
 			d.Log.Warn("leaving", "cut", d.Busy())
 			return
 		case <-signals:
