--- a/magno/alert/alert.go
+++ b/magno/alert/alert.go
@@ -38,7 +38,7 @@
 	if len(m.Key) < len(keyPrefix) || m.Key[:len(keyPrefix)] != keyPrefix {
 		return
 	}
-	print, err := strconv.ParseUint(m.Key[len(keyPrefix):], 16, 64)
+	fingerprint, err := strconv.ParseUint(m.Key[len(keyPrefix):], 16, 64)
 	if err != nil {
 		return
 	}
@@ -46,5 +46,5 @@
 	if err != nil || crashes < 0 {
 		return
 	}
-	s.Suspects.Merge([]crash.Record{{Fingerprint: print, Crashes: crashes, UpdatedAt: s.Suspects.Clock.Now()}})
+	s.Suspects.Merge([]crash.Record{{Fingerprint: fingerprint, Crashes: crashes, UpdatedAt: s.Suspects.Clock.Now()}})
 }
--- a/magno/kernel.go
+++ b/magno/kernel.go
@@ -32,21 +32,21 @@
 }
 
 // Run starts all tasks and returns the first error once all have returned.
-func (k *Supervisor) Run(ctx context.Context) error {
+func (s *Supervisor) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	ends := make(chan Exit, len(k.Tasks))
-	for _, d := range k.Tasks {
-		go func() { ends <- Exit{Task: d.Name(), Err: d.Run(ctx)} }()
+	exits := make(chan Exit, len(s.Tasks))
+	for _, t := range s.Tasks {
+		go func() { exits <- Exit{Task: t.Name(), Err: t.Run(ctx)} }()
 	}
 	var first error
-	for range k.Tasks {
-		end := <-ends
-		if k.OnExit != nil {
-			k.OnExit(end)
+	for range s.Tasks {
+		exit := <-exits
+		if s.OnExit != nil {
+			s.OnExit(exit)
 		}
-		if end.Err != nil && ctx.Err() == nil {
-			first = fmt.Errorf("task %s: %w", end.Task, end.Err)
+		if exit.Err != nil && ctx.Err() == nil {
+			first = fmt.Errorf("task %s: %w", exit.Task, exit.Err)
 			cancel()
 		}
 	}
@@ -60,9 +60,9 @@
 // plugins maps the type and name of a plug-in to its factory. Packages register theirs in
 // init.
 var plugins = struct {
-	mu     sync.Mutex
-	makers map[string]map[string]Factory
-}{makers: map[string]map[string]Factory{}}
+	mu        sync.Mutex
+	factories map[string]map[string]Factory
+}{factories: map[string]map[string]Factory{}}
 
 // Types of plug-in.
 const (
@@ -73,37 +73,37 @@
 
 // Register adds a plug-in. It panics if the name is taken, which is a programming error
 // that shows at start-up.
-func Register(sort, name string, maker Factory) {
+func Register(pluginType, name string, factory Factory) {
 	plugins.mu.Lock()
 	defer plugins.mu.Unlock()
-	names := plugins.makers[sort]
+	names := plugins.factories[pluginType]
 	if names == nil {
 		names = map[string]Factory{}
-		plugins.makers[sort] = names
+		plugins.factories[pluginType] = names
 	}
 	if names[name] != nil {
-		panic("plug-in registered twice: " + sort + " " + name)
+		panic("plug-in registered twice: " + pluginType + " " + name)
 	}
-	names[name] = maker
+	names[name] = factory
 }
 
 // NewPlugin creates the plug-in with the given type and name.
-func NewPlugin(sort, name string) (any, error) {
+func NewPlugin(pluginType, name string) (any, error) {
 	plugins.mu.Lock()
-	maker := plugins.makers[sort][name]
+	factory := plugins.factories[pluginType][name]
 	plugins.mu.Unlock()
-	if maker == nil {
-		return nil, fmt.Errorf("unknown %s %q, available: %q", sort, name, PluginNames(sort))
+	if factory == nil {
+		return nil, fmt.Errorf("unknown %s %q, available: %q", pluginType, name, PluginNames(pluginType))
 	}
-	return maker(), nil
+	return factory(), nil
 }
 
 // PluginNames returns the sorted names of all plug-ins of a type.
-func PluginNames(sortOf string) []string {
+func PluginNames(pluginType string) []string {
 	plugins.mu.Lock()
 	defer plugins.mu.Unlock()
-	names := make([]string, 0, len(plugins.makers[sortOf]))
-	for name := range plugins.makers[sortOf] {
+	names := make([]string, 0, len(plugins.factories[pluginType]))
+	for name := range plugins.factories[pluginType] {
 		names = append(names, name)
 	}
 	sort.Strings(names)
--- a/magno/listen/listen.go
+++ b/magno/listen/listen.go
@@ -76,9 +76,9 @@
 		return err
 	case <-ctx.Done():
 	}
-	stop, cancel := context.WithTimeout(context.WithoutCancel(ctx), s.ShutdownTimeout.Duration())
+	shutdownCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), s.ShutdownTimeout.Duration())
 	defer cancel()
-	err = server.Shutdown(stop)
+	err = server.Shutdown(shutdownCtx)
 	if served := <-ended; !errors.Is(served, http.ErrServerClosed) {
 		return served
 	}
@@ -87,12 +87,12 @@
 
 // WithWriteTimeout returns h with a time-out for each write to a client; zero means 10
 // seconds.
-func WithWriteTimeout(h http.Handler, stall magno.Millis) http.Handler {
-	if stall == 0 {
-		stall = defaultWriteTimeout
+func WithWriteTimeout(h http.Handler, timeout magno.Millis) http.Handler {
+	if timeout == 0 {
+		timeout = defaultWriteTimeout
 	}
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		h.ServeHTTP(&deadlineWriter{ResponseWriter: w, control: http.NewResponseController(w), writeTimeout: stall.Duration()}, r)
+		h.ServeHTTP(&deadlineWriter{ResponseWriter: w, control: http.NewResponseController(w), writeTimeout: timeout.Duration()}, r)
 	})
 }
 
--- a/magno/start/start.go
+++ b/magno/start/start.go
@@ -89,10 +89,10 @@
 		d.wait(ctx, signals, reloads)
 		cancel()
 	}()
-	kernel := magno.Supervisor{Tasks: d.Tasks, OnExit: func(end magno.Exit) {
-		d.Log.Info("duty", "name", end.Task, "ended", true, "error", end.Err)
+	supervisor := magno.Supervisor{Tasks: d.Tasks, OnExit: func(exit magno.Exit) {
+		d.Log.Info("duty", "name", exit.Task, "ended", true, "error", exit.Err)
 	}}
-	err := kernel.Run(ctx)
+	err := supervisor.Run(ctx)
 	cancel()
 	<-stopped
 	if err != nil {
