--- a/agent/daemon/daemon.go
+++ b/agent/daemon/daemon.go
@@ -75,7 +75,7 @@
 	}
 	log.Info("listening", "addr", a.Mesh.Addr(), "pool", opts.Pool, "dc", opts.DataCentre)
 	d := start.Daemon{
-		Tasks: a.duties(), Log: log, Leave: a.leave, Busy: a.server.Busy, DrainTimeout: magno.Millis(opts.Drain),
+		Tasks: a.tasks(), Log: log, Leave: a.leave, Busy: a.server.Busy, DrainTimeout: magno.Millis(opts.Drain),
 	}
 	return d.Run()
 }
@@ -138,8 +138,8 @@
 	if !ok {
 		return errors.Newf("plug-in %q does not implement magno.Upstream", a.opts.Kind)
 	}
-	if addressed, ok := plugin.(magno.AddressSetter); ok {
-		addressed.SetAddress(a.opts.Upstream, fence)
+	if setter, ok := plugin.(magno.AddressSetter); ok {
+		setter.SetAddress(a.opts.Upstream, fence)
 	}
 	if plugin, err = magno.NewPlugin(magno.PluginScheduler, a.opts.Scheduler); err != nil {
 		return err
@@ -148,9 +148,9 @@
 	if !ok {
 		return errors.Newf("plug-in %q does not implement magno.Scheduler", a.opts.Scheduler)
 	}
-	if tuner, ok := plugin.(magno.Configurable); ok {
-		tuner.SetClock(a.Clock)
-		tuner.SetTurns(a.opts.Kind == string(magno.PoolEngine))
+	if configurable, ok := plugin.(magno.Configurable); ok {
+		configurable.SetClock(a.Clock)
+		configurable.SetTurns(a.opts.Kind == string(magno.PoolEngine))
 	}
 	if user, ok := plugin.(interface{ SetSuspects(*crash.Suspects) }); ok {
 		user.SetSuspects(a.Suspects)
@@ -230,7 +230,7 @@
 	return a.Clock.Now() > a.witnessStart+2*magno.Millis(a.opts.Skew)
 }
 
-func (a *agent) duties() []magno.Task {
+func (a *agent) tasks() []magno.Task {
 	return append(a.Tasks(), a.probe, a.loop, a.turns, &admin.Server{
 		Listen: a.opts.Admin, Allow: a.opts.Allow, Events: a.Events, Status: a.status,
 		Ready:   func() bool { return a.ready() && a.witnessReady() && !a.server.Leaving() },
--- a/agent/loop/state.go
+++ b/agent/loop/state.go
@@ -10,9 +10,9 @@
 func (l *Loop) Reset(probe magno.Probe) {
 	l.post(func() {
 		ran := l.Scheduler.Reset()
-		if tuner, ok := l.Scheduler.(magno.Configurable); ok {
-			tuner.SetLimits(probe.Limits)
-			tuner.Adopt(probe.Loaded)
+		if configurable, ok := l.Scheduler.(magno.Configurable); ok {
+			configurable.SetLimits(probe.Limits)
+			configurable.Adopt(probe.Loaded)
 		}
 		l.Events.Add("reset", "", fmt.Sprintf("boot=%d ran=%d held=%d", probe.Boot, len(ran), len(probe.Loaded)))
 	})
@@ -28,9 +28,9 @@
 		if l.ordersInFlight > 0 || l.Clock.Now() < l.lastOrderAt+reportLag || l.holdsExactly(probe.Loaded) {
 			return
 		}
-		if tuner, ok := l.Scheduler.(magno.Configurable); ok {
+		if configurable, ok := l.Scheduler.(magno.Configurable); ok {
 			l.Events.Add("adopt", "", fmt.Sprintf("held=%d", len(probe.Loaded)))
-			tuner.Adopt(probe.Loaded)
+			configurable.Adopt(probe.Loaded)
 			l.needsDecision = true
 		}
 	})
@@ -50,8 +50,8 @@
 // SetWeights sets the customers' weights.
 func (l *Loop) SetWeights(weights map[string]float64) {
 	l.post(func() {
-		if tuner, ok := l.Scheduler.(magno.Configurable); ok {
-			tuner.SetWeights(weights)
+		if configurable, ok := l.Scheduler.(magno.Configurable); ok {
+			configurable.SetWeights(weights)
 		}
 	})
 }
--- a/agent/loop/turn.go
+++ b/agent/loop/turn.go
@@ -24,14 +24,14 @@
 // Want returns the load that the scheduler needs most and the cost of its delay. It returns false
 // if the scheduler needs no load or no turn for it.
 func (l *Loop) Want(ctx context.Context) (ref magno.Ref, cost float64, ok bool) {
-	turner, is := l.Scheduler.(magno.TurnTaker)
+	taker, is := l.Scheduler.(magno.TurnTaker)
 	if !is {
 		return magno.Ref{}, 0, false
 	}
 	got := make(chan wantedLoad, 1)
 	asked := l.post(func() {
 		var w wantedLoad
-		w.ref, w.cost, w.ok = turner.Want()
+		w.ref, w.cost, w.ok = taker.Want()
 		got <- w
 	})
 	if !asked {
@@ -49,14 +49,14 @@
 // Load gives the scheduler a turn for one load. It returns when the load has ended, when left has
 // passed, or when the scheduler has not used the turn within turnUseTimeout.
 func (l *Loop) Load(ctx context.Context, left magno.Millis) {
-	turner, is := l.Scheduler.(magno.TurnTaker)
+	taker, is := l.Scheduler.(magno.TurnTaker)
 	if !is {
 		return
 	}
 	done := make(chan struct{})
 	l.post(func() {
 		l.turnEnded = done
-		turner.Turn(l.Clock.Now() + min(left, turnUseTimeout))
+		taker.Turn(l.Clock.Now() + min(left, turnUseTimeout))
 	})
 	unused := time.NewTimer(turnUseTimeout.Duration())
 	defer unused.Stop()
--- a/entry/daemon/daemon.go
+++ b/entry/daemon/daemon.go
@@ -46,7 +46,7 @@
 		return start.ExitFailed
 	}
 	d := start.Daemon{
-		Tasks: e.duties(), Log: log, Leave: e.leave,
+		Tasks: e.tasks(), Log: log, Leave: e.leave,
 		Busy: e.front.Busy, DrainTimeout: magno.Millis(opts.Drain),
 	}
 	return d.Run()
@@ -83,7 +83,7 @@
 	return e, nil
 }
 
-func (e *entry) duties() []magno.Task {
+func (e *entry) tasks() []magno.Task {
 	return append(e.Tasks(), e.front, e.lease, &admin.Server{
 		Listen: e.opts.Admin, Allow: e.opts.Allow, Events: e.Events, Status: e.status, Explain: e.explain,
 		Ready:   e.front.Ready,
--- a/entry/send/send.go
+++ b/entry/send/send.go
@@ -207,11 +207,11 @@
 	if agent, ok := ticketAgent(r.Key); ok {
 		return []string{agent}
 	}
-	homer, ok := s.Router(r.Pool).(magno.HomeRouter)
+	router, ok := s.Router(r.Pool).(magno.HomeRouter)
 	if !ok {
 		return nil
 	}
-	return homer.Homes(magno.Query{Ref: r.Work.Job.Ref, Customer: r.Work.Job.Customer}, r.Key, maxHomes)
+	return router.Homes(magno.Query{Ref: r.Work.Job.Ref, Customer: r.Work.Job.Customer}, r.Key, maxHomes)
 }
 
 // asksNextHome reports whether the next home is to be asked.
--- a/entry/site/site.go
+++ b/entry/site/site.go
@@ -47,7 +47,7 @@
 	log.Info("start", "dc", settings.DataCentre, "callers", settings.CallerAddress, "ready", settings.ReadyAddress, "peers", settings.PeerAddress,
 		"seeds", len(settings.Seeds), "list", settings.ListAddress)
 	d := start.Daemon{
-		Tasks: append(e.duties(), out), Log: log, Leave: e.front.leave, Busy: e.front.busy, DrainTimeout: settings.Grace,
+		Tasks: append(e.tasks(), out), Log: log, Leave: e.front.leave, Busy: e.front.busy, DrainTimeout: settings.Grace,
 		Reload: start.Reloader(site, settings, log),
 	}
 	return d.Run()
@@ -120,7 +120,7 @@
 	return semaphore.NewWeighted(max(memory/memoryShare, minMemoryBudget))
 }
 
-func (e *entry) duties() []magno.Task {
+func (e *entry) tasks() []magno.Task {
 	return []magno.Task{
 		e.mesh, e.reader, e.peers, e.desk, e.lease, &follower{e}, e.front, &readiness{e.front}, &lagMonitor{e.front},
 		&admin.Server{
--- a/stand/build.go
+++ b/stand/build.go
@@ -23,9 +23,9 @@
 	Admin() http.Handler
 }
 
-// buildDuties returns the duties of every configured service and binds its
+// buildTasks returns the tasks of every configured service and binds its
 // addresses.
-func buildDuties(cfg config, log *slog.Logger) ([]magno.Task, error) {
+func buildTasks(cfg config, log *slog.Logger) ([]magno.Task, error) {
 	configs := []config{cfg}
 	if cfg.Kind == kindAll {
 		configs = cfg.Services
@@ -33,13 +33,13 @@
 	if len(configs) == 0 {
 		return nil, fmt.Errorf("stands: no service is configured")
 	}
-	var duties []magno.Task
+	var tasks []magno.Task
 	for _, c := range configs {
 		s, err := c.newService()
 		if err != nil {
 			return nil, err
 		}
-		duties = append(duties, s)
+		tasks = append(tasks, s)
 		for _, endpoint := range []struct {
 			title, addr string
 			handler     http.Handler
@@ -56,10 +56,10 @@
 				return nil, err
 			}
 			log.Info("listening", "addr", addr, "name", endpoint.title, "kind", c.Kind)
-			duties = append(duties, server)
+			tasks = append(tasks, server)
 		}
 	}
-	return duties, nil
+	return tasks, nil
 }
 
 // newService returns the simulated service that the settings describe.
--- a/stand/main.go
+++ b/stand/main.go
@@ -35,14 +35,14 @@
 		fmt.Fprintln(os.Stderr, "stand:", err)
 		os.Exit(setup.ExitUsage)
 	}
-	duties, err := buildDuties(cfg, log)
+	tasks, err := buildTasks(cfg, log)
 	if err != nil {
 		log.Error("start failed", "err", err)
 		os.Exit(1)
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
-	kernel := magno.Supervisor{Tasks: duties}
-	err = kernel.Run(ctx)
+	supervisor := magno.Supervisor{Tasks: tasks}
+	err = supervisor.Run(ctx)
 	stop()
 	if err != nil {
 		log.Error("stopped", "err", err)
--- a/stand/main_test.go
+++ b/stand/main_test.go
@@ -76,14 +76,14 @@
 		t.Fatal(err)
 	}
 	var log bytes.Buffer
-	duties, err := buildDuties(cfg, slog.New(slog.NewTextHandler(&log, nil)))
+	tasks, err := buildTasks(cfg, slog.New(slog.NewTextHandler(&log, nil)))
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
-	kernel := magno.Supervisor{Tasks: duties}
-	go func() { ended <- kernel.Run(ctx) }()
+	supervisor := magno.Supervisor{Tasks: tasks}
+	go func() { ended <- supervisor.Run(ctx) }()
 	addrs := map[string]string{}
 	for _, line := range regexp.MustCompile(`msg=listening addr=(\S+) name=(?:"([^"]+)"|(\S+))`).FindAllStringSubmatch(log.String(), -1) {
 		addrs[line[2]+line[3]] = line[1]
