--- a/agent/turns/turns_test.go
+++ b/agent/turns/turns_test.go
@@ -108,16 +108,16 @@
 	return tr, eng, run
 }
 
-// coordinatorDuty runs a coordinator as a duty.
-type coordinatorDuty struct{ *coordinator }
+// coordinatorTask runs a coordinator as a task.
+type coordinatorTask struct{ *coordinator }
 
-func (k coordinatorDuty) Name() string                  { return "keeper" }
-func (k coordinatorDuty) Run(ctx context.Context) error { k.run(ctx); return nil }
+func (k coordinatorTask) Name() string                  { return "keeper" }
+func (k coordinatorTask) Run(ctx context.Context) error { k.run(ctx); return nil }
 
 // passQuietTime starts the coordinator and advances the clock past its initial quiet time.
 func passQuietTime(t *testing.T, tr *Turns, run func(magno.Task)) {
 	t.Helper()
-	run(coordinatorDuty{tr.coordinator})
+	run(coordinatorTask{tr.coordinator})
 	begun := make(chan struct{})
 	tr.coordinator.steps <- func() {
 		tr.coordinator.submit(turnRequest{Agent: "first"}, make(chan turn.Turn, 1))
--- a/magno/check/check.go
+++ b/magno/check/check.go
@@ -63,7 +63,7 @@
 	return &Checker{RosterCutoff: func() magno.Millis { return clock.Now() - magno.KeyRetention }}
 }
 
-// fault is a setup.Fault without a location.
+// fault is a setup.Error without a location.
 type fault struct {
 	// list is the JSON key of the list, name the record's name and field the JSON key of
 	// the field.
--- a/magno/watch/reader.go
+++ b/magno/watch/reader.go
@@ -102,7 +102,7 @@
 	Error   string `json:"error,omitempty"`
 }
 
-// Name returns the name of the duty.
+// Name returns the name of the task.
 func (r *Reader) Name() string { return "reader" }
 
 func (r *Reader) init() {
--- a/stand/serve/serve.go
+++ b/stand/serve/serve.go
@@ -29,7 +29,7 @@
 
 // Server serves one handler on one address.
 type Server struct {
-	// Title is the name of the duty.
+	// Title is the name of the task.
 	Title string
 	// Addr is IP:PORT; port 0 selects a free one.
 	Addr    string
