--- a/drive/limit/limit.go
+++ b/drive/limit/limit.go
@@ -3,8 +3,9 @@
 //
 //	request --> quota (its entry) <--lease--> grant (the customer's home) --> Result
 //
-// Loads: a customer at many times its usual rate, small customers with quotas of a few
-// requests, entries that are killed or partitioned, and limits far below the offered load.
+// Load pattern: a customer at many times its usual rate, small customers with quotas of a
+// few requests, entries that are killed or partitioned, and limits far below the offered
+// load.
 package limit
 
 import (
--- a/drive/scene/scene.go
+++ b/drive/scene/scene.go
@@ -6,10 +6,10 @@
 //
 //	                  '----- reports -------'
 //
-// Tests define the load: bursts, adapters that were not requested before, engines that
-// fail. On the test bench such an event lasts seconds within a day of traffic, and an
-// effect on it is lost in noise. Here the same requests arrive at the same milliseconds in
-// each run.
+// Load pattern: whatever a test defines, such as bursts, adapters that were not requested
+// before, engines that fail. On the test bench such an event lasts seconds within a day of
+// traffic, and an effect on it is lost in noise. Here the same requests arrive at the same
+// milliseconds in each run.
 package scene
 
 import (
--- a/entry/desk/share_test.go
+++ b/entry/desk/share_test.go
@@ -127,8 +127,8 @@
 }
 
 // Guards against forwarded state that grows with the fleet until an entry's machine does
-// nothing else. With many times the entries and engines, an entry must receive no more
-// messages, and a data centre must poll no more often.
+// nothing else. With 4 to 20 times the entries and engines, an entry must receive at
+// most twice the messages, and a data centre must poll at most twice as often.
 func TestForwardedStatusesDoNotGrowWithTheFleet(t *testing.T) {
 	const seconds = 20
 	polls, messages := countTraffic(5, 50, seconds)
--- a/entry/relay/stream_test.go
+++ b/entry/relay/stream_test.go
@@ -116,8 +116,8 @@
 
 // An engine crashes during a response of several seconds. The caller has received events until
 // now and waits at least two seconds for the next one, so the rest can still come from another
-// engine. If its patience counted from the first attempt, it would be over, and every engine
-// would refuse the stream.
+// engine. If its patience counted from the first attempt, it would be over, every engine would
+// refuse the stream, and the caller would be left with half an answer.
 func TestStreamThatBrokeOffLateIsStillAwaited(t *testing.T) {
 	const now = magno.Hour
 	for _, c := range []struct {
--- a/magno/admit/admit.go
+++ b/magno/admit/admit.go
@@ -1,15 +1,15 @@
 // Package admit refuses jobs that can't finish before their deadline.
 //
-// More work may arrive than the upstream can do, for seconds or for hours. Without
-// admission control the queue then grows until every job in it is late: the engine
-// stays busy with answers that nobody waits for any more, and each caller finds out
-// only at its own deadline.
+// Load pattern: more work arrives than the upstream can do, for seconds or for hours.
+// Without admission control the queue then grows until every job in it is late: the
+// engine stays busy with answers that nobody waits for any more, and each caller finds
+// out only at its own deadline.
 //
 // The estimate is the work ahead over the batch places, with two measured corrections:
 // the stretch of runs over the engine's nominal time, and a margin that grows by
 // lateGrowth with each admitted job that is late and shrinks by onTimeDecay with each
 // that is in time. The two balance where one admitted job in lateGrowth/onTimeDecay =
-// 500 is late, well under the 1 in 100 that issue 5 allows. Each customer has its own
+// 500 is late, well under the 1 in 100 that is allowed. Each customer has its own
 // margin, and a margin shared by all grows more slowly.
 //
 // The wait for an adapter is estimated from the harm that earlier waits had done when
--- a/magno/allow/allow.go
+++ b/magno/allow/allow.go
@@ -1,9 +1,10 @@
 // Package allow implements the retry budget: it limits how often requests are sent
 // to a second upstream.
 //
-// When upstreams fail, every process sends its requests again, and without a limit a
-// failing pool gets twice its load when it can handle the least. In each window, all
-// processes together may send Ratio retries per request received, plus Slack.
+// Load pattern: upstreams fail, and every process sends its requests again. Without a
+// limit a failing pool gets twice its load when it can handle the least. In each
+// window, all processes together may send Ratio retries per request received, plus
+// Slack.
 //
 // No state is shared. Each process counts the requests that it received itself and
 // uses an equal part of the slack. The total stays within the limit as long as each
--- a/magno/crash/crash.go
+++ b/magno/crash/crash.go
@@ -1,8 +1,8 @@
 // Package crash tracks the fingerprints of requests that were running when an
 // upstream crashed.
 //
-// Some requests crash every upstream that runs them, and their callers send them
-// again. Without this package one such request takes down a whole pool, one
+// Load pattern: some requests crash every upstream that runs them, and their callers
+// send them again. Without this package one such request takes down a whole pool, one
 // upstream after the other, along with all other requests running there.
 //
 // Every request that was running at a crash becomes a suspect. A suspect runs
--- a/magno/delta/delta.go
+++ b/magno/delta/delta.go
@@ -3,10 +3,10 @@
 //
 //	base, next --Diff--> Delta --Encode--> bytes --Decode--> Delta --Apply(base)--> next
 //
-// A configuration has thousands of routes, a change affects one or a few of them, and it
-// is sent to every process over links of a few megabits a second. Sending the whole
-// configuration as plain text would saturate those links and keep small machines busy
-// decoding while requests wait.
+// Load pattern: a configuration has thousands of routes, a change affects one or a few
+// of them, and it is sent to every process over links of a few megabits a second.
+// Sending the whole configuration as plain text would saturate those links and keep
+// small machines busy decoding while requests wait.
 package delta
 
 import (
--- a/magno/gate/gate.go
+++ b/magno/gate/gate.go
@@ -122,9 +122,9 @@
 // Declines reports whether the expected wait of a request has grown since the entry last heard
 // of this engine, so far that another engine is the better choice now.
 //
-// Several entries send to whichever engine looked best in reports that are 250 ms old, and
-// their requests meet at the same one. The engine itself declines within one round trip, from
-// current state.
+// Load pattern: several entries send to whichever engine looked best in reports that are
+// 250 ms old, and their requests meet at the same one. The engine itself declines within one
+// round trip, from current state.
 func (g *Gate) Declines(req *Request) bool {
 	g.setup()
 	return req.DeclineAbove > 0 && g.spec.Replica != "" && !g.spec.Leaving && g.expectedWait(req, g.now())+g.congestion() > req.DeclineAbove
--- a/magno/gate/lists.go
+++ b/magno/gate/lists.go
@@ -26,9 +26,9 @@
 // ListHistory remembers the lists that an agent sent recently, so that an entry that has one of
 // them is sent only the difference.
 //
-// Each engine loads an adapter about once a second, and each entry polls each agent as often.
-// With the whole lists sent at each change, hashes that the receiver already has would be most
-// of the traffic between data centres in a fleet of hundreds of machines.
+// Load pattern: each engine loads an adapter about once a second, and each entry polls each
+// agent as often. With the whole lists sent at each change, hashes that the receiver already
+// has would be most of the traffic between data centres in a fleet of hundreds of machines.
 //
 // It is safe for concurrent use.
 type ListHistory struct {
--- a/magno/gossip/record.go
+++ b/magno/gossip/record.go
@@ -123,7 +123,7 @@
 	} else {
 		text, _ = json.Marshal(Mark{Key: r.Mark.Key, Seq: r.Mark.Seq}) //nolint:errchkjson // plain data
 	}
-	return uint32(xxhash.Sum64(text)) //nolint:gosec // truncation is intended
+	return uint32(xxhash.Sum64(text)) //nolint:gosec // the low half is as good as the whole
 }
 
 // size is the length of the record on the wire in bytes, its comma included.
--- a/magno/grant/grant.go
+++ b/magno/grant/grant.go
@@ -1,11 +1,11 @@
 // Package grant leases tokens of customers' rate limits to all processes, for the
 // customers whose home is this process.
 //
-// A customer's requests reach the processes unevenly over a few connections, and a small
-// customer's whole limit is two or three requests per second. Divided among the
-// processes, each part would be less than one request. So one process, the customer's
-// home, counts for all. The others lease what their callers need; for large customers
-// one second in advance.
+// Load pattern: a customer's requests reach the processes unevenly over a few
+// connections, and a small customer's whole limit is two or three requests per second.
+// Divided among the processes, each part would be less than one request. So one process,
+// the customer's home, counts for all. The others lease what their callers need; for
+// large customers one second in advance.
 //
 // When processes are partitioned, each side has homes of its own. A home then grants only
 // a share of the limit: the processes that it sees, divided by all that it knows.
--- a/magno/keys/keys.go
+++ b/magno/keys/keys.go
@@ -2,9 +2,9 @@
 //
 //	Authorization: Bearer KEY --digest--> table of a configuration --> customer
 //
-// Every request is looked up, in a table of a few to some thousands of keys. Keys are
-// looked up by their digests, so the time of a lookup doesn't reveal how close a guess
-// came.
+// Load pattern: every request is looked up, in a table of a few to some thousands of
+// keys. Keys are looked up by their digests, so the time of a lookup doesn't reveal how
+// close a guess came.
 package keys
 
 import (
--- a/magno/learn/learn.go
+++ b/magno/learn/learn.go
@@ -2,11 +2,11 @@
 //
 //	Observe (streams, unread) --> line, ratio --> PrefillRate, EventInterval, PrefillPause
 //
-// Engines of one kind read 25 prompt tokens in a millisecond, those of another 40 and
-// more. They read prompts in chunks between the steps that generate the tokens of all
-// streams, so the same burst of prompts stops the streams of one for 260 ms and those
-// of another for 390. A constant would fit one kind only, and prompts would be spaced
-// on engines whose streams need no spacing.
+// Load pattern: engines of one kind read 25 prompt tokens in a millisecond, those of
+// another 40 and more. They read prompts in chunks between the steps that generate the
+// tokens of all streams, so the same burst of prompts stops the streams of one for
+// 260 ms and those of another for 390. A constant would fit one kind only, and prompts
+// would be spaced on engines whose streams need no spacing.
 //
 // Each estimate begins with a prior that weighs as much as about a second of work, and
 // observations decay, so a change of the engine shows within seconds of work. Samples
--- a/magno/paths/paths.go
+++ b/magno/paths/paths.go
@@ -1,9 +1,9 @@
 // Package paths finds the route of a request by its host and path, and picks the
 // service where a route splits its traffic.
 //
-// Every request is matched, against a few to several hundred routes. A lookup costs one
-// map access for each slash of the path, however many routes there are; a linear scan
-// of the prefixes took time in proportion to their number.
+// Load pattern: every request is matched, against a few to several hundred routes. A
+// lookup costs one map access for each slash of the path, however many routes there
+// are; a linear scan of the prefixes took time in proportion to their number.
 package paths
 
 import (
--- a/magno/place/place.go
+++ b/magno/place/place.go
@@ -1,8 +1,9 @@
 // Package place decides which adapters occupy an upstream's few slots.
 //
-// Thousands of adapters with skewed popularity, which shifts within the hour, share a
-// few slots. Naive eviction drops a hot adapter for one request to a cold one and
-// reloads it seconds later, and after a failed load every upstream retries at once.
+// Load pattern: thousands of adapters with skewed popularity, which shifts within the
+// hour, share a few slots. Naive eviction drops a hot adapter for one request to a cold
+// one and reloads it seconds later, and after a failed load every upstream retries at
+// once.
 //
 // The victim is the unpinned adapter with the least recent demand. Demand decays by
 // half in HalfLife, so an adapter that was hot an hour ago is evicted before one that
--- a/magno/roster/roster.go
+++ b/magno/roster/roster.go
@@ -3,10 +3,10 @@
 //
 // Membership changes constantly: instances are replaced, instance lists lag, and
 // partitioned processes keep an old configuration. If two agents selected witnesses
-// from their own instance lists, each could reach a quorum and run the same key. The
-// members are therefore slots, which are published with the configuration, and a
-// replacement process takes over the name of its slot. A roster covers keys issued
-// from Since until Until, and no two rosters overlap. A process that lacks the
+// from their own instance lists, each could reach a quorum, and the key would run
+// twice. The members are therefore slots, which are published with the configuration,
+// and a replacement process takes over the name of its slot. A roster covers keys
+// issued from Since until Until, and no two rosters overlap. A process that lacks the
 // newer roster refuses its keys rather than asking the members of the older one,
 // however long the configuration service is down or stale.
 //
--- a/magno/route/route.go
+++ b/magno/route/route.go
@@ -6,10 +6,10 @@
 //	                                                  |
 //	Report, Sent, Ended --> wait, adapters held, pace, failures
 //
-// A few adapters take most requests and thousands share the rest. Upstreams hold few
-// adapters each, and some are slow, fail or flap. Random selection would load each
-// adapter wherever its requests happen to go, let hot adapters evict all others, and
-// send a slow upstream its full share of callers.
+// Load pattern: a few adapters take most requests and thousands share the rest.
+// Upstreams hold few adapters each, and some are slow, fail or flap. Random selection
+// would load each adapter wherever its requests happen to go, let hot adapters evict
+// all others, and send a slow upstream its full share of callers.
 //
 // The cost of a target is the sum of its reported wait, decayed with the report's age,
 // the work sent since, the longer run on a slow target and, where the adapter isn't
--- a/magno/view/view.go
+++ b/magno/view/view.go
@@ -1,11 +1,11 @@
 // Package view stores the last known state of the platform's list, whether it was read
 // from the list itself or received from a peer.
 //
-// Normally there is a change every few minutes. While upstreams are replaced there are
-// several per second, and after an outage of the list all entries change at once, some of
-// them missing only because they were renewed too late. Changes are ordered by revision.
-// Otherwise a delayed response could restore a replaced configuration or remove an
-// upstream that has returned.
+// Load pattern: normally there is a change every few minutes. While upstreams are
+// replaced there are several per second, and after an outage of the list all entries
+// change at once, some of them missing only because they were renewed too late. Changes
+// are ordered by revision. Otherwise a delayed response could restore a replaced
+// configuration or remove an upstream that has returned.
 //
 // The stored state is always that of the list at one revision. Updates that start after
 // it are rejected, and the missing part is requested. So changes may arrive repeatedly
